--- a/src/dispatch/actions.h
+++ b/src/dispatch/actions.h
@@ -33,7 +33,7 @@
 struct Release {
   std::vector<std::string> machines;
 };
-/// What the node is to do. It reports the outcome of each action back to the leader's core.
+/// What the node is to do. It reports the outcome of each action back to the leader's scheduler.
 using Action = std::variant<SendOrders, Probe, Rent, Release>;
 
 }  // namespace sumacquay
--- a/src/dispatch/backlog.cpp
+++ b/src/dispatch/backlog.cpp
@@ -1,24 +1,24 @@
 // What waits to be ordered is queued as it comes up, so that it goes out at a cost that follows
 // what there is to send. With prompt dispatch the same holds for what waits to be written.
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 
-void LeaderCore::note_orders(const Machine& m) {
+void Scheduler::note_orders(const Machine& m) {
   backlog_.orders.put(m.info.id);
 }
 
 /// The job's tasks may be started now wherever they were placed.
-void LeaderCore::note_orders_of(const Job& job) {
+void Scheduler::note_orders_of(const Job& job) {
   for (const auto& [task, places] : job.placements)
     for (const auto& [machine, attempt] : places) backlog_.orders.put(machine);
 }
 
-void LeaderCore::note_machine_record(const Machine& m) {
+void Scheduler::note_machine_record(const Machine& m) {
   if (prompt() && m.record == Machine::Record::Wanted) backlog_.machine_records.put(m.info.id);
 }
 
-void LeaderCore::note_job_record(const Job& job, Seconds now) {
+void Scheduler::note_job_record(const Job& job, Seconds now) {
   if (!prompt()) return;
   const WriteUrgency urgency = write_urgency(job, now);
   if (urgency != WriteUrgency::None)
@@ -26,7 +26,7 @@
 }
 
 /// With each round: whatever came up without a note, by the passing of time above all.
-void LeaderCore::fill_backlog(Seconds now) {
+void Scheduler::fill_backlog(Seconds now) {
   for (const auto& [id, m] : machines_)
     if (has_orders(m)) note_orders(m);
   if (!prompt()) return;
@@ -34,10 +34,10 @@
   for (const auto& [id, job] : jobs_) note_job_record(job, now);
 }
 
-std::vector<Action> LeaderCore::dispatch(Seconds now) {
+std::vector<Action> Scheduler::dispatch(Seconds now) {
   std::vector<Action> out;
   if (!prompt()) return out;
-  note_running(now);
+  record_progress(now);
   order_starts(now, out);
   return out;
 }
--- a/src/dispatch/commands.cpp
+++ b/src/dispatch/commands.cpp
@@ -1,7 +1,7 @@
 // What workers are told, in answers to their reports and in orders.
 #include <algorithm>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-bool LeaderCore::startable(const Machine& m, const RunKey& key, const Run& run) const {
+bool Scheduler::startable(const Machine& m, const RunKey& key, const Run& run) const {
   if (!run.wanted || run.phase != Run::Phase::Ordered || m.record != Machine::Record::Durable)
     return false;
   const Job* job = find_job(key.task.job);
@@ -19,7 +19,7 @@
 }
 
 /// Stops come first and are never cut: they take no more than their tasks did in the report.
-std::vector<Command> LeaderCore::commands_for(Machine& m, bool forget) {
+std::vector<Command> Scheduler::commands_for(Machine& m, bool forget) {
   std::vector<Command> out;
   for (auto& [key, run] : m.runs) {
     if (run.wanted || !run.present() || run.phase == Run::Phase::Ordered) continue;
@@ -44,13 +44,13 @@
   return out;
 }
 
-bool LeaderCore::ended(const std::string& id) const {
+bool Scheduler::ended(const std::string& id) const {
   const Job* job = find_job(id);
   return !job || job->stored.state != JobState::Pending;
 }
 
 /// Whether there is something to tell the machine that no order has told it yet.
-bool LeaderCore::has_orders(const Machine& m) const {
+bool Scheduler::has_orders(const Machine& m) const {
   return std::any_of(m.runs.begin(), m.runs.end(), [this, &m](const auto& r) {
     const auto& [key, run] = r;
     if (run.wanted) return !run.sent && startable(m, key, run);
@@ -58,8 +58,8 @@
   });
 }
 
-void LeaderCore::order_starts_of(const std::string& id, Machine& m, Seconds now,
-                                 std::vector<Action>& out) {
+void Scheduler::order_starts_of(const std::string& id, Machine& m, Seconds now,
+                                std::vector<Action>& out) {
   ++work_.dispatch_checks;
   if (m.stage != Machine::Stage::Up || m.order_in_flight || now < m.next_order) return;
   if (m.info.addr.empty() || !m.token_confirmed || !has_orders(m)) return;
@@ -71,7 +71,7 @@
   out.emplace_back(std::move(order));
 }
 
-void LeaderCore::order_starts(Seconds now, std::vector<Action>& out) {
+void Scheduler::order_starts(Seconds now, std::vector<Action>& out) {
   while (const auto id = backlog_.orders.pop()) {
     const auto m = machines_.find(*id);
     if (m != machines_.end()) order_starts_of(*id, m->second, now, out);
--- a/src/dispatch/dependents.cpp
+++ b/src/dispatch/dependents.cpp
@@ -2,34 +2,34 @@
 #include <algorithm>
 #include <vector>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 
-void LeaderCore::dependency_finished(const std::string& id, const FinishedRecord& record) {
+void Scheduler::dependency_finished(const std::string& id, const FinishedRecord& record) {
   dependencies_.finished(id, record.state, record.ended_ms);
 }
 
 /// A job that is over stays among the live ones until nothing of it is left anywhere, and the graph
 /// keeps it only for those that it knows to depend on it.
-void LeaderCore::note_dependencies(const JobRecord& record) {
+void Scheduler::note_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies)
     if (const Job* dependency = find_job(id)) dependencies_.update(dependency->stored);
 }
 
 /// A job that depends on others arrives when the last of them is done.
-uint64_t LeaderCore::arrival_ms(const Job& job) const {
+uint64_t Scheduler::arrival_ms(const Job& job) const {
   return std::max(
       {job.stored.submitted_ms, job.stored.ready_ms, dependencies_.ready_ms(job.spec().id)});
 }
 
-Seconds LeaderCore::arrival(const Job& job) const {
+Seconds Scheduler::arrival(const Job& job) const {
   return static_cast<double>(arrival_ms(job)) / 1000 - wall_offset_;
 }
 
 /// Called when the job is met first. Those that depend on it may have been met before.
-void LeaderCore::inherit_priority(Job& job) {
+void Scheduler::inherit_priority(Job& job) {
   job.priority = job.spec().priority;
   for (const auto& id : dependencies_.dependents(job.spec().id))
     if (const Job* dependent = find_job(id))
@@ -37,7 +37,7 @@
   for (const auto& id : dependencies_.dependencies(job.spec().id)) raise_priority(id, job.priority);
 }
 
-void LeaderCore::raise_priority(const std::string& id, Priority priority) {
+void Scheduler::raise_priority(const std::string& id, Priority priority) {
   std::vector<std::string> raised{id};
   while (!raised.empty()) {
     Job* job = find_job(raised.back());
@@ -49,13 +49,13 @@
   }
 }
 
-void LeaderCore::count_arrival(Job& job) {
+void Scheduler::count_arrival(Job& job) {
   if (job.counted_as_arrival || !ready(job)) return;
   job.counted_as_arrival = true;
   arrivals_.add(job.spec(), arrival(job));
 }
 
-bool LeaderCore::cancelled_by_dependency(const Job& job) const {
+bool Scheduler::cancelled_by_dependency(const Job& job) const {
   return job.stored.state == JobState::Pending && !job.stored.started &&
          dependencies_.cancelled(job.spec().id);
 }
--- a/src/dispatch/failures.cpp
+++ b/src/dispatch/failures.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 /// Whose fault a failed start is: the job's, if it fails wherever it is started, or the machine's,
 /// if several jobs fail there that work elsewhere.
@@ -23,14 +23,14 @@
 
 }  // namespace
 
-bool LeaderCore::at_fault(const Job& job) const {
+bool Scheduler::at_fault(const Job& job) const {
   const auto tries = static_cast<size_t>(settings_.tuning.start_tries);
   return job.failed_since_success.size() >= std::max(kMachinesThatShowFault, tries);
 }
 
 /// One job that fails on several machines is at fault itself; several jobs that fail on one machine
 /// put the blame on the machine.
-void LeaderCore::count_failure(Machine& m, Job& job, Seconds now) {
+void Scheduler::count_failure(Machine& m, Job& job, Seconds now) {
   if (job.failed_on.size() >= kMostMachinesAvoided) job.failed_on.clear();
   job.failed_on.insert(m.info.id);
   const bool was_at_fault = at_fault(job);
@@ -56,7 +56,7 @@
 }
 
 /// The job works, so where it failed the machine is to blame.
-void LeaderCore::count_success(Job& job, Seconds now) {
+void Scheduler::count_success(Job& job, Seconds now) {
   if (job.failed_since_success.empty()) return;
   const bool blame_was_withdrawn = at_fault(job);
   for (const auto& id : std::exchange(job.failed_since_success, {})) {
@@ -69,14 +69,14 @@
   job.retry_at = std::min(job.retry_at, now + settings_.report_s);
 }
 
-void LeaderCore::blame(Machine& m, const Job& job, Seconds now) {
+void Scheduler::blame(Machine& m, const Job& job, Seconds now) {
   m.error_jobs.insert(job.spec().id);
   if (m.error_jobs.size() < kJobsThatShowSickness || m.sick()) return;
   m.sick_since = now;
   spdlog::info("{} fails what it starts: drained", m.info.id);
 }
 
-void LeaderCore::withdraw_blame(const Job& job) {
+void Scheduler::withdraw_blame(const Job& job) {
   for (const auto& id : job.failed_since_success) {
     const auto m = machines_.find(id);
     if (m == machines_.end()) continue;
@@ -88,7 +88,7 @@
 }
 
 /// Whether a task of the job has run for a while: replicas never end by themselves.
-bool LeaderCore::runs_well(const Job& job, Seconds now) const {
+bool Scheduler::runs_well(const Job& job, Seconds now) const {
   for (const auto& [task, places] : job.placements)
     for (const auto& [machine, attempt] : places) {
       const auto m = machines_.find(machine);
@@ -102,7 +102,7 @@
 
 /// Jobs that fail everywhere show it on other machines after a while, and then the blame is taken
 /// back.
-bool LeaderCore::sick_for_certain(const Machine& m, Seconds now) const {
+bool Scheduler::sick_for_certain(const Machine& m, Seconds now) const {
   return m.others_succeed || now - *m.sick_since > kSicknessShown * settings_.lease_s;
 }
 
--- a/src/dispatch/fleet_summary.cpp
+++ b/src/dispatch/fleet_summary.cpp
@@ -1,12 +1,12 @@
 // A summary of the fleet for operators, once a lease, in the log.
 #include <spdlog/spdlog.h>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 
 /// For operators: what the fleet is paid for, by type.
-void LeaderCore::log_fleet_summary(Seconds now) {
+void Scheduler::log_fleet_summary(Seconds now) {
   if (now < next_summary_) return;
   next_summary_ = now + settings_.lease_s;
   for (const auto& t : types_) {
--- a/src/dispatch/machine_lifecycle.cpp
+++ b/src/dispatch/machine_lifecycle.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -28,13 +28,13 @@
 
 }  // namespace
 
-void LeaderCore::set_stage(Machine& m, Machine::Stage next) {
+void Scheduler::set_stage(Machine& m, Machine::Stage next) {
   if (m.stage == next) return;
   spdlog::debug("{}: stage {} -> {}", m.info.id, name(m.stage), name(next));
   m.stage = next;
 }
 
-void LeaderCore::listed(const std::vector<ListedMachine>& machines, Seconds now) {
+void Scheduler::listed(const std::vector<ListedMachine>& machines, Seconds now) {
   for (const auto& l : machines) {
     const auto gone = returned_.find(l.id);
     if (gone != returned_.end()) {
@@ -60,11 +60,11 @@
 /// One silent machine is its own trouble; when all of several are silent at once, it is this node
 /// that can't be reached, and each of them would lose its lease though other nodes could answer it.
 /// A new leader waits longer, since workers must find it first.
-bool LeaderCore::no_worker_reaches_us(Seconds now) const {
+bool Scheduler::no_worker_reaches_us(Seconds now) const {
   const Seconds patience = kAllSilent * settings_.report_s + 0.5;
   if (now - latest_report_ <= patience) return false;
   size_t up = 0;
-  Seconds newest = took_over_at_ + kFindLeader * settings_.lease_s;
+  Seconds newest = failover_at_ + kFindLeader * settings_.lease_s;
   for (const auto& [id, m] : machines_) {
     if (m.stage != Machine::Stage::Up) continue;
     ++up;
@@ -75,13 +75,13 @@
 
 /// When the worker's lease has ended for certain, counted from the last answer that anybody could
 /// have given it.
-Seconds LeaderCore::latest_lease_end(const Machine& m, Seconds now) const {
+Seconds Scheduler::latest_lease_end(const Machine& m, Seconds now) const {
   Seconds last = std::max(m.last_answered, delegations_.last_answer(m.info.zone, now));
-  if (m.earlier_leader_may_answer) last = std::max(last, fence_);
+  if (m.earlier_leader_may_answer) last = std::max(last, previous_leader_fenced_at_);
   return last + settings_.lease_s * (1 + kDrift) + 0.1;
 }
 
-void LeaderCore::expire(Seconds now) {
+void Scheduler::expire(Seconds now) {
   for (auto& [id, m] : machines_) {
     // One that was given up expires as well: the cloud may be in trouble for longer than a lease.
     const bool returning = m.stage == Machine::Stage::Returning && m.may_hold_tasks();
@@ -97,12 +97,12 @@
 
 /// A zone that was cut off comes back within a report period or more, not at once: those that are
 /// still silent when most are heard again are as alive as the others.
-void LeaderCore::zone_reachable_again(const std::string& zone, Seconds now) {
+void Scheduler::zone_reachable_again(const std::string& zone, Seconds now) {
   for (auto& [id, m] : machines_)
     if (m.info.zone == zone) m.zone_back = now;
 }
 
-void LeaderCore::find_cut_zones(Seconds now) {
+void Scheduler::find_cut_zones(Seconds now) {
   std::map<std::string, ZoneReachability::Count> zones;
   const Seconds suspect = settings_.tuning.suspect * settings_.lease_s;
   for (const auto& [id, m] : machines_) {
@@ -117,7 +117,7 @@
 }
 
 /// Whether a machine that boots will never come up.
-bool LeaderCore::boot_failed(const Machine& m, Seconds now) const {
+bool Scheduler::boot_failed(const Machine& m, Seconds now) const {
   if (m.listed_failed) return true;
   if (zone_reachability_.cut_off(m.info.zone)) return false;
   const MachineType* t = type(m.info.type);
@@ -131,14 +131,14 @@
 /// dead more often than cut off; so is one that is late and does not answer while many others of
 /// its zone are heard. An order that went unanswered is no reason to wait for the lease: nothing of
 /// the machine is left once the cloud has taken it back.
-bool LeaderCore::seems_dead(const Machine& m, Seconds now) const {
+bool Scheduler::seems_dead(const Machine& m, Seconds now) const {
   if (zone_reachability_.cut_off(m.info.zone) || !m.may_hold_tasks()) return false;
   if (silence(m, now) > settings_.tuning.suspect * settings_.lease_s) return true;
   return m.probe_unanswered && report_overdue(m, now) && zone_reachability_.reachable(m.info.zone);
 }
 
 /// Whether a machine is to be returned although it isn't idle.
-bool LeaderCore::should_give_up(const Machine& m, Seconds now) const {
+bool Scheduler::should_give_up(const Machine& m, Seconds now) const {
   switch (m.stage) {
     case Machine::Stage::Booting:
       return boot_failed(m, now);
@@ -153,17 +153,17 @@
   return false;
 }
 
-Seconds LeaderCore::silence(const Machine& m, Seconds now) const {
+Seconds Scheduler::silence(const Machine& m, Seconds now) const {
   return now - std::max({m.last_heard, m.zone_back, listening_since_});
 }
 
 /// Reports come up to a quarter late.
-bool LeaderCore::report_overdue(const Machine& m, Seconds now) const {
+bool Scheduler::report_overdue(const Machine& m, Seconds now) const {
   return silence(m, now) > 1.25 * settings_.report_s + 0.5;
 }
 
 /// Machines that this leader has not met yet, and those that are late with a report.
-void LeaderCore::probe(Seconds now, std::vector<Action>& out) {
+void Scheduler::probe(Seconds now, std::vector<Action>& out) {
   for (auto& [id, m] : machines_) {
     if (m.stage != Machine::Stage::Up || m.probe_in_flight || m.info.addr.empty()) continue;
     const bool greet =
--- a/src/dispatch/moves.cpp
+++ b/src/dispatch/moves.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -35,7 +35,7 @@
 
 /// Whether every task on the machine is a settled replica that fits on another machine with its
 /// image.
-bool LeaderCore::movable(const Machine& m, Trial& elsewhere, Seconds now) {
+bool Scheduler::movable(const Machine& m, Trial& elsewhere, Seconds now) {
   for (const auto& [key, run] : m.runs) {
     if (!run.present()) continue;
     Job* job = find_job(key.task.job);
@@ -58,7 +58,7 @@
   return true;
 }
 
-void LeaderCore::drain(Machine& m, const char* why, Seconds now) {
+void Scheduler::drain(Machine& m, const char* why, Seconds now) {
   spdlog::info("moves what runs on {}: {}", m.info.id, why);
   m.draining = true;
   for (auto& [key, run] : m.runs)
@@ -66,7 +66,7 @@
 }
 
 /// How many machines are being emptied.
-size_t LeaderCore::finish_moves(Seconds now) {
+size_t Scheduler::finish_moves(Seconds now) {
   size_t draining = 0;
   for (auto& [id, m] : machines_) {
     if (!m.draining || m.stage != Machine::Stage::Up) continue;
@@ -81,7 +81,7 @@
 }
 
 /// The machines that it may pay to empty, the emptiest first.
-std::vector<size_t> LeaderCore::worth_emptying(const std::vector<Slot>& slots) const {
+std::vector<size_t> Scheduler::worth_emptying(const std::vector<Slot>& slots) const {
   double dearest = 0;
   for (const auto& t : types_) dearest = std::max(dearest, t.price);
   std::vector<size_t> order;
@@ -95,7 +95,7 @@
   return order;
 }
 
-void LeaderCore::move_replicas(Seconds now) {
+void Scheduler::move_replicas(Seconds now) {
   size_t draining = finish_moves(now);
   if (now < next_move_ || !picture_settled(now)) return;
   auto slots = picture(now, false);
--- a/src/dispatch/preemption.cpp
+++ b/src/dispatch/preemption.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -15,14 +15,14 @@
 
 /// What stopping a task throws away: progress that was not saved, or the time it has waited for its
 /// image. A gang loses that on all its machines.
-Seconds LeaderCore::loss_of(const Job& job, const Run& run, Seconds now) const {
+Seconds Scheduler::loss_of(const Job& job, const Run& run, Seconds now) const {
   const Seconds spent = now - run.running_since.value_or(run.placed_at);
   const Seconds lost =
       run.running_since && job.spec().saves() ? std::min(spent, job.spec().save_s) : spent;
   return job.spec().kind == JobKind::Gang ? lost * job.spec().tasks : lost;
 }
 
-std::vector<Victim> LeaderCore::victims(const std::vector<Slot>& slots, Seconds now) const {
+std::vector<Victim> Scheduler::victims(const std::vector<Slot>& slots, Seconds now) const {
   std::vector<Victim> out;
   for (size_t i = 0; i < slots.size(); ++i) {
     if (!slots[i].of) continue;
@@ -50,7 +50,7 @@
 }
 
 /// It is being stopped, with its gang if it has one: nobody else in this round gets its place.
-void LeaderCore::forget_victim(const Victim& gone) {
+void Scheduler::forget_victim(const Victim& gone) {
   if (!victims_) return;
   running_work_.remove(gone.team, gone.stops);
   std::for_each(victims_->begin(), victims_->end(), [&gone](Victim& v) {
@@ -60,8 +60,8 @@
 
 /// Listed once a round: a list for each job that finds no room would take most of a controller's
 /// processor when hundreds wait.
-const std::vector<Victim>& LeaderCore::victims_of_round(const std::vector<Slot>& slots,
-                                                        Seconds now) {
+const std::vector<Victim>& Scheduler::victims_of_round(const std::vector<Slot>& slots,
+                                                       Seconds now) {
   if (!victims_) {
     victims_ = victims(slots, now);
     running_work_ = RunningWork(settings_.teams);
@@ -72,7 +72,7 @@
 }
 
 /// The soonest that the job can run on a machine rented now; none: nothing can be rented for it.
-std::optional<Seconds> LeaderCore::soonest_rented(const JobSpec& spec, Seconds now) const {
+std::optional<Seconds> Scheduler::soonest_rented(const JobSpec& spec, Seconds now) const {
   std::optional<Seconds> soonest;
   for (const auto& o : offers(now)) {
     if (o.blocked || !allowed(spec, o.type->name, o.zone, o.spot) ||
@@ -85,7 +85,7 @@
 }
 
 /// Whether a boot from now on would make the job miss what users were promised for its class.
-bool LeaderCore::late(const Job& job, Seconds takes, Seconds now) const {
+bool Scheduler::late(const Job& job, Seconds takes, Seconds now) const {
   Seconds within = 2 * takes;
   for (const auto& o : settings_.objectives)
     if (o.kind == "wait" && o.job_class == job.spec().job_class) within = o.within_s;
@@ -93,8 +93,8 @@
 }
 
 /// Whether all tasks would find room if tasks of lower priority gave way.
-bool LeaderCore::preemptible(Demand d, std::vector<Slot> slots,
-                             const std::vector<Victim>& candidates) const {
+bool Scheduler::preemptible(Demand d, std::vector<Slot> slots,
+                            const std::vector<Victim>& candidates) const {
   RunningWork running = running_work_;
   for (; !d.tasks.empty(); d.tasks.pop_back()) {
     const auto p = preempt(d, slots, candidates, running);
@@ -112,7 +112,7 @@
 /// any. Only then do lower priorities give way, and only where little is lost, since work that
 /// starts over costs its own users as much as the gang gains, unless no machine is to be had at
 /// all.
-void LeaderCore::gather(Job& job, Demand& d, std::vector<Slot>& slots, Seconds now) {
+void Scheduler::gather(Job& job, Demand& d, std::vector<Slot>& slots, Seconds now) {
   const auto takes = soonest_rented(job.spec(), now);
   const bool hurry = !takes || late(job, *takes, now);
   const auto avoid = d.avoid;
@@ -132,13 +132,13 @@
 
 /// Stops tasks of lower priority, or beyond other teams' guarantees, for those that found no room.
 /// Their places are free once they are proven gone; until then the room is held for this job.
-void LeaderCore::make_room(Job& job, Demand& d, std::vector<Slot>& slots, Seconds now) {
+void Scheduler::make_room(Job& job, Demand& d, std::vector<Slot>& slots, Seconds now) {
   if (job.priority == Priority::Low && !d.within_guarantee) return;
   make_room(job, d, slots, victims_of_round(slots, now), now);
 }
 
-void LeaderCore::make_room(Job& job, Demand& d, std::vector<Slot>& slots,
-                           const std::vector<Victim>& candidates, Seconds now) {
+void Scheduler::make_room(Job& job, Demand& d, std::vector<Slot>& slots,
+                          const std::vector<Victim>& candidates, Seconds now) {
   while (!d.tasks.empty()) {
     const auto p = preempt(d, slots, candidates, running_work_);
     if (!p) return;
--- a/src/dispatch/record_transaction.h
+++ b/src/dispatch/record_transaction.h
@@ -8,7 +8,7 @@
 #include "wire/messages.h"
 
 /// Builds the transaction by which the leader writes its records, without I/O. Called by whoever
-/// carries out `LeaderCore::wanted_writes`: the node, and the deployment that the tests simulate.
+/// carries out `Scheduler::wanted_writes`: the node, and the deployment that the tests simulate.
 ///
 /// Guarantees that the state service carries out such a transaction only while
 /// - no later leader has been elected: every election changes the version of the term key;
--- a/src/dispatch/record_writes.cpp
+++ b/src/dispatch/record_writes.cpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <unordered_set>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -38,7 +38,7 @@
 }  // namespace
 
 /// The writes of one transaction. Its size is kept well under the limit of 64 KiB.
-class LeaderCore::WriteBatch {
+class Scheduler::WriteBatch {
  public:
   explicit WriteBatch(size_t most_changes) : most_changes_(most_changes) {}
   bool fits(size_t changes) const { return changes_ + changes <= most_changes_; }
@@ -59,7 +59,7 @@
   std::vector<RecordWrite> writes_;
 };
 
-void LeaderCore::job_stored(const JobRecord& record, uint64_t version, Seconds now) {
+void Scheduler::job_stored(const JobRecord& record, uint64_t version, Seconds now) {
   auto [it, added] = jobs_.try_emplace(record.spec.id);
   Job& job = it->second;
   if (!added && job.version >= version) return;
@@ -93,7 +93,7 @@
   note_job_record(job, now);
 }
 
-void LeaderCore::job_finished(const std::string& id) {
+void Scheduler::job_finished(const std::string& id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   for (auto& [task, places] : it->second.placements)
@@ -108,7 +108,7 @@
   dependencies_.forget(id);
 }
 
-void LeaderCore::host_stored(const HostRecord& host, Seconds now) {
+void Scheduler::host_stored(const HostRecord& host, Seconds now) {
   Machine& m = machines_[host.id];
   m.info = host;
   set_stage(m, Machine::Stage::Up);
@@ -118,7 +118,7 @@
 }
 
 /// Whether a job's record is to be written, and how urgently.
-LeaderCore::WriteUrgency LeaderCore::write_urgency(const Job& job, Seconds now) const {
+Scheduler::WriteUrgency Scheduler::write_urgency(const Job& job, Seconds now) const {
   if (job.writing || job.version == 0) return WriteUrgency::None;
   const bool over = job.stored.state != JobState::Pending || job.complete();
   // A record of a version before these limits: the job can still be moved to the finished ones.
@@ -140,13 +140,13 @@
 
 /// What finds no room in a record stays with the workers until earlier tasks close the gaps. What
 /// is stored has been cleared there, and goes first.
-Ranges LeaderCore::done_for_record(const Job& job) {
+Ranges Scheduler::done_for_record(const Job& job) {
   return job.done.first_spans(job.room.spans, job.stored.done);
 }
 
 /// Where the job's tasks may be, for the next leader: what that one can't account for then holds
 /// back this job only if it is among them. None if that would take too much of a record.
-std::optional<std::vector<std::string>> LeaderCore::possible_hosts(const Job& job) const {
+std::optional<std::vector<std::string>> Scheduler::possible_hosts(const Job& job) const {
   if (missing_in_doubt(job) && !job.stored.hosts) return std::nullopt;
   // An array has tens of thousands of places on a few hundred machines.
   std::unordered_set<std::string_view> machines;
@@ -162,7 +162,7 @@
   return sorted;
 }
 
-RecordWrite LeaderCore::write_for(const Job& job, Seconds now) const {
+RecordWrite Scheduler::write_for(const Job& job, Seconds now) const {
   RecordWrite w;
   w.job = job.spec().id;
   w.version = job.version;
@@ -185,7 +185,7 @@
   return w;
 }
 
-std::vector<RecordWrite> LeaderCore::wanted_writes(Seconds now, size_t most_changes) {
+std::vector<RecordWrite> Scheduler::wanted_writes(Seconds now, size_t most_changes) {
   WriteBatch batch(most_changes);
   add_host_writes(batch);
   if (add_job_writes(batch, now)) add_host_deletions(batch);
@@ -193,7 +193,7 @@
 }
 
 /// Machines that are to get their first start: it waits for their records.
-void LeaderCore::add_host_writes(WriteBatch& batch) {
+void Scheduler::add_host_writes(WriteBatch& batch) {
   if (!prompt()) {
     for (const auto& [id, m] : machines_) {
       if (!batch.fits(1)) return;
@@ -209,7 +209,7 @@
   }
 }
 
-void LeaderCore::add_host_write(WriteBatch& batch, const std::string& id, const Machine& m) {
+void Scheduler::add_host_write(WriteBatch& batch, const std::string& id, const Machine& m) {
   ++work_.dispatch_checks;
   if (m.record != Machine::Record::Wanted || !host_record_writes_.begin(id)) return;
   RecordWrite write;
@@ -218,7 +218,7 @@
   batch.add(std::move(write), kHostBytes);
 }
 
-void LeaderCore::add_job_write(WriteBatch& batch, Job& job, Seconds now) {
+void Scheduler::add_job_write(WriteBatch& batch, Job& job, Seconds now) {
   RecordWrite write = write_for(job, now);
   job.writing = true;
   keep_common_hosts(job, write.record->hosts);
@@ -228,7 +228,7 @@
 
 /// Starts wait for some of them and users for others; what is merely tidied up comes last. False if
 /// the batch is full before all are in it.
-bool LeaderCore::add_job_writes(WriteBatch& batch, Seconds now) {
+bool Scheduler::add_job_writes(WriteBatch& batch, Seconds now) {
   if (prompt()) return add_pending_job_writes(batch, now);
   struct Candidate {
     WriteUrgency urgency;
@@ -249,7 +249,7 @@
   return true;
 }
 
-bool LeaderCore::add_pending_job_writes(WriteBatch& batch, Seconds now) {
+bool Scheduler::add_pending_job_writes(WriteBatch& batch, Seconds now) {
   while (batch.fits(kMostChangesOfAJob) && !batch.full()) {
     const auto id = backlog_.job_records.pop();
     if (!id) return true;
@@ -260,7 +260,7 @@
   return backlog_.job_records.empty();
 }
 
-void LeaderCore::add_host_deletions(WriteBatch& batch) {
+void Scheduler::add_host_deletions(WriteBatch& batch) {
   for (const auto& id : host_record_writes_.to_delete()) {
     if (!batch.fits(1)) return;
     if (!host_record_writes_.begin(id)) continue;
@@ -270,7 +270,7 @@
   }
 }
 
-void LeaderCore::write_done(const RecordWrite& w, bool committed, uint64_t version, Seconds now) {
+void Scheduler::write_done(const RecordWrite& w, bool committed, uint64_t version, Seconds now) {
   if (!w.host.empty()) {
     host_record_writes_.end(w.host);
     if (committed && !w.host_record) host_record_writes_.deleted(w.host);
--- a/src/dispatch/releases.cpp
+++ b/src/dispatch/releases.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -14,14 +14,14 @@
 }  // namespace
 
 /// Whether there is room for arrivals beside what the trial has placed.
-bool LeaderCore::spare_room(Trial& trial, Seconds /*now*/) const {
+bool Scheduler::spare_room(Trial& trial, Seconds /*now*/) const {
   const auto expected = arrivals_.expected(settings_.tuning.headroom);
   const auto demands = demands_of(expected);
   return std::all_of(demands.begin(), demands.end(),
                      [&trial](const Demand& d) { return trial.fits(d); });
 }
 
-void LeaderCore::return_idle(Seconds now) {
+void Scheduler::return_idle(Seconds now) {
   if (!picture_settled(now) || rental_requests_.any_open()) return;
   for (auto& [id, m] : machines_) {
     const bool idle = m.stage == Machine::Stage::Up && !m.has_presence();
@@ -44,7 +44,7 @@
   }
 }
 
-void LeaderCore::return_machines(Seconds now, std::vector<Action>& out) {
+void Scheduler::return_machines(Seconds now, std::vector<Action>& out) {
   if (releasing_ || now < next_release_) return;
   next_release_ = now + settings_.report_s * 0.5;
   find_cut_zones(now);
@@ -64,7 +64,7 @@
   out.emplace_back(std::move(release));
 }
 
-void LeaderCore::release_done(const Release& release, bool ok, Seconds now) {
+void Scheduler::release_done(const Release& release, bool ok, Seconds now) {
   releasing_ = false;
   next_release_ = now + settings_.report_s * (ok ? 0.1 : 0.5);
   if (!ok) return;
--- a/src/dispatch/renting.cpp
+++ b/src/dispatch/renting.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -15,13 +15,13 @@
 
 }  // namespace
 
-Seconds LeaderCore::longest_boot() const {
+Seconds Scheduler::longest_boot() const {
   Seconds longest = 0;
   for (const auto& t : types_) longest = std::max(longest, t.boot_s);
   return longest;
 }
 
-std::vector<Offer> LeaderCore::offers(Seconds now) const {
+std::vector<Offer> Scheduler::offers(Seconds now) const {
   std::vector<Offer> out;
   for (const auto& t : types_)
     for (const auto& zone : t.zones)
@@ -32,7 +32,7 @@
   return out;
 }
 
-void LeaderCore::provision(Seconds now, std::vector<Action>& out) {
+void Scheduler::provision(Seconds now, std::vector<Action>& out) {
   if (now < next_provision_ || types_.empty() || !picture_settled(now)) return;
   next_provision_ = now + settings_.report_s * 0.5;
   arrivals_.forget_old(now, longest_boot());
@@ -53,7 +53,7 @@
     request_machines(r, out);
 }
 
-void LeaderCore::request_machines(const Rental& rental, std::vector<Action>& out) {
+void Scheduler::request_machines(const Rental& rental, std::vector<Action>& out) {
   for (int left = rental.count; left > 0; left -= kMostOfARequest) {
     Rent rent = rental_requests_.open({rental.type, rental.zone, rental.spot},
                                       std::min(left, kMostOfARequest));
@@ -63,8 +63,8 @@
   }
 }
 
-void LeaderCore::rent_done(const Rent& rent, RentOutcome outcome,
-                           const std::vector<std::string>& machines, Seconds now) {
+void Scheduler::rent_done(const Rent& rent, RentOutcome outcome,
+                          const std::vector<std::string>& machines, Seconds now) {
   if (outcome == RentOutcome::Unknown)
     return rental_requests_.repeat(rent, now, settings_.report_s);
   const size_t rented = outcome == RentOutcome::Rented ? machines.size() : 0;
--- a/src/dispatch/reports.cpp
+++ b/src/dispatch/reports.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <vector>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-Machine& LeaderCore::find_or_add_machine(const WorkerReport& r, Seconds now) {
+Machine& Scheduler::find_or_add_machine(const WorkerReport& r, Seconds now) {
   auto [it, added] = machines_.try_emplace(r.machine);
   Machine& m = it->second;
   if (added) {
@@ -71,15 +71,15 @@
   return m;
 }
 
-void LeaderCore::mark_accounted(Machine& m) {
+void Scheduler::mark_accounted(Machine& m) {
   if (m.accounted) return;
   m.accounted = true;
   --unaccounted_;
   if (unaccounted_ == 0) spdlog::info("every machine is accounted for");
 }
 
-LeaderCore::ReportAnswer LeaderCore::report(const WorkerReport& r, bool may_act, Seconds now) {
-  note_running(now);
+Scheduler::ReportAnswer Scheduler::report(const WorkerReport& r, bool may_act, Seconds now) {
+  record_progress(now);
   if (returned_.contains(r.machine)) return {};  // held on its way until the machine was gone
   Machine& m = find_or_add_machine(r, now);
   ReportAnswer answer;
@@ -103,9 +103,9 @@
   return answer;
 }
 
-void LeaderCore::orders_done(const std::string& id, const std::optional<WorkerReport>& report,
-                             bool executed, Seconds now) {
-  note_running(now);
+void Scheduler::orders_done(const std::string& id, const std::optional<WorkerReport>& report,
+                            bool executed, Seconds now) {
+  record_progress(now);
   const auto it = machines_.find(id);
   if (it == machines_.end()) return;
   Machine& m = it->second;
@@ -122,9 +122,9 @@
   if (report->sequence() > m.latest) apply_report(m, *report, false, now);
 }
 
-void LeaderCore::probed(const std::string& id, const std::optional<WorkerReport>& report,
-                        Seconds now) {
-  note_running(now);
+void Scheduler::probed(const std::string& id, const std::optional<WorkerReport>& report,
+                       Seconds now) {
+  record_progress(now);
   const auto it = machines_.find(id);
   if (it == machines_.end()) return;
   Machine& m = it->second;
@@ -136,13 +136,13 @@
   if (report->sequence() > m.latest) apply_report(m, *report, false, now);
 }
 
-void LeaderCore::not_probed(const std::string& id) {
+void Scheduler::not_probed(const std::string& id) {
   const auto it = machines_.find(id);
   if (it != machines_.end()) it->second.probe_in_flight = false;
 }
 
 /// A new session begins with nothing: the old one's tasks ended with its lease.
-void LeaderCore::begin_session(Machine& m, Seconds now) {
+void Scheduler::begin_session(Machine& m, Seconds now) {
   remove_all_runs(m);
   m.error_jobs.clear();
   m.token_confirmed = false;
@@ -151,7 +151,7 @@
   m.last_answered = std::max(m.last_answered, now);
 }
 
-void LeaderCore::mark_up(Machine& m, Seconds now) {
+void Scheduler::mark_up(Machine& m, Seconds now) {
   if (m.stage == Machine::Stage::Booting) {
     m.up_since = now;
     auto& newest = newest_booted_[m.info.type];
@@ -163,7 +163,7 @@
 
 /// What a worker that has shown the token in force does not list is gone, but for starts that may
 /// still be on their way to it.
-void LeaderCore::remove_unlisted(Machine& m, const WorkerReport& r, Seconds now) {
+void Scheduler::remove_unlisted(Machine& m, const WorkerReport& r, Seconds now) {
   for (const auto& key : absent_runs(m, r)) {
     const auto run = m.runs.find(key);
     if (run == m.runs.end()) continue;
@@ -174,7 +174,7 @@
 }
 
 /// The worker follows this leader: an earlier one's answers are dropped from here on.
-void LeaderCore::accept_worker(Machine& m, Seconds now) {
+void Scheduler::accept_worker(Machine& m, Seconds now) {
   // The last answer of an earlier leader can't have been later.
   if (m.earlier_leader_may_answer) m.last_answered = std::max(m.last_answered, now);
   m.earlier_leader_may_answer = false;
@@ -184,7 +184,7 @@
 /// Called with reports that are newer than all that were applied. Whatever a report lists is
 /// present; what it leaves out is gone only if `absence_counts`, which an answer to an order or a
 /// probe may not tell.
-void LeaderCore::apply_report(Machine& m, const WorkerReport& r, bool absence_counts, Seconds now) {
+void Scheduler::apply_report(Machine& m, const WorkerReport& r, bool absence_counts, Seconds now) {
   if (r.session > m.latest.session) begin_session(m, now);
   m.latest = r.sequence();
   m.last_heard = now;
@@ -202,7 +202,7 @@
   accept_worker(m, now);
 }
 
-void LeaderCore::apply_task_report(Machine& m, const TaskReport& t, Seconds now) {
+void Scheduler::apply_task_report(Machine& m, const TaskReport& t, Seconds now) {
   const RunKey key{t.key, t.attempt};
   auto [it, added] = m.runs.try_emplace(key);
   Run& run = it->second;
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-bool LeaderCore::usable(const Machine& m, Seconds now) const {
+bool Scheduler::usable(const Machine& m, Seconds now) const {
   return m.stage == Machine::Stage::Up && m.token_confirmed && !m.sick() && !m.draining &&
          !m.reclaim_at && now - m.last_report < kSilence * settings_.report_s + 0.5;
 }
 
-std::vector<Slot> LeaderCore::picture(Seconds now, bool booting) const {
+std::vector<Slot> Scheduler::picture(Seconds now, bool booting) const {
   std::vector<Slot> out;
   for (const auto& [id, m] : machines_) {
     const MachineType* t = type(m.info.type);
@@ -52,13 +52,13 @@
 
 /// What is still silent some reports after the takeover may be so for long, and the fleet is rented
 /// and returned without it: in a large one some machine always is.
-bool LeaderCore::picture_settled(Seconds now) const {
-  return all_accounted() || now - took_over_at_ > kSilence * settings_.report_s + 0.5;
+bool Scheduler::picture_settled(Seconds now) const {
+  return all_accounted() || now - failover_at_ > kSilence * settings_.report_s + 0.5;
 }
 
 /// Whether a fetch on a machine that lacks the image costs what users were promised: a replica that
 /// is down stays down for it, and one that is new misses the aim for its class.
-bool LeaderCore::fetch_hurts(const Job& job) const {
+bool Scheduler::fetch_hurts(const Job& job) const {
   if (job.spec().kind != JobKind::Service) return false;
   double longest = 0;
   for (const auto& t : types_)
@@ -74,7 +74,7 @@
 
 /// First on machines that have the image, where tasks of lower priority give way; what is left of
 /// the demand goes the ordinary way.
-void LeaderCore::place_warm(Job& job, Demand& d, std::vector<Slot>& slots, Seconds now) {
+void Scheduler::place_warm(Job& job, Demand& d, std::vector<Slot>& slots, Seconds now) {
   Demand warm = d;
   warm.avoid = [&d](const Slot& s) { return d.avoid(s) || !d.has_image(s); };
   warm.within_guarantee = false;  // other teams' work need not stop where there is room elsewhere
@@ -84,7 +84,7 @@
   d.zones = warm.zones;
 }
 
-void LeaderCore::place_part(Job& job, Demand& d, std::vector<Slot>& slots, Seconds now) {
+void Scheduler::place_part(Job& job, Demand& d, std::vector<Slot>& slots, Seconds now) {
   const auto placed = place(d, slots);
   start_placed(job, placed, slots, now);
   for (const auto& p : placed) {
@@ -93,11 +93,11 @@
   }
 }
 
-size_t LeaderCore::tasks_a_round() const {
+size_t Scheduler::tasks_a_round() const {
   return std::max(kTasksInAnyFleet, kTasksPerMachine * machines_.size());
 }
 
-std::optional<Demand> LeaderCore::demand(Job& job, size_t most) {
+std::optional<Demand> Scheduler::demand(Job& job, size_t most) {
   Demand d;
   d.spec = &job.spec();
   const bool gang = job.spec().kind == JobKind::Gang;
@@ -125,14 +125,14 @@
   return d;
 }
 
-void LeaderCore::round(Seconds now) {
+void Scheduler::round(Seconds now) {
   ++work_.rounds;
   unplaced_.clear();
   count_usage();
   victims_.reset();
   auto slots = picture(now, false);
   for (Job* job : waiting(now)) {
-    const size_t left = std::min(quota_left(*job), numbers_.attempts_left());
+    const size_t left = std::min(quota_left(*job), token_allocator_.attempts_left());
     auto d = left > 0 ? demand(*job, left) : std::nullopt;
     if (!d) continue;
     if (d->image_first && !at_fault(*job)) place_warm(*job, *d, slots, now);
@@ -154,15 +154,16 @@
   guaranteed_.clear();
 }
 
-void LeaderCore::start_placed(Job& job, const std::vector<Placed>& placed,
-                              const std::vector<Slot>& slots, Seconds now) {
+void Scheduler::start_placed(Job& job, const std::vector<Placed>& placed,
+                             const std::vector<Slot>& slots, Seconds now) {
   if (placed.empty()) return;
   const bool gang = job.spec().kind == JobKind::Gang;
-  if (gang) job.gang_attempt = numbers_.new_attempt();
+  if (gang) job.gang_attempt = token_allocator_.new_attempt();
   job.want_started = true;
   for (const auto& p : placed) {
     Machine& m = machines_.at(slots[p.slot].machine);
-    const RunKey key{{job.spec().id, p.task}, gang ? job.gang_attempt : numbers_.new_attempt()};
+    const RunKey key{{job.spec().id, p.task},
+                     gang ? job.gang_attempt : token_allocator_.new_attempt()};
     spdlog::debug("{}/{} try {} placed on {}", key.task.job, key.task.task, key.attempt, m.info.id);
     Run& run = m.runs[key];
     run.placed_at = now;
--- a/src/dispatch/leader_core.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -1,5 +1,5 @@
 // What a tick does and in which order, and lookups that all parts of the leader use.
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 #include <spdlog/spdlog.h>
 
@@ -11,43 +11,43 @@
 
 }  // namespace
 
-LeaderCore::LeaderCore(const Settings& settings, uint64_t term, Seconds now, Seconds fence,
-                       Seconds wall_offset)
+Scheduler::Scheduler(const Settings& settings, uint64_t term, Seconds now,
+                     Seconds previous_leader_fenced_at, Seconds wall_offset)
     : settings_(settings),
       term_(term),
-      took_over_at_(now),
-      fence_(fence),
+      failover_at_(now),
+      previous_leader_fenced_at_(previous_leader_fenced_at),
       wall_offset_(wall_offset),
       last_event_(now),
       listening_since_(now),
       delegations_(term, settings.delegation_after_s()),
-      numbers_(term),
+      token_allocator_(term),
       rental_requests_(term) {}
 
 /// Ends whatever was ordered under the token before, however late it arrives.
-void LeaderCore::raise_token(Machine& m) {
+void Scheduler::raise_token(Machine& m) {
   ++m.counter;
   m.token_confirmed = false;
-  numbers_.note_use(m.counter);
+  token_allocator_.record_use(m.counter);
 }
 
-const Job* LeaderCore::find_job(const std::string& id) const {
+const Job* Scheduler::find_job(const std::string& id) const {
   const auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-Job* LeaderCore::find_job(const std::string& id) {
+Job* Scheduler::find_job(const std::string& id) {
   const auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-const MachineType* LeaderCore::type(const std::string& name) const {
+const MachineType* Scheduler::type(const std::string& name) const {
   for (const auto& t : types_)
     if (t.name == name) return &t;
   return nullptr;
 }
 
-std::unordered_map<std::string, uint32_t> LeaderCore::running_counts() const {
+std::unordered_map<std::string, uint32_t> Scheduler::running_counts() const {
   std::unordered_map<std::string, uint32_t> out;
   for (const auto& [id, m] : machines_) {
     const std::string* job = nullptr;  // runs are in the order of their jobs: one look a job
@@ -64,17 +64,17 @@
   return out;
 }
 
-void LeaderCore::fenced(Seconds now) {
-  if (fenced_ || now >= fence_) return;
-  fenced_ = true;
-  fence_ = now;
+void Scheduler::on_previous_leader_fenced(Seconds now) {
+  if (previous_leader_fenced_ || now >= previous_leader_fenced_at_) return;
+  previous_leader_fenced_ = true;
+  previous_leader_fenced_at_ = now;
   spdlog::info("no earlier leader answers any more");
 }
 
 /// Called with every event. A process that stood still, or was busy for long, has heard nobody
 /// meanwhile and must not take that for their silence; but no more than the pause itself is taken
 /// from it, or a leader with slow rounds would never find anybody silent.
-void LeaderCore::note_running(Seconds now) {
+void Scheduler::record_progress(Seconds now) {
   const Seconds pause = now - last_event_;
   last_event_ = std::max(last_event_, now);
   if (pause <= settings_.lease_s * kStoodStill) return;
@@ -85,9 +85,9 @@
   }
 }
 
-std::vector<Action> LeaderCore::tick(Seconds now) {
+std::vector<Action> Scheduler::tick(Seconds now) {
   std::vector<Action> out;
-  note_running(now);
+  record_progress(now);
   if (now >= next_round_) {
     expire(now);
     next_round_ = now + settings_.tuning.round * settings_.report_s;
--- a/src/dispatch/leader_core.h
+++ b/src/dispatch/scheduler.h
@@ -20,7 +20,7 @@
 #include "jobs/guarantees.h"
 #include "jobs/record.h"
 #include "leadership/delegation.h"
-#include "leadership/term_numbers.h"
+#include "leadership/fencing_token_allocator.h"
 #include "placement/placement.h"
 #include "provision/provision.h"
 
@@ -33,12 +33,12 @@
 /// nor before the records that tell a later leader of it are durable.
 ///
 /// Times are steady times, which never go back from one call to the next.
-class LeaderCore {
+class Scheduler {
  public:
-  /// `fence`: until when an earlier leader may have answered workers, at the latest.
-  /// `wall_offset`: the time of day less the steady time; arrivals alone are judged by it.
-  LeaderCore(const Settings& settings, uint64_t term, Seconds now, Seconds fence,
-             Seconds wall_offset = 0);
+  /// `previous_leader_fenced_at`: until when an earlier leader may have answered workers, at the
+  /// latest. `wall_offset`: the time of day less the steady time; arrivals alone are judged by it.
+  Scheduler(const Settings& settings, uint64_t term, Seconds now, Seconds previous_leader_fenced_at,
+            Seconds wall_offset = 0);
 
   // Records: called as the node follows the state service.
 
@@ -77,7 +77,7 @@
   /// There was no socket for the probe: nothing is known of the machine, and it is asked again.
   void not_probed(const std::string& id);
   /// No earlier leader can answer a worker any more.
-  void fenced(Seconds now);
+  void on_previous_leader_fenced(Seconds now);
   /// Nodes that answer workers of their zone in this leader's place while they can't hear it.
   Delegations& delegations() { return delegations_; }
 
@@ -106,7 +106,7 @@
 
   /// Whether this term has few numbers left for attempts or for a machine's tokens. They are never
   /// used twice, and those past the end are a later leader's: the node is to get a new term.
-  bool term_nearly_used_up() const { return numbers_.nearly_used_up(); }
+  bool term_nearly_exhausted() const { return token_allocator_.nearly_exhausted(); }
 
   /// What rounds cost, in things done: grows with what happens, not with who waits.
   struct Work {
@@ -128,11 +128,11 @@
 
  private:
   // leader_core.cpp
-  uint64_t token(const Machine& m) const { return numbers_.with_term(m.counter); }
+  uint64_t token(const Machine& m) const { return token_allocator_.with_term(m.counter); }
   const Job* find_job(const std::string& id) const;
   Job* find_job(const std::string& id);
   const MachineType* type(const std::string& name) const;
-  void note_running(Seconds now);
+  void record_progress(Seconds now);
   void raise_token(Machine& m);
 
   // record_writes.cpp
@@ -289,15 +289,16 @@
 
   const Settings& settings_;
   uint64_t term_;
-  Seconds took_over_at_;  ///< when this leader took over
-  Seconds fence_;         ///< until then earlier leaders may have answered workers
-  bool fenced_ = false;   ///< none of them answers any more, which was learnt before the fence
-  Seconds wall_offset_;   ///< the time of day less the steady time
-  Seconds last_event_;    ///< when this leader was last told anything, or had a tick
+  Seconds failover_at_;                ///< when this leader took over
+  Seconds previous_leader_fenced_at_;  ///< until then earlier leaders may have answered workers
+  bool previous_leader_fenced_ =
+      false;             ///< none of them answers any more, which was learnt before the fence
+  Seconds wall_offset_;  ///< the time of day less the steady time
+  Seconds last_event_;   ///< when this leader was last told anything, or had a tick
   Seconds
       listening_since_;  ///< the takeover, later by all pauses since: nobody is silent for longer
   Delegations delegations_;
-  TermNumbers numbers_;
+  FencingTokenAllocator token_allocator_;
   size_t unaccounted_ = 0;  ///< machines of the takeover that have not told what they have
   std::unordered_map<std::string, Job> jobs_;
   DependencyGraph dependencies_;
--- a/src/dispatch/task_runs.cpp
+++ b/src/dispatch/task_runs.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -14,18 +14,18 @@
 
 }  // namespace
 
-void LeaderCore::image_held(const std::string& machine, const std::string& image, double gb) {
+void Scheduler::image_held(const std::string& machine, const std::string& image, double gb) {
   const auto m = machines_.find(machine);
   if (m != machines_.end()) mark_image_used(m->second, image, gb);
 }
 
-void LeaderCore::mark_image_used(Machine& m, const std::string& image, double gb) {
+void Scheduler::mark_image_used(Machine& m, const std::string& image, double gb) {
   const MachineType* t = type(m.info.type);
   if (!image.empty()) m.images.use(image, gb, t ? t->cache_gb * kSureCache : 0);
 }
 
 /// A task that an earlier leader started is kept, unless it should not be there.
-void LeaderCore::adopt(Machine& m, const RunKey& key, Run& run, Job& job, Seconds now) {
+void Scheduler::adopt(Machine& m, const RunKey& key, Run& run, Job& job, Seconds now) {
   const JobSpec& spec = job.spec();
   run.need = spec.need;
   run.image = spec.image;
@@ -52,7 +52,7 @@
       if (attempt < newest) request_stop_at(machine, {{key.task.job, at->first}, attempt}, now);
 }
 
-void LeaderCore::request_stop_at(const std::string& machine, const RunKey& key, Seconds now) {
+void Scheduler::request_stop_at(const std::string& machine, const RunKey& key, Seconds now) {
   const auto m = machines_.find(machine);
   if (m == machines_.end()) return;
   const auto run = m->second.runs.find(key);
@@ -61,7 +61,7 @@
   note_orders(m->second);
 }
 
-void LeaderCore::set_phase(Machine& m, const RunKey& key, Run& run, Run::Phase next, Seconds now) {
+void Scheduler::set_phase(Machine& m, const RunKey& key, Run& run, Run::Phase next, Seconds now) {
   if (run.phase == next) return;
   spdlog::debug("{}/{} try {} on {}: phase {} -> {}", key.task.job, key.task.task, key.attempt,
                 m.info.id, name(run.phase), name(next));
@@ -77,7 +77,7 @@
   }
 }
 
-void LeaderCore::handle_exit(Machine& m, const RunKey& key, Run& run, Seconds now) {
+void Scheduler::handle_exit(Machine& m, const RunKey& key, Run& run, Seconds now) {
   if (run.exit_handled) return;
   run.exit_handled = true;
   run.wanted = false;
@@ -104,12 +104,12 @@
   stop_gang_of(key.task, now);
 }
 
-void LeaderCore::add_presence(Machine& m, const RunKey& key) {
+void Scheduler::add_presence(Machine& m, const RunKey& key) {
   if (Job* job = find_job(key.task.job))
     job->placements[key.task.task].insert({m.info.id, key.attempt});
 }
 
-void LeaderCore::drop_presence(Machine& m, const RunKey& key) {
+void Scheduler::drop_presence(Machine& m, const RunKey& key) {
   Job* job = find_job(key.task.job);
   if (!job) return;
   const auto it = job->placements.find(key.task.task);
@@ -119,23 +119,23 @@
   if (job->placements.empty()) job->gang_attempt = 0;
 }
 
-void LeaderCore::remove_run(Machine& m, const RunKey& key) {
+void Scheduler::remove_run(Machine& m, const RunKey& key) {
   const auto it = m.runs.find(key);
   if (it == m.runs.end()) return;
   if (it->second.present()) drop_presence(m, key);
   m.runs.erase(it);
 }
 
-void LeaderCore::remove_all_runs(Machine& m) {
+void Scheduler::remove_all_runs(Machine& m) {
   while (!m.runs.empty()) {
     const RunKey key = m.runs.begin()->first;
     const bool present = m.runs.begin()->second.present();
     remove_run(m, key);
-    if (present) stop_gang_of(key.task, took_over_at_);
+    if (present) stop_gang_of(key.task, failover_at_);
   }
 }
 
-void LeaderCore::request_stop(Run& run, bool graceful, Seconds now) {
+void Scheduler::request_stop(Run& run, bool graceful, Seconds now) {
   if (!run.wanted && run.stop_since) {
     run.graceful = run.graceful && graceful;
     return;
@@ -145,7 +145,7 @@
   run.stop_since = now;
 }
 
-void LeaderCore::stop_job(Job& job, bool graceful, Seconds now) {
+void Scheduler::stop_job(Job& job, bool graceful, Seconds now) {
   const auto places = job.placements;
   for (const auto& [task, where] : places)
     for (const auto& [machine, attempt] : where) {
@@ -163,7 +163,7 @@
 }
 
 /// A gang that lost a member starts again whole: the rest is stopped.
-void LeaderCore::stop_gang_of(const TaskKey& key, Seconds now) {
+void Scheduler::stop_gang_of(const TaskKey& key, Seconds now) {
   Job* job = find_job(key.job);
   if (job && job->spec().kind == JobKind::Gang && job->spec().tasks > 1 && !job->complete())
     stop_job(*job, false, now);
--- a/src/dispatch/waiting_jobs.cpp
+++ b/src/dispatch/waiting_jobs.cpp
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-void LeaderCore::count_usage() {
+void Scheduler::count_usage() {
   used_.clear();
   for (const auto& [id, job] : jobs_) {
     size_t n = 0;
@@ -65,7 +65,7 @@
 }
 
 /// Whether tasks of the job may be on machines that nobody has accounted for since the takeover.
-bool LeaderCore::missing_in_doubt(const Job& job) const {
+bool Scheduler::missing_in_doubt(const Job& job) const {
   if (!job.stored.started || all_accounted()) return false;
   if (!job.stored.hosts) return true;
   return std::any_of(job.stored.hosts->begin(), job.stored.hosts->end(), [this](const auto& id) {
@@ -74,7 +74,7 @@
   });
 }
 
-size_t LeaderCore::quota_left(const Job& job) const {
+size_t Scheduler::quota_left(const Job& job) const {
   const TeamSettings* team = settings_.team(job.spec().team);
   if (!team) return 0;
   const auto it = used_.find(team->name);
@@ -88,7 +88,7 @@
 }
 
 /// Whether a round may start anything of the job.
-bool LeaderCore::may_be_placed(Job& job, Seconds now) {
+bool Scheduler::may_be_placed(Job& job, Seconds now) {
   if (!job.runnable() || !ready(job) || now < job.retry_at || missing_in_doubt(job)) return false;
   if (!job.start_recordable()) return false;
   count_arrival(job);
@@ -101,7 +101,7 @@
 }
 
 /// The jobs that a round may place something of, in the order of their ranks.
-std::vector<Job*> LeaderCore::waiting(Seconds now) {
+std::vector<Job*> Scheduler::waiting(Seconds now) {
   std::vector<Job*> jobs;
   for (auto& [id, job] : jobs_)
     if (may_be_placed(job, now)) jobs.push_back(&job);
@@ -120,7 +120,7 @@
 }
 
 /// Finds the jobs within guarantees, if any of those that wait could be one of them.
-void LeaderCore::find_guaranteed(const std::vector<Job*>& waiting) {
+void Scheduler::find_guaranteed(const std::vector<Job*>& waiting) {
   guaranteed_.clear();
   JobIds teams;
   for (const auto& team : settings_.teams)
--- a/src/leadership/term_numbers.h
+++ b/src/leadership/fencing_token_allocator.h
@@ -8,28 +8,28 @@
 
 /// Hands out what carries a leader's term in its upper part: attempts and workers' tokens. None is
 /// ever handed out twice, by this leader or a later one, so the numbers of a term can run out: a
-/// large fleet starts a million tasks in days. Owned by LeaderCore.
-class TermNumbers {
+/// large fleet starts a million tasks in days. Owned by Scheduler.
+class FencingTokenAllocator {
  public:
-  explicit TermNumbers(uint64_t term) : term_(term) {}
+  explicit FencingTokenAllocator(uint64_t term) : term_(term) {}
 
   /// Only while `attempts_left`.
   uint64_t new_attempt() {
     const uint64_t number = next_attempt_++;
-    note_use(number);
+    record_use(number);
     return with_term(number);
   }
   size_t attempts_left() const { return kTokenCounterEnd - next_attempt_; }
 
   uint64_t with_term(uint64_t number) const { return (term_ << kTokenCounterBits) | number; }
   /// A number is in use, of an attempt or of a worker's token.
-  void note_use(uint64_t number) {
+  void record_use(uint64_t number) {
     if (static_cast<double>(number) > kNearly * static_cast<double>(kTokenCounterEnd))
-      nearly_used_up_ = true;
+      nearly_exhausted_ = true;
   }
 
   /// Few numbers are left: the node should get a new term.
-  bool nearly_used_up() const { return nearly_used_up_; }
+  bool nearly_exhausted() const { return nearly_exhausted_; }
 
  private:
   /// The part of the numbers after which few are left. The rest is for what is started until the
@@ -38,7 +38,7 @@
 
   uint64_t term_;
   uint64_t next_attempt_ = 1;
-  bool nearly_used_up_ = false;
+  bool nearly_exhausted_ = false;
 };
 
 }  // namespace sumacquay
--- a/src/leadership/leadership.cpp
+++ b/src/leadership/leader_election.cpp
@@ -1,25 +1,25 @@
-#include "leadership/leadership.h"
+#include "leadership/leader_election.h"
 
 #include <algorithm>
 #include <limits>
 
 namespace sumacquay {
 
-const char* name(Leadership::State state) {
+const char* name(LeaderElection::State state) {
   switch (state) {
-    case Leadership::State::Follower:
+    case LeaderElection::State::Follower:
       return "follower";
-    case Leadership::State::Campaigning:
+    case LeaderElection::State::Campaigning:
       return "campaigning";
-    case Leadership::State::Leading:
+    case LeaderElection::State::Leading:
       return "leading";
-    case Leadership::State::Expired:
+    case LeaderElection::State::Expired:
       return "expired";
   }
   return "?";
 }
 
-void Leadership::enter(State next) {
+void LeaderElection::enter(State next) {
   if (next == state_) return;
   const State from = state_;
   state_ = next;
@@ -31,7 +31,7 @@
   effects_.changed(from, next);
 }
 
-void Leadership::tick(Seconds now, bool loaded, bool leader_known, double jitter) {
+void LeaderElection::tick(Seconds now, bool loaded, bool leader_known, double jitter) {
   switch (state_) {
     case State::Follower:
       if (!loaded || leader_known || now < rest_until_) {
@@ -61,7 +61,7 @@
   effects_.renew(lease_);
 }
 
-Seconds Leadership::due_at(Seconds now) const {
+Seconds LeaderElection::due_at(Seconds now) const {
   constexpr Seconds kNever = std::numeric_limits<Seconds>::max();
   const Seconds renewal = renewing_ ? kNever : next_renew_;
   switch (state_) {
@@ -78,8 +78,8 @@
   return kNever;
 }
 
-void Leadership::granted(Seconds now, Campaign campaign, std::optional<uint64_t> lease,
-                         Seconds asked_at) {
+void LeaderElection::granted(Seconds now, Campaign campaign, std::optional<uint64_t> lease,
+                             Seconds asked_at) {
   if (state_ != State::Campaigning || campaign != campaign_) return;
   if (!lease) return enter(State::Follower);
   lease_ = *lease;
@@ -88,7 +88,7 @@
   effects_.elect(campaign_, lease_);
 }
 
-void Leadership::elected(Seconds now, Campaign campaign, bool won, uint64_t term) {
+void LeaderElection::elected(Seconds now, Campaign campaign, bool won, uint64_t term) {
   if (state_ != State::Campaigning || campaign != campaign_) return;
   if (!won || term < highest_) return enter(State::Follower);
   term_ = highest_ = term;
@@ -99,7 +99,8 @@
   enter(State::Leading);
 }
 
-void Leadership::renewed(Seconds now, uint64_t lease, Seconds sent_at, bool answered, bool ended) {
+void LeaderElection::renewed(Seconds now, uint64_t lease, Seconds sent_at, bool answered,
+                             bool ended) {
   if (lease != lease_) return;
   renewing_ = false;
   if (state_ != State::Leading && state_ != State::Expired) return;
@@ -112,13 +113,13 @@
   if (state_ == State::Expired && now < valid_until_) enter(State::Leading);
 }
 
-void Leadership::resign(Seconds now, Seconds rest) {
+void LeaderElection::resign(Seconds now, Seconds rest) {
   if (state_ != State::Leading && state_ != State::Expired) return;
   rest_until_ = now + rest;
   enter(State::Follower);
 }
 
-void Leadership::saw_term(Seconds /*now*/, uint64_t term) {
+void LeaderElection::observe_term(Seconds /*now*/, uint64_t term) {
   highest_ = std::max(highest_, term);
   if ((state_ == State::Leading || state_ == State::Expired) && term > term_)
     enter(State::Follower);
--- a/src/leadership/leadership.h
+++ b/src/leadership/leader_election.h
@@ -11,7 +11,7 @@
 
 /// Who leads: a state machine over a lease in the state service. Does no I/O itself; time is the
 /// steady clock's. Every leader has a term of its own, and each term is higher than the one before.
-class Leadership {
+class LeaderElection {
  public:
   enum class State {
     Follower,     ///< somebody else leads, or nobody is known to
@@ -38,7 +38,7 @@
     std::function<void(State from, State to)> changed;
   };
 
-  Leadership(Config config, Effects effects) : config_(config), effects_(std::move(effects)) {}
+  LeaderElection(Config config, Effects effects) : config_(config), effects_(std::move(effects)) {}
 
   /// When `tick` has something to do next, unless an event or a change of the records comes before.
   Seconds due_at(Seconds now) const;
@@ -50,7 +50,7 @@
   /// Gives the office up, and leaves it to others for a while: this node can't do its work.
   void resign(Seconds now, Seconds rest);
   /// Somebody leads with this term: a peer, a worker or a record says so.
-  void saw_term(Seconds now, uint64_t term);
+  void observe_term(Seconds now, uint64_t term);
 
   State state() const { return state_; }
   uint64_t term() const { return term_; }
@@ -80,6 +80,6 @@
   Campaign campaign_ = 0;
 };
 
-const char* name(Leadership::State state);
+const char* name(LeaderElection::State state);
 
 }  // namespace sumacquay
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -21,12 +21,13 @@
 }  // namespace
 
 ActionExecutor::ActionExecutor(asio::io_context& io, const Settings& settings, size_t most_workers,
-                               HttpClient& cloud, Leadership& leadership, ActiveCore& core)
+                               HttpClient& cloud, LeaderElection& election,
+                               ActiveScheduler& scheduler)
     : io_(io),
       settings_(settings),
       cloud_(cloud),
-      leadership_(leadership),
-      core_(core),
+      election_(election),
+      scheduler_(scheduler),
       workers_(io, most_workers) {}
 
 void ActionExecutor::stop() {
@@ -47,7 +48,7 @@
 std::optional<WorkerReport> ActionExecutor::take_report(const HttpResult& result) {
   if (!result.ok() && !(result.answered && result.status == kStatusConflict)) return std::nullopt;
   auto report = wire::parse_report(result.body);
-  if (report) leadership_.saw_term(steady_now(), term_of_token(report->token));
+  if (report) election_.observe_term(steady_now(), term_of_token(report->token));
   return report;
 }
 
@@ -56,11 +57,11 @@
   send_waiting();
 }
 
-/// The core takes it for an order that may still be executed, which is safe and slower.
+/// The scheduler takes it for an order that may still be executed, which is safe and slower.
 void ActionExecutor::give_up(const SendOrders& order) {
-  asio::post(io_, [this, machine = order.machine, generation = core_.generation()] {
-    if (LeaderCore* core = core_.get(generation))
-      core->orders_done(machine, std::nullopt, false, steady_now());
+  asio::post(io_, [this, machine = order.machine, generation = scheduler_.generation()] {
+    if (Scheduler* scheduler = scheduler_.get(generation))
+      scheduler->orders_done(machine, std::nullopt, false, steady_now());
   });
 }
 
@@ -68,13 +69,13 @@
   client->request("POST", wire::path::kOrders,
                   wire::orders_body(order.token, order.session, order.commands), order_deadline(),
                   [this, client, machine = order.machine,
-                   generation = core_.generation()](const HttpResult& result) {
-                    if (!core_.get(generation)) return;
+                   generation = scheduler_.generation()](const HttpResult& result) {
+                    if (!scheduler_.get(generation)) return;
                     const auto report = take_report(result);
-                    // The core that sent the orders hears of them, also if the report's term has
-                    // just made this node step down: it is released later, by a posted handler.
-                    if (core_)
-                      core_->orders_done(machine, report, result.ok() && report, steady_now());
+                    // The scheduler that sent the orders hears of them, also if the report's term
+                    // has just made this node step down: it is released later, by a posted handler.
+                    if (scheduler_)
+                      scheduler_->orders_done(machine, report, result.ok() && report, steady_now());
                     send_waiting();
                   });
 }
@@ -84,7 +85,7 @@
 void ActionExecutor::send_waiting() {
   while (!waiting_.empty()) {
     const Seconds now = steady_now();
-    const bool in_time = leadership_.may_act(now) && now < waiting_.front().until;
+    const bool in_time = election_.may_act(now) && now < waiting_.front().until;
     const auto client = in_time ? workers_.find_or_open(waiting_.front().order.addr) : nullptr;
     if (in_time && !client && workers_.all_busy()) return;
     const SendOrders order = std::move(waiting_.front().order);
@@ -98,14 +99,14 @@
 
 void ActionExecutor::perform(const Probe& probe) {
   const auto client = workers_.find_or_open(probe.addr);
-  if (!client) return core_->not_probed(probe.machine);
+  if (!client) return scheduler_->not_probed(probe.machine);
   client->request("POST", wire::path::kOrders, wire::orders_body(probe.token, probe.session, {}),
                   settings_.lease_s * kProbeDeadlineLeaseShare,
                   [this, client, machine = probe.machine,
-                   generation = core_.generation()](const HttpResult& result) {
-                    if (!core_.get(generation)) return;
+                   generation = scheduler_.generation()](const HttpResult& result) {
+                    if (!scheduler_.get(generation)) return;
                     const auto report = take_report(result);
-                    if (core_) core_->probed(machine, report, steady_now());
+                    if (scheduler_) scheduler_->probed(machine, report, steady_now());
                     send_waiting();
                   });
 }
@@ -114,20 +115,20 @@
   cloud_.request("POST", wire::path::kMachines,
                  wire::rent_body(rent.request, rent.type, rent.zone, rent.spot, rent.count),
                  settings_.lease_s * kCloudDeadlineLeaseShare,
-                 [this, rent, generation = core_.generation()](const HttpResult& result) {
-                   LeaderCore* core = core_.get(generation);
-                   if (!core) return;
+                 [this, rent, generation = scheduler_.generation()](const HttpResult& result) {
+                   Scheduler* scheduler = scheduler_.get(generation);
+                   if (!scheduler) return;
                    const RentResult rented = read_rent_answer(result);
-                   core->rent_done(rent, rented.outcome, rented.machines, steady_now());
+                   scheduler->rent_done(rent, rented.outcome, rented.machines, steady_now());
                  });
 }
 
 void ActionExecutor::perform(const Release& release) {
   cloud_.request("POST", wire::path::kRelease, wire::release_body(release.machines),
                  settings_.lease_s * kCloudDeadlineLeaseShare,
-                 [this, release, generation = core_.generation()](const HttpResult& result) {
-                   if (LeaderCore* core = core_.get(generation))
-                     core->release_done(release, result.ok(), steady_now());
+                 [this, release, generation = scheduler_.generation()](const HttpResult& result) {
+                   if (Scheduler* scheduler = scheduler_.get(generation))
+                     scheduler->release_done(release, result.ok(), steady_now());
                  });
 }
 
@@ -135,13 +136,13 @@
   RentResult rented;
   if (result.ok()) {
     if (auto machines = wire::parse_rented(result.body)) {
-      rented.outcome = LeaderCore::RentOutcome::Rented;
+      rented.outcome = Scheduler::RentOutcome::Rented;
       rented.machines = std::move(*machines);
     }
     return rented;
   }
   const bool refused = result.status == kStatusUnavailable || result.status == kStatusBadRequest;
-  if (result.answered && refused) rented.outcome = LeaderCore::RentOutcome::Refused;
+  if (result.answered && refused) rented.outcome = Scheduler::RentOutcome::Refused;
   return rented;
 }
 
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -5,27 +5,27 @@
 
 #include "config/settings.h"
 #include "dispatch/actions.h"
-#include "dispatch/leader_core.h"
-#include "leadership/leadership.h"
+#include "dispatch/scheduler.h"
+#include "leadership/leader_election.h"
 #include "net/http.h"
-#include "node/active_core.h"
+#include "node/active_scheduler.h"
 #include "node/worker_clients.h"
 
 namespace sumacquay {
 
 /// Carries out what the leader decides: orders and probes go to workers, rents and releases to the
-/// cloud. Called by the node after each tick of the core.
+/// cloud. Called by the node after each tick of the scheduler.
 ///
-/// Guarantees that the core hears the outcome of every action, unless this node has stepped down
-/// since; never from inside `perform`, but for a probe that found no client. A term in a worker's
-/// answer is passed on before the outcome, and may make this node step down. With more machines
-/// than connections for orders, an order waits for a connection; it is sent only while this node
-/// leads.
+/// Guarantees that the scheduler hears the outcome of every action, unless this node has stepped
+/// down since; never from inside `perform`, but for a probe that found no client. A term in a
+/// worker's answer is passed on before the outcome, and may make this node step down. With more
+/// machines than connections for orders, an order waits for a connection; it is sent only while
+/// this node leads.
 class ActionExecutor {
  public:
   /// `most_workers`: connections to workers at once.
   ActionExecutor(asio::io_context& io, const Settings& settings, size_t most_workers,
-                 HttpClient& cloud, Leadership& leadership, ActiveCore& core);
+                 HttpClient& cloud, LeaderElection& election, ActiveScheduler& scheduler);
   void perform(const Action& action);
   /// This node no longer leads: its connections to workers are closed.
   void stop();
@@ -50,15 +50,15 @@
   asio::io_context& io_;
   const Settings& settings_;
   HttpClient& cloud_;
-  Leadership& leadership_;
-  ActiveCore& core_;
+  LeaderElection& election_;
+  ActiveScheduler& scheduler_;
   WorkerClients workers_;
-  std::deque<WaitingOrder> waiting_;  ///< one a machine at most: the core sends one at a time
+  std::deque<WaitingOrder> waiting_;  ///< one a machine at most: the scheduler sends one at a time
 };
 
 /// What the cloud's answer to a rent says. Without one it may still be carried out.
 struct RentResult {
-  LeaderCore::RentOutcome outcome = LeaderCore::RentOutcome::Unknown;
+  Scheduler::RentOutcome outcome = Scheduler::RentOutcome::Unknown;
   std::vector<std::string> machines;
 };
 RentResult read_rent_answer(const HttpResult& result);
--- a/src/node/election.cpp
+++ b/src/node/election_driver.cpp
@@ -1,4 +1,4 @@
-#include "node/election.h"
+#include "node/election_driver.h"
 
 #include "node/steady_time.h"
 
@@ -10,8 +10,8 @@
 /// How long a node that resigned leaves the lead to others / the leader's lease.
 constexpr double kRestLeases = 2;
 
-Leadership::Config config(const Settings& settings) {
-  Leadership::Config config;
+LeaderElection::Config config(const Settings& settings) {
+  LeaderElection::Config config;
   config.lease = settings.leader_lease_s();
   config.renew = settings.renew_s();
   config.grace = settings.answers_s();
@@ -20,57 +20,59 @@
 
 }  // namespace
 
-Election::Election(asio::io_context& io, const Settings& settings, uint64_t process,
-                   StoreClient& store, Mirror& mirror,
-                   std::function<void(Leadership::State, Leadership::State)> changed)
+ElectionDriver::ElectionDriver(
+    asio::io_context& io, const Settings& settings, uint64_t process, StoreClient& store,
+    Mirror& mirror, std::function<void(LeaderElection::State, LeaderElection::State)> changed)
     : io_(io),
       settings_(settings),
       process_(process),
       store_(store),
       mirror_(mirror),
-      leadership_(config(settings), effects(std::move(changed))) {}
+      election_(config(settings), effects(std::move(changed))) {}
 
-Leadership::Effects Election::effects(
-    std::function<void(Leadership::State, Leadership::State)> changed) {
-  Leadership::Effects effects;
-  effects.grant = [this](Leadership::Campaign campaign, Seconds duration) {
+LeaderElection::Effects ElectionDriver::effects(
+    std::function<void(LeaderElection::State, LeaderElection::State)> changed) {
+  LeaderElection::Effects effects;
+  effects.grant = [this](LeaderElection::Campaign campaign, Seconds duration) {
     grant(campaign, duration);
   };
-  effects.elect = [this](Leadership::Campaign campaign, uint64_t lease) { elect(campaign, lease); };
+  effects.elect = [this](LeaderElection::Campaign campaign, uint64_t lease) {
+    elect(campaign, lease);
+  };
   effects.renew = [this](uint64_t lease) { renew(lease); };
   effects.changed = std::move(changed);
   return effects;
 }
 
-void Election::tick(double jitter) {
+void ElectionDriver::tick(double jitter) {
   keep_records_known();
-  leadership_.tick(steady_now(), mirror_.loaded(), mirror_.leader().version != 0, jitter);
+  election_.tick(steady_now(), mirror_.loaded(), mirror_.leader().version != 0, jitter);
 }
 
-Seconds Election::due_at() const {
+Seconds ElectionDriver::due_at() const {
   const Seconds records_due = to_seconds(mirror_.known_at()) + settings_.renew_s();
-  const Seconds leadership_due = leadership_.due_at(steady_now());
-  return reading_records_ ? leadership_due : std::min(leadership_due, records_due);
+  const Seconds election_due = election_.due_at(steady_now());
+  return reading_records_ ? election_due : std::min(election_due, records_due);
 }
 
 /// Where little is written the watch says nothing for long, and nobody can tell silence from a cut.
-void Election::keep_records_known() {
+void ElectionDriver::keep_records_known() {
   const Seconds known_at = to_seconds(mirror_.known_at());
-  leadership_.records_known(known_at);
+  election_.records_known(known_at);
   if (reading_records_ || steady_now() - known_at < settings_.renew_s()) return;
   reading_records_ = true;
   mirror_.read_barrier([this](bool) { reading_records_ = false; });
 }
 
-void Election::grant(Leadership::Campaign campaign, Seconds duration) {
+void ElectionDriver::grant(LeaderElection::Campaign campaign, Seconds duration) {
   const Seconds asked_at = steady_now();
   store_.grant(duration, [this, campaign, asked_at](std::optional<uint64_t> lease) {
-    leadership_.granted(steady_now(), campaign, lease, asked_at);
+    election_.granted(steady_now(), campaign, lease, asked_at);
   });
 }
 
-void Election::elect(Leadership::Campaign campaign, uint64_t lease) {
-  const uint64_t term = std::max(mirror_.term().value.term, leadership_.highest_term()) + 1;
+void ElectionDriver::elect(LeaderElection::Campaign campaign, uint64_t lease) {
+  const uint64_t term = std::max(mirror_.term().value.term, election_.highest_term()) + 1;
   const wire::LeaderRecord record{settings_.node, process_, term, lease};
   const std::string value = wire::encode_leader(record);
   const Seconds lease_end = steady_now() + settings_.leader_lease_s();
@@ -85,18 +87,18 @@
 }
 
 /// The lease is ended at once, so that a transaction that is still on its way can't win.
-void Election::lose(Leadership::Campaign campaign, uint64_t lease) {
+void ElectionDriver::lose(LeaderElection::Campaign campaign, uint64_t lease) {
   store_.revoke(lease, [](const HttpResult&) {});
   mirror_.read_barrier(
-      [this, campaign](bool) { leadership_.elected(steady_now(), campaign, false, 0); });
+      [this, campaign](bool) { election_.elected(steady_now(), campaign, false, 0); });
 }
 
 /// Reads everything that earlier leaders wrote before it acts on the records.
-void Election::read_before_leading(Leadership::Campaign campaign, uint64_t term,
-                                   Seconds lease_end) {
+void ElectionDriver::read_before_leading(LeaderElection::Campaign campaign, uint64_t term,
+                                         Seconds lease_end) {
   mirror_.read_barrier([this, campaign, term, lease_end](bool fresh) {
-    if (fresh) return leadership_.elected(steady_now(), campaign, true, term);
-    if (steady_now() > lease_end) return leadership_.elected(steady_now(), campaign, false, 0);
+    if (fresh) return election_.elected(steady_now(), campaign, true, term);
+    if (steady_now() > lease_end) return election_.elected(steady_now(), campaign, false, 0);
     auto timer = std::make_shared<asio::steady_timer>(
         io_, to_microseconds(settings_.lease_s * kReadRetryLeaseShare));
     timer->async_wait([this, timer, campaign, term, lease_end](auto) {
@@ -105,23 +107,23 @@
   });
 }
 
-void Election::renew(uint64_t lease) {
+void ElectionDriver::renew(uint64_t lease) {
   const Seconds sent_at = steady_now();
   store_.renew(lease, settings_.renew_s(), [this, lease, sent_at](StoreClient::Renewal renewal) {
-    leadership_.renewed(steady_now(), lease, sent_at, renewal == StoreClient::Renewal::Renewed,
-                        renewal == StoreClient::Renewal::Ended);
+    election_.renewed(steady_now(), lease, sent_at, renewal == StoreClient::Renewal::Renewed,
+                      renewal == StoreClient::Renewal::Ended);
   });
 }
 
-void Election::resign() {
-  const uint64_t lease = leadership_.lease();
-  leadership_.resign(steady_now(), kRestLeases * settings_.leader_lease_s());
+void ElectionDriver::resign() {
+  const uint64_t lease = election_.lease();
+  election_.resign(steady_now(), kRestLeases * settings_.leader_lease_s());
   store_.revoke(lease, [](const HttpResult&) {});
 }
 
-void Election::on_leader_record() {
+void ElectionDriver::on_leader_record() {
   const auto& leader = mirror_.leader();
-  leadership_.saw_term(steady_now(), std::max(leader.value.term, mirror_.term().value.term));
+  election_.observe_term(steady_now(), std::max(leader.value.term, mirror_.term().value.term));
   const bool of_this_node = leader.version && leader.value.node == settings_.node;
   if (!of_this_node || leader.value.nonce == process_ || earlier_lease_revoked_) return;
   // An earlier process of this node held the lease. It has ended, so nobody need wait for it.
--- a/src/node/election.h
+++ b/src/node/election_driver.h
@@ -3,26 +3,27 @@
 #include <functional>
 
 #include "config/settings.h"
-#include "leadership/leadership.h"
+#include "leadership/leader_election.h"
 #include "store/mirror.h"
 #include "store/store_client.h"
 
 namespace sumacquay {
 
-/// Connects `Leadership`, which decides, with the state service, which holds the leader's lease.
-/// Called by the node: at every tick, and when a leader's record has changed.
+/// Connects `LeaderElection`, which decides, with the state service, which holds the leader's
+/// lease. Called by the node: at every tick, and when a leader's record has changed.
 ///
 /// Guarantees that this node leads only once it has read everything that earlier leaders wrote,
 /// and that a campaign that failed can't win later: its lease is revoked.
-class Election {
+class ElectionDriver {
  public:
   /// `process` tells this process of the node from earlier ones. `changed` is called from inside
   /// calls of `leadership()` and `tick`, so it must leave what may have made them in place.
-  Election(asio::io_context& io, const Settings& settings, uint64_t process, StoreClient& store,
-           Mirror& mirror, std::function<void(Leadership::State, Leadership::State)> changed);
+  ElectionDriver(asio::io_context& io, const Settings& settings, uint64_t process,
+                 StoreClient& store, Mirror& mirror,
+                 std::function<void(LeaderElection::State, LeaderElection::State)> changed);
 
-  Leadership& leadership() { return leadership_; }
-  const Leadership& leadership() const { return leadership_; }
+  LeaderElection& election() { return election_; }
+  const LeaderElection& election() const { return election_; }
   /// `jitter`: from 0 to 1, so that nodes don't campaign all at once.
   void tick(double jitter);
   /// When the next tick is due, unless the leadership or the leader's record changes before.
@@ -32,11 +33,12 @@
   void on_leader_record();
 
  private:
-  Leadership::Effects effects(std::function<void(Leadership::State, Leadership::State)> changed);
-  void grant(Leadership::Campaign campaign, Seconds duration);
-  void elect(Leadership::Campaign campaign, uint64_t lease);
-  void read_before_leading(Leadership::Campaign campaign, uint64_t term, Seconds lease_end);
-  void lose(Leadership::Campaign campaign, uint64_t lease);
+  LeaderElection::Effects effects(
+      std::function<void(LeaderElection::State, LeaderElection::State)> changed);
+  void grant(LeaderElection::Campaign campaign, Seconds duration);
+  void elect(LeaderElection::Campaign campaign, uint64_t lease);
+  void read_before_leading(LeaderElection::Campaign campaign, uint64_t term, Seconds lease_end);
+  void lose(LeaderElection::Campaign campaign, uint64_t lease);
   void renew(uint64_t lease);
   void keep_records_known();
 
@@ -45,7 +47,7 @@
   uint64_t process_;
   StoreClient& store_;
   Mirror& mirror_;
-  Leadership leadership_;
+  LeaderElection election_;
   bool reading_records_ = false;
   bool earlier_lease_revoked_ = false;
 };
--- a/src/node/heartbeat_details.cpp
+++ b/src/node/heartbeat_details.cpp
@@ -2,16 +2,16 @@
 
 namespace sumacquay {
 
-void add_counts(const LeaderCore& core, wire::Heartbeat& heartbeat) {
-  for (const auto& [id, running] : core.running_counts()) {
-    const auto job = core.jobs().find(id);
-    if (job == core.jobs().end()) continue;
+void add_counts(const Scheduler& scheduler, wire::Heartbeat& heartbeat) {
+  for (const auto& [id, running] : scheduler.running_counts()) {
+    const auto job = scheduler.jobs().find(id);
+    if (job == scheduler.jobs().end()) continue;
     heartbeat.counts.push_back({id, job->second.done.count(), running});
   }
 }
 
-void add_hints(const LeaderCore& core, Seconds now, wire::Heartbeat& heartbeat) {
-  for (const auto& [id, machine] : core.machines()) {
+void add_hints(const Scheduler& scheduler, Seconds now, wire::Heartbeat& heartbeat) {
+  for (const auto& [id, machine] : scheduler.machines()) {
     for (const auto& [image, gb] : machine.images.kept())
       heartbeat.images.push_back({id, image, gb});
     if (machine.stage != Machine::Stage::Booting) continue;
--- a/src/node/heartbeat_details.h
+++ b/src/node/heartbeat_details.h
@@ -1,5 +1,5 @@
 #pragma once
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 #include "wire/messages.h"
 
 /// What the leader's heartbeats carry beside its status, without I/O. Called by the node as it
@@ -7,10 +7,10 @@
 namespace sumacquay {
 
 /// The counts that users are shown, and nothing of jobs whose records are gone.
-void add_counts(const LeaderCore& core, wire::Heartbeat& heartbeat);
+void add_counts(const Scheduler& scheduler, wire::Heartbeat& heartbeat);
 
 /// Hints for a successor: the images that machines hold, and the machines that were rented and not
 /// heard yet, with their ages.
-void add_hints(const LeaderCore& core, Seconds now, wire::Heartbeat& heartbeat);
+void add_hints(const Scheduler& scheduler, Seconds now, wire::Heartbeat& heartbeat);
 
 }  // namespace sumacquay
--- a/src/node/machine_list_poller.cpp
+++ b/src/node/machine_list_poller.cpp
@@ -15,11 +15,11 @@
 }  // namespace
 
 MachineListPoller::MachineListPoller(asio::io_context& io, const Settings& settings,
-                                     HttpClient& cloud, ActiveCore& core)
-    : settings_(settings), cloud_(cloud), core_(core), timer_(io) {}
+                                     HttpClient& cloud, ActiveScheduler& scheduler)
+    : settings_(settings), cloud_(cloud), scheduler_(scheduler), timer_(io) {}
 
 void MachineListPoller::start() {
-  read_page(core_.generation(), "", std::make_shared<Machines>());
+  read_page(scheduler_.generation(), "", std::make_shared<Machines>());
 }
 
 void MachineListPoller::read_page(uint64_t generation, const std::string& after,
@@ -27,14 +27,14 @@
   cloud_.request("GET", wire::machines_path(after, kMachinesPerPage), "",
                  settings_.lease_s * kDeadlineLeaseShare,
                  [this, generation, so_far](const HttpResult& result) {
-                   LeaderCore* core = core_.get(generation);
-                   if (!core) return;
+                   Scheduler* scheduler = scheduler_.get(generation);
+                   if (!scheduler) return;
                    const auto page = result.ok() ? wire::parse_machines(result.body) : std::nullopt;
                    if (page) {
                      so_far->insert(so_far->end(), page->machines.begin(), page->machines.end());
                      if (page->more && !page->machines.empty())
                        return read_page(generation, page->machines.back().id, so_far);
-                     core->listed(*so_far, steady_now());
+                     scheduler->listed(*so_far, steady_now());
                    }
                    read_again_later(generation);
                  });
@@ -43,7 +43,7 @@
 void MachineListPoller::read_again_later(uint64_t generation) {
   timer_.expires_after(to_microseconds(settings_.list_lag_s * kPauseLagShare));
   timer_.async_wait([this, generation](auto error) {
-    if (!error && generation == core_.generation()) start();
+    if (!error && generation == scheduler_.generation()) start();
   });
 }
 
--- a/src/node/machine_list_poller.h
+++ b/src/node/machine_list_poller.h
@@ -6,17 +6,17 @@
 
 #include "config/settings.h"
 #include "net/http.h"
-#include "node/active_core.h"
+#include "node/active_scheduler.h"
 
 namespace sumacquay {
 
 /// Reads the cloud's list of machines, page by page and again and again, while this node leads.
-/// Called by the node as it begins and ceases to lead. Guarantees that the core sees whole lists
-/// only, and nothing of a list that was begun in an earlier period of leading.
+/// Called by the node as it begins and ceases to lead. Guarantees that the scheduler sees whole
+/// lists only, and nothing of a list that was begun in an earlier period of leading.
 class MachineListPoller {
  public:
   MachineListPoller(asio::io_context& io, const Settings& settings, HttpClient& cloud,
-                    ActiveCore& core);
+                    ActiveScheduler& scheduler);
   void start();
   void stop() { timer_.cancel(); }
 
@@ -28,7 +28,7 @@
 
   const Settings& settings_;
   HttpClient& cloud_;
-  ActiveCore& core_;
+  ActiveScheduler& scheduler_;
   asio::steady_timer timer_;
 };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -12,7 +12,8 @@
 
 /// The pause between two ticks of the node / the placement round.
 constexpr double kTickRoundShare = 0.25;
-/// The pause after a tick of the core / what the tick took: renewals, reports and users need it.
+/// The pause after a tick of the scheduler / what the tick took: renewals, reports and users need
+/// it.
 constexpr double kPausePerTickDuration = 3;
 /// For how long an answer of the state service shows that it serves this node / the workers' lease.
 constexpr double kServedLeaseShare = 0.3;
@@ -40,18 +41,20 @@
       sockets_(socket_budget(settings)),
       store_(io, settings),
       mirror_(io, settings, store_),
-      election_(io, settings, process_, store_, mirror_,
-                [this](Leadership::State from, Leadership::State to) { on_leadership(from, to); }),
-      leadership_(election_.leadership()),
+      election_driver_(io, settings, process_, store_, mirror_,
+                       [this](LeaderElection::State from, LeaderElection::State to) {
+                         on_election_state_changed(from, to);
+                       }),
+      election_(election_driver_.election()),
       cloud_(io, settings.cloud, fixed_sockets::kCloudConnections, kCloudQueued),
       machine_types_(
           io, settings, cloud_, [this] { return random(); },
           [this] {
-            if (core_) core_->set_types(machine_types_.types());
+            if (scheduler_) scheduler_->set_types(machine_types_.types());
           }),
-      machine_list_(io, settings, cloud_, core_),
-      executor_(io, settings, sockets_.orders, cloud_, leadership_, core_),
-      record_writer_(settings, store_, mirror_, core_,
+      machine_list_(io, settings, cloud_, scheduler_),
+      executor_(io, settings, sockets_.orders, cloud_, election_, scheduler_),
+      record_writer_(settings, store_, mirror_, scheduler_,
                      [this] { asio::post(io_, [this] { on_committed(); }); }),
       delegate_(process_, settings.delegation_after_s(), settings.answers_s()),
       peers_(io, settings, settings.renew_s(), peer_hooks()),
@@ -76,7 +79,7 @@
       [this](const HttpRequest& request, const Respond& respond) { on_request(request, respond); });
   mirror_.set_listener({[this](const std::string& id) { on_job_record(id); },
                         [this] {
-                          election_.on_leader_record();
+                          election_driver_.on_leader_record();
                           request_tick();
                         }});
   mirror_.start();
@@ -93,12 +96,12 @@
   tick_requested_ = false;
   outage_log_.observe(steady_now(), served());
   connection_log_.observe(steady_now(), server_->counts());
-  election_.tick(random());
+  election_driver_.tick(random());
   if (const auto reason = reason_to_resign()) {
     spdlog::info("{}: leaves the lead to another node", *reason);
-    election_.resign();
+    election_driver_.resign();
   }
-  tick_core();
+  tick_scheduler();
   schedule_tick(tick_requested_ ? 0 : time_to_next_tick());
 }
 
@@ -119,8 +122,8 @@
 /// to do, but for no longer than between two renewals.
 Seconds Node::time_to_next_tick() const {
   const Seconds shortest = settings_.report_s * settings_.tuning.round * kTickRoundShare;
-  if (core_) return shortest;
-  return std::clamp(election_.due_at() - steady_now(), shortest,
+  if (scheduler_) return shortest;
+  return std::clamp(election_driver_.due_at() - steady_now(), shortest,
                     std::max(shortest, settings_.renew_s()));
 }
 
@@ -129,26 +132,26 @@
 /// would end. One that has used up the numbers of its term could start nothing any more.
 std::optional<std::string> Node::reason_to_resign() const {
   if (!leads_now()) return std::nullopt;
-  if (core_->term_nearly_used_up()) return "few attempts are left of its term";
-  if (!settings_.peers.empty() && core_->no_worker_reaches_us(steady_now()))
+  if (scheduler_->term_nearly_exhausted()) return "few attempts are left of its term";
+  if (!settings_.peers.empty() && scheduler_->no_worker_reaches_us(steady_now()))
     return "no worker gets through";
   return std::nullopt;
 }
 
-void Node::tick_core() {
+void Node::tick_scheduler() {
   const Seconds began = steady_now();
-  if (!leads_now() || began < next_core_tick_) return;
-  for (const auto& action : core_->tick(began)) executor_.perform(action);
+  if (!leads_now() || began < next_scheduler_tick_) return;
+  for (const auto& action : scheduler_->tick(began)) executor_.perform(action);
   if (leads_now()) record_writer_.write_wanted();
   const Seconds ended = steady_now();
-  next_core_tick_ = ended + kPausePerTickDuration * (ended - began);
+  next_scheduler_tick_ = ended + kPausePerTickDuration * (ended - began);
 }
 
 /// Records were written that starts waited for, and there is room for the next transaction.
 void Node::on_committed() {
-  if (!settings_.tuning.prompt_dispatch) return tick_core();
+  if (!settings_.tuning.prompt_dispatch) return tick_scheduler();
   if (!leads_now()) return;
-  for (const auto& action : core_->dispatch(steady_now())) executor_.perform(action);
+  for (const auto& action : scheduler_->dispatch(steady_now())) executor_.perform(action);
   if (leads_now()) record_writer_.write_wanted();
 }
 
@@ -176,10 +179,11 @@
 void Node::on_report(const HttpRequest& request, const Respond& respond) {
   const auto report = wire::parse_report(request.body);
   if (!report) return respond({400, wire::error_body("not a report"), 0});
-  leadership_.saw_term(steady_now(), term_of_token(report->token));
-  if (!core_ || !leadership_.may_answer(steady_now())) return answer_as_follower(*report, respond);
+  election_.observe_term(steady_now(), term_of_token(report->token));
+  if (!scheduler_ || !election_.may_answer(steady_now()))
+    return answer_as_follower(*report, respond);
   const Seconds now = steady_now();
-  const auto answer = core_->report(*report, leadership_.may_act(now), now);
+  const auto answer = scheduler_->report(*report, election_.may_act(now), now);
   if (!answer.fresh) return respond({503, {}, 0});
   respond({200, wire::report_answer(answer.token, answer.commands), 0});
 }
@@ -188,7 +192,7 @@
 void Node::answer_as_follower(const WorkerReport& report, const Respond& respond) {
   if (may_be_delegate(report)) {
     const auto stops = delegate_.answer(
-        report, leadership_.highest_term(), to_seconds(mirror_.known_at()),
+        report, election_.highest_term(), to_seconds(mirror_.known_at()),
         [this](const std::string& id) { return mirror_.ended(id); }, steady_now());
     if (stops) return respond({200, wire::report_answer(report.token, *stops), 0});
   }
@@ -207,84 +211,86 @@
 /// hears either, another leader may be found, and workers had better go on looking.
 bool Node::may_be_delegate(const WorkerReport& report) const {
   const Seconds served_at = to_seconds(store_.last_served());
-  return leadership_.state() == Leadership::State::Follower && report.zone == settings_.zone &&
+  return election_.state() == LeaderElection::State::Follower && report.zone == settings_.zone &&
          steady_now() - served_at > settings_.delegation_after_s();
 }
 
 // ---------------------------------------------------------------- leadership
 
-void Node::on_leadership(Leadership::State from, Leadership::State to) {
-  spdlog::info("leadership: {} -> {} (term {})", name(from), name(to), leadership_.term());
+void Node::on_election_state_changed(LeaderElection::State from, LeaderElection::State to) {
+  spdlog::info("leadership: {} -> {} (term {})", name(from), name(to), election_.term());
   request_tick();
-  if (to == Leadership::State::Follower) return step_down();
-  if (to == Leadership::State::Leading && from != Leadership::State::Expired) begin_to_lead();
+  if (to == LeaderElection::State::Follower) return stop_leading();
+  if (to == LeaderElection::State::Leading && from != LeaderElection::State::Expired)
+    start_leading();
 }
 
-void Node::step_down() {
-  // Released from inside one of its own calls the core would be destroyed while it runs.
-  asio::post(io_, [this, ended = core_.end()] { core_.release(ended); });
+void Node::stop_leading() {
+  // Released from inside one of its own calls the scheduler would be destroyed while it runs.
+  asio::post(io_, [this, ended = scheduler_.end()] { scheduler_.release(ended); });
   machine_list_.stop();
   executor_.stop();
 }
 
-void Node::begin_to_lead() {
+void Node::start_leading() {
   record_writer_.reset();
   peer_terms_.clear();
-  core_.begin(make_core());
+  scheduler_.begin(create_scheduler());
   spdlog::info("takes over {} jobs and {} machines", mirror_.live().size(), mirror_.hosts().size());
-  if (settings_.peers.empty()) core_->fenced(steady_now());
+  if (settings_.peers.empty()) scheduler_->on_previous_leader_fenced(steady_now());
   peers_.beat_now(wire::HeartbeatPart::Beat);
   machine_list_.start();
-  asio::post(io_, [this] { tick_core(); });
+  asio::post(io_, [this] { tick_scheduler(); });
 }
 
-/// A core that knows all that the records and the leader before told this node.
-std::unique_ptr<LeaderCore> Node::make_core() const {
+/// A scheduler that knows all that the records and the leader before told this node.
+std::unique_ptr<Scheduler> Node::create_scheduler() const {
   const Seconds now = steady_now();
-  const Seconds fence = now + settings_.answers_s();
+  const Seconds previous_leader_fenced_at = now + settings_.answers_s();
   const Seconds wall_offset = static_cast<double>(time_of_day_ms()) / 1000 - steady_now();
-  auto core = std::make_unique<LeaderCore>(settings_, leadership_.term(), now, fence, wall_offset);
-  core->set_types(machine_types_.types());
-  for (const auto& [id, host] : mirror_.hosts()) core->host_stored(host.value, steady_now());
+  auto scheduler = std::make_unique<Scheduler>(settings_, election_.term(), now,
+                                               previous_leader_fenced_at, wall_offset);
+  scheduler->set_types(machine_types_.types());
+  for (const auto& [id, host] : mirror_.hosts()) scheduler->host_stored(host.value, steady_now());
   for (const auto& [id, job] : mirror_.live())
-    core->job_stored(job.value, job.version, steady_now());
-  tell_finished_dependencies(*core);
+    scheduler->job_stored(job.value, job.version, steady_now());
+  tell_finished_dependencies(*scheduler);
   for (const auto& held : peers_.leader_details().images())
-    core->image_held(held.machine, held.image, held.gb);
+    scheduler->image_held(held.machine, held.image, held.gb);
   // The cloud's list is late: without this, what the leader before rented is rented once more.
-  core->listed(peers_.leader_details().booting(), steady_now());
-  return core;
+  scheduler->listed(peers_.leader_details().booting(), steady_now());
+  return scheduler;
 }
 
 // ---------------------------------------------------------------- records
 
 /// An empty id: the whole copy was loaded anew.
 void Node::on_job_record(const std::string& id) {
-  if (!core_) return;
+  if (!scheduler_) return;
   if (id.empty())
     on_all_job_records();
   else if (const auto* record = mirror_.live(id))
-    core_->job_stored(record->value, record->version, steady_now());
+    scheduler_->job_stored(record->value, record->version, steady_now());
   else
-    core_->job_finished(id);
-  tell_finished_dependencies(*core_);
-  core_->request_round();
+    scheduler_->job_finished(id);
+  tell_finished_dependencies(*scheduler_);
+  scheduler_->request_round();
 }
 
-/// The core reads no records: it is told of finished jobs as far as others depend on them.
-void Node::tell_finished_dependencies(LeaderCore& core) const {
-  const std::set<std::string> unknown = core.unknown_dependencies();
+/// The scheduler reads no records: it is told of finished jobs as far as others depend on them.
+void Node::tell_finished_dependencies(Scheduler& scheduler) const {
+  const std::set<std::string> unknown = scheduler.unknown_dependencies();
   for (const auto& id : unknown)
-    if (const auto record = mirror_.dependency_end(id)) core.dependency_finished(id, *record);
+    if (const auto record = mirror_.dependency_end(id)) scheduler.dependency_finished(id, *record);
 }
 
 void Node::on_all_job_records() {
   std::vector<std::string> finished;
-  for (const auto& [id, job] : core_->jobs())
+  for (const auto& [id, job] : scheduler_->jobs())
     if (!mirror_.live(id)) finished.push_back(id);
-  for (const auto& id : finished) core_->job_finished(id);
+  for (const auto& id : finished) scheduler_->job_finished(id);
   for (const auto& [id, job] : mirror_.live())
-    core_->job_stored(job.value, job.version, steady_now());
+    scheduler_->job_stored(job.value, job.version, steady_now());
 }
 
 // ---------------------------------------------------------------- heartbeats
@@ -302,14 +308,14 @@
   const Seconds now = steady_now();
   wire::Heartbeat heartbeat;
   heartbeat.node = settings_.node;
-  heartbeat.term = leadership_.highest_term();
-  heartbeat.leading = core_ && leadership_.may_answer(now);
+  heartbeat.term = election_.highest_term();
+  heartbeat.leading = scheduler_ && election_.may_answer(now);
   heartbeat.served = served();
   heartbeat.status = delegate_.status(now);
   if (!heartbeat.leading) return heartbeat;
   heartbeat.part = part;
-  if (part == wire::HeartbeatPart::Counts) add_counts(*core_, heartbeat);
-  if (part == wire::HeartbeatPart::Hints) add_hints(*core_, now, heartbeat);
+  if (part == wire::HeartbeatPart::Counts) add_counts(*scheduler_, heartbeat);
+  if (part == wire::HeartbeatPart::Hints) add_hints(*scheduler_, now, heartbeat);
   return heartbeat;
 }
 
@@ -321,9 +327,10 @@
 
 void Node::on_heartbeat(const wire::Heartbeat& heartbeat) {
   const Seconds now = steady_now();
-  leadership_.saw_term(now, heartbeat.term);
+  election_.observe_term(now, heartbeat.term);
   const std::string* zone = zone_of(heartbeat.node);
-  if (core_ && zone) core_->delegations().heard(heartbeat.node, *zone, heartbeat.status, now);
+  if (scheduler_ && zone)
+    scheduler_->delegations().heard(heartbeat.node, *zone, heartbeat.status, now);
 }
 
 /// Delegations go out with answers only: they count from when they were asked for.
@@ -332,8 +339,8 @@
   wire::Heartbeat answer = own_heartbeat(wire::HeartbeatPart::Beat);
   const std::string* zone = zone_of(from.node);
   if (leads_now() && zone && settings_.finds_delegate(*zone))
-    answer.delegation =
-        core_->delegations().delegate(from.node, *zone, leadership_.answers_until(), steady_now());
+    answer.delegation = scheduler_->delegations().delegate(from.node, *zone,
+                                                           election_.answers_until(), steady_now());
   return answer;
 }
 
@@ -342,11 +349,12 @@
   on_heartbeat(heartbeat);
   if (heartbeat.delegation)
     delegate_.delegated(*heartbeat.delegation, to_seconds(asked_at), steady_now());
-  if (!core_ || heartbeat.leading || heartbeat.term < leadership_.term()) return;
+  if (!scheduler_ || heartbeat.leading || heartbeat.term < election_.term()) return;
   // That node follows this term: it answers no worker under an older one. Once all do, nobody else
   // can renew a worker's lease.
   peer_terms_[node] = heartbeat.term;
-  if (peer_terms_.size() == settings_.peers.size()) core_->fenced(steady_now());
+  if (peer_terms_.size() == settings_.peers.size())
+    scheduler_->on_previous_leader_fenced(steady_now());
 }
 
 }  // namespace sumacquay
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -10,9 +10,9 @@
 #include "leadership/delegation.h"
 #include "net/http.h"
 #include "node/action_executor.h"
-#include "node/active_core.h"
+#include "node/active_scheduler.h"
 #include "node/connection_log.h"
-#include "node/election.h"
+#include "node/election_driver.h"
 #include "node/machine_list_poller.h"
 #include "node/machine_types_poller.h"
 #include "node/outage_log.h"
@@ -38,7 +38,7 @@
   void request_tick();
   void schedule_tick(Seconds delay);
   Seconds time_to_next_tick() const;
-  void tick_core();
+  void tick_scheduler();
   void on_committed();
   std::optional<std::string> reason_to_resign() const;
   // requests
@@ -50,15 +50,15 @@
   bool served() const;
   bool may_be_delegate(const WorkerReport& report) const;
   // leadership
-  void on_leadership(Leadership::State from, Leadership::State to);
-  void begin_to_lead();
-  void step_down();
-  std::unique_ptr<LeaderCore> make_core() const;
-  bool leads_now() const { return core_ && leadership_.may_act(steady_now()); }
+  void on_election_state_changed(LeaderElection::State from, LeaderElection::State to);
+  void start_leading();
+  void stop_leading();
+  std::unique_ptr<Scheduler> create_scheduler() const;
+  bool leads_now() const { return scheduler_ && election_.may_act(steady_now()); }
   // records
   void on_job_record(const std::string& id);
   void on_all_job_records();
-  void tell_finished_dependencies(LeaderCore& core) const;
+  void tell_finished_dependencies(Scheduler& scheduler) const;
   // heartbeats
   Peers::Hooks peer_hooks();
   wire::Heartbeat own_heartbeat(wire::HeartbeatPart part) const;
@@ -75,9 +75,9 @@
   SocketBudget sockets_;
   StoreClient store_;
   Mirror mirror_;
-  Election election_;
-  Leadership& leadership_;
-  ActiveCore core_;
+  ElectionDriver election_driver_;
+  LeaderElection& election_;
+  ActiveScheduler scheduler_;
   HttpClient cloud_;
   MachineTypesPoller machine_types_;
   MachineListPoller machine_list_;
@@ -91,7 +91,7 @@
   std::unique_ptr<HttpServer> server_;
   asio::steady_timer tick_timer_;
   bool tick_requested_ = false;  ///< since the last tick began
-  Seconds next_core_tick_ = 0;
+  Seconds next_scheduler_tick_ = 0;
   std::map<std::string, uint64_t> peer_terms_;  ///< of peers that follow this node's term
 };
 
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -8,10 +8,10 @@
 namespace sumacquay {
 
 RecordWriter::RecordWriter(const Settings& settings, StoreClient& store, Mirror& mirror,
-                           ActiveCore& core, std::function<void()> committed)
+                           ActiveScheduler& scheduler, std::function<void()> committed)
     : store_(store),
       mirror_(mirror),
-      core_(core),
+      scheduler_(scheduler),
       committed_(std::move(committed)),
       pacing_(settings) {}
 
@@ -19,13 +19,13 @@
   if (state_ != State::Idle || !mirror_.loaded()) return;
   if (!pacing_.may_write(steady_now())) return;
   const size_t most_changes = pacing_.most_changes(steady_now());
-  const auto writes = core_->wanted_writes(steady_now(), most_changes);
+  const auto writes = scheduler_->wanted_writes(steady_now(), most_changes);
   if (writes.empty()) return;
   const auto transaction = record_transaction(writes, mirror_.term().version);
   state_ = State::Writing;
   store_.transact(Urgency::Record, transaction.guards, encode(transaction.changes),
-                  [this, writes, generation = core_.generation()](const TxnResult& result) {
-                    if (core_.get(generation)) on_answer(writes, result);
+                  [this, writes, generation = scheduler_.generation()](const TxnResult& result) {
+                    if (scheduler_.get(generation)) on_answer(writes, result);
                   });
 }
 
@@ -37,12 +37,12 @@
   }
   if (committed)
     for (const auto& write : writes) update_copy(write, result.revision);
-  if (!core_) return;
+  if (!scheduler_) return;
   for (const auto& write : writes)
-    core_->write_done(write, committed, result.revision, steady_now());
+    scheduler_->write_done(write, committed, result.revision, steady_now());
   if (!committed) return reread(result);
   state_ = State::Idle;
-  core_->request_round();
+  scheduler_->request_round();
   committed_();
 }
 
@@ -60,8 +60,8 @@
   for (const auto& key : result.failed)
     if (key == keys::kTerm) spdlog::info("the term has changed");
   state_ = State::Rereading;
-  mirror_.read_barrier([this, generation = core_.generation()](bool) {
-    if (generation == core_.generation()) state_ = State::Idle;
+  mirror_.read_barrier([this, generation = scheduler_.generation()](bool) {
+    if (generation == scheduler_.generation()) state_ = State::Idle;
   });
 }
 
--- a/src/node/record_writer.h
+++ b/src/node/record_writer.h
@@ -3,7 +3,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "node/active_core.h"
+#include "node/active_scheduler.h"
 #include "node/write_pacing.h"
 #include "store/mirror.h"
 #include "store/store_client.h"
@@ -11,17 +11,17 @@
 namespace sumacquay {
 
 /// Writes the records that the leader wants written. Called by the node after each tick of the
-/// core.
+/// scheduler.
 ///
 /// Guarantees that one transaction at a time is under way, that what it wrote is in this node's
-/// copy of the records before the core hears of it, and that after a failure or without an answer
-/// nothing more is written before the records have been read again. No refusal is final: what was
-/// refused is wanted again, in smaller transactions (see WritePacing).
+/// copy of the records before the scheduler hears of it, and that after a failure or without an
+/// answer nothing more is written before the records have been read again. No refusal is final:
+/// what was refused is wanted again, in smaller transactions (see WritePacing).
 class RecordWriter {
  public:
   /// `committed` is called after each transaction that was carried out.
-  RecordWriter(const Settings& settings, StoreClient& store, Mirror& mirror, ActiveCore& core,
-               std::function<void()> committed);
+  RecordWriter(const Settings& settings, StoreClient& store, Mirror& mirror,
+               ActiveScheduler& scheduler, std::function<void()> committed);
   /// The caller has made sure that this node may act as the leader.
   void write_wanted();
   /// A new period of leading begins: answers to earlier writes no longer count.
@@ -39,7 +39,7 @@
 
   StoreClient& store_;
   Mirror& mirror_;
-  ActiveCore& core_;
+  ActiveScheduler& scheduler_;
   std::function<void()> committed_;
   State state_ = State::Idle;
   WritePacing pacing_;
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -111,7 +111,7 @@
   writes_.refill(elapsed_s);
 }
 
-/// Leadership never waits for the budget: a renewal that comes late costs far more than a 429.
+/// LeaderElection never waits for the budget: a renewal that comes late costs far more than a 429.
 bool StoreClient::within_budget(Urgency urgency, const Request& request) const {
   if (urgency == Urgency::Leadership) return true;
   if (!requests_.has(1, kReserve[static_cast<size_t>(urgency)])) return false;
--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -26,23 +26,23 @@
   asio::io_context io;
   Settings settings;
   HttpClient cloud{io, {"127.0.0.1", 1}, 1, 1};
-  Leadership leadership{
+  LeaderElection election{
       {600, 100, 10, 0},
-      {[](Leadership::Campaign, Seconds) {}, [](Leadership::Campaign, uint64_t) {}, [](uint64_t) {},
-       [](Leadership::State, Leadership::State) {}}};
-  ActiveCore core;
-  ActionExecutor executor{io, settings, kConnections, cloud, leadership, core};
+      {[](LeaderElection::Campaign, Seconds) {}, [](LeaderElection::Campaign, uint64_t) {},
+       [](uint64_t) {}, [](LeaderElection::State, LeaderElection::State) {}}};
+  ActiveScheduler scheduler;
+  ActionExecutor executor{io, settings, kConnections, cloud, election, scheduler};
   std::vector<std::unique_ptr<Worker>> workers;
 
   OrdersToManyWorkers() {
     settings.report_s = 2;
     settings.lease_s = 30;
     const Seconds now = steady_now();
-    leadership.tick(now, true, false, 0);
-    leadership.tick(now, true, false, 0);
-    leadership.granted(now, 1, 7, now);
-    leadership.elected(now, 1, true, kTerm);
-    core.begin(std::make_unique<LeaderCore>(settings, kTerm, now, now));
+    election.tick(now, true, false, 0);
+    election.tick(now, true, false, 0);
+    election.granted(now, 1, 7, now);
+    election.elected(now, 1, true, kTerm);
+    scheduler.begin(std::make_unique<Scheduler>(settings, kTerm, now, now));
   }
 
   void add_workers(int count) {
@@ -109,7 +109,7 @@
   add_workers(kWorkers);
   for (const auto& worker : workers) order(*worker);
   ASSERT_TRUE(run_until([&] { return asked() == kConnections; }));
-  leadership.saw_term(steady_now(), kTerm + 1);
+  election.observe_term(steady_now(), kTerm + 1);
   answer_all();
   ASSERT_TRUE(run_until([&] { return executor.waiting_orders() == 0; }));
   io.restart();
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -2,7 +2,7 @@
 // is.
 #include <gtest/gtest.h>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -17,7 +17,7 @@
 struct LargeArray : ::testing::Test {
   Settings settings;
   double now = 1000;
-  std::unique_ptr<LeaderCore> core;
+  std::unique_ptr<Scheduler> scheduler;
 
   LargeArray() {
     settings.report_s = 3;
@@ -29,8 +29,8 @@
     type.name = "g";
     type.room = {100, 0, 400};
     type.zones = {"e"};
-    core = std::make_unique<LeaderCore>(settings, kTerm, now, now);
-    core->set_types({type});
+    scheduler = std::make_unique<Scheduler>(settings, kTerm, now, now);
+    scheduler->set_types({type});
   }
 
   static JobRecord array(const std::string& id, uint32_t tasks) {
@@ -64,47 +64,47 @@
   }
 
   void report_all(uint64_t seq, TaskState state) const {
-    for (size_t i = 0; i < kMachines; ++i) core->report(report(i, seq, state), true, now);
+    for (size_t i = 0; i < kMachines; ++i) scheduler->report(report(i, seq, state), true, now);
   }
 
   void take_over() const {
     for (size_t i = 0; i < kMachines; ++i)
-      core->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
-    core->job_stored(array("job-1", kTasks), 5, now);
+      scheduler->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
+    scheduler->job_stored(array("job-1", kTasks), 5, now);
     report_all(1, TaskState::Running);
   }
 };
 
 TEST_F(LargeArray, TicksBetweenTwoRoundsLookAtNoMachineForOrdersUnlessItHasAny) {
   take_over();
-  core->tick(now);
-  const size_t before = core->work().dispatch_checks;
+  scheduler->tick(now);
+  const size_t before = scheduler->work().dispatch_checks;
   const double until_next_round = settings.tuning.round * settings.report_s;
-  for (double share = 0.2; share < 1; share += 0.2) core->tick(now + share * until_next_round);
-  ASSERT_EQ(core->work().rounds, 1u);
-  EXPECT_EQ(core->work().dispatch_checks, before);
+  for (double share = 0.2; share < 1; share += 0.2) scheduler->tick(now + share * until_next_round);
+  ASSERT_EQ(scheduler->work().rounds, 1u);
+  EXPECT_EQ(scheduler->work().dispatch_checks, before);
 }
 
 TEST_F(LargeArray, ATakeoverLooksAtEachTaskOnce) {
   take_over();
-  ASSERT_EQ(core->jobs().at("job-1").placements.size(), kTasks);
-  EXPECT_LE(core->work().adoption_checks, kTasks);
+  ASSERT_EQ(scheduler->jobs().at("job-1").placements.size(), kTasks);
+  EXPECT_LE(scheduler->work().adoption_checks, kTasks);
 }
 
 TEST_F(LargeArray, ATakeoverThatReadsTheRecordLastLooksAtEachTaskTwiceAtMost) {
   for (size_t i = 0; i < kMachines; ++i)
-    core->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
+    scheduler->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
   report_all(1, TaskState::Running);
-  core->job_stored(array("job-1", kTasks), 5, now);
-  ASSERT_EQ(core->jobs().at("job-1").placements.size(), kTasks);
-  EXPECT_LE(core->work().adoption_checks, 2 * kTasks);
+  scheduler->job_stored(array("job-1", kTasks), 5, now);
+  ASSERT_EQ(scheduler->jobs().at("job-1").placements.size(), kTasks);
+  EXPECT_LE(scheduler->work().adoption_checks, 2 * kTasks);
 }
 
 TEST_F(LargeArray, AJobThatArrivesLooksAtNoOtherJobsTasks) {
   take_over();
-  const size_t before = core->work().adoption_checks;
-  for (int i = 2; i < 50; ++i) core->job_stored(array("job-" + std::to_string(i), 1), 5, now);
-  EXPECT_EQ(core->work().adoption_checks, before);
+  const size_t before = scheduler->work().adoption_checks;
+  for (int i = 2; i < 50; ++i) scheduler->job_stored(array("job-" + std::to_string(i), 1), 5, now);
+  EXPECT_EQ(scheduler->work().adoption_checks, before);
 }
 
 }  // namespace
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "generators.h"
-#include "leadership/leadership.h"
+#include "leadership/leader_election.h"
 #include "placement/placement.h"
 #include "provision/provision.h"
 
@@ -253,7 +253,7 @@
 /// Nodes and a state service with one lease; time, delays and outages are generated.
 struct Nodes {
   struct Node {
-    std::unique_ptr<Leadership> l;
+    std::unique_ptr<LeaderElection> l;
     double skew = 1;  ///< of its steady clock
   };
   double now = 0, lease_end = -1;
@@ -270,7 +270,7 @@
   }
 };
 
-TEST(LeadershipMachine, NeverTwoThatMayActAndTermsRise) {
+TEST(LeaderElectionStateMachine, NeverTwoThatMayActAndTermsRise) {
   EXPECT_TRUE(holds(
       "leadership",
       [] {
@@ -285,7 +285,7 @@
         std::vector<uint64_t> terms;
         for (int i = 0; i < 3; ++i) {
           w.nodes.push_back({nullptr, 1 + 0.0005 * (i - 1)});
-          Leadership::Effects e;
+          LeaderElection::Effects e;
           auto self = [&w, i] { return w.nodes[i].l.get(); };
           auto clock = [&w, i] { return w.now * w.nodes[i].skew; };
           e.grant = [&, self, clock](uint64_t campaign, Seconds ttl) {
@@ -323,8 +323,9 @@
               });
             });
           };
-          e.changed = [](Leadership::State, Leadership::State) {};
-          w.nodes[i].l = std::make_unique<Leadership>(Leadership::Config{lease, 0.5, 10, 0.002}, e);
+          e.changed = [](LeaderElection::State, LeaderElection::State) {};
+          w.nodes[i].l =
+              std::make_unique<LeaderElection>(LeaderElection::Config{lease, 0.5, 10, 0.002}, e);
         }
         for (; w.now < 30; w.now += 0.01) {
           while (!w.mail.empty() && w.mail.begin()->first <= w.now) {
@@ -347,11 +348,11 @@
       100));
 }
 
-TEST(LeadershipMachine, LeavesTheLeadToOthersForAWhileOnceItResigns) {
+TEST(LeaderElectionStateMachine, LeavesTheLeadToOthersForAWhileOnceItResigns) {
   int campaigns = 0;
-  Leadership l({2, 0.5, 10, 0.002}, {[&](Leadership::Campaign, Seconds) { ++campaigns; },
-                                     [](Leadership::Campaign, uint64_t) {}, [](uint64_t) {},
-                                     [](Leadership::State, Leadership::State) {}});
+  LeaderElection l({2, 0.5, 10, 0.002}, {[&](LeaderElection::Campaign, Seconds) { ++campaigns; },
+                                         [](LeaderElection::Campaign, uint64_t) {}, [](uint64_t) {},
+                                         [](LeaderElection::State, LeaderElection::State) {}});
   l.tick(0, true, false, 0);
   l.tick(0.1, true, false, 0);
   l.granted(0.2, 1, 7, 0.1);
@@ -370,26 +371,30 @@
 /// A machine with what the records show it and what it has asked for.
 struct TickedMachine {
   std::vector<std::string> log;
-  Leadership::Campaign campaign = 0;
-  Leadership machine{{2, 0.5, 3, 0.002}, effects()};
+  LeaderElection::Campaign campaign = 0;
+  LeaderElection machine{{2, 0.5, 3, 0.002}, effects()};
 
-  Leadership::Effects effects() {
-    Leadership::Effects e;
-    e.grant = [this](Leadership::Campaign c, Seconds) { campaign = c, log.emplace_back("grant"); };
-    e.elect = [this](Leadership::Campaign, uint64_t) { log.emplace_back("elect"); };
+  LeaderElection::Effects effects() {
+    LeaderElection::Effects e;
+    e.grant = [this](LeaderElection::Campaign c, Seconds) {
+      campaign = c, log.emplace_back("grant");
+    };
+    e.elect = [this](LeaderElection::Campaign, uint64_t) { log.emplace_back("elect"); };
     e.renew = [this](uint64_t) { log.emplace_back("renew"); };
-    e.changed = [this](Leadership::State, Leadership::State to) { log.emplace_back(name(to)); };
+    e.changed = [this](LeaderElection::State, LeaderElection::State to) {
+      log.emplace_back(name(to));
+    };
     return e;
   }
 };
 
-TEST(LeadershipMachine, AFollowerThatKnowsALeaderHasNothingDue) {
+TEST(LeaderElectionStateMachine, AFollowerThatKnowsALeaderHasNothingDue) {
   TickedMachine follower;
   follower.machine.tick(1, true, true, 0.5);
   EXPECT_EQ(follower.machine.due_at(1), std::numeric_limits<Seconds>::max());
 }
 
-TEST(LeadershipMachine, DoesNothingBetweenEventsBeforeItIsDue) {
+TEST(LeaderElectionStateMachine, DoesNothingBetweenEventsBeforeItIsDue) {
   EXPECT_TRUE(rc::check("ticks at events and when due do what steady ticks do", [] {
     constexpr Seconds kStep = 0.01;
     TickedMachine steady;
@@ -405,7 +410,7 @@
         if (event == 1) m->machine.elected(now, m->campaign, true, term + 1);
         if (event == 2) m->machine.renewed(now, 7, now, true, false);
         if (event == 3) m->machine.renewed(now, 7, now, false, false);
-        if (event == 4) m->machine.saw_term(now, term);
+        if (event == 4) m->machine.observe_term(now, term);
         if (event == 5) m->machine.resign(now, 1);
         if (event == 7) m->machine.renewed(now, 7, now, false, true);
       }
@@ -424,33 +429,33 @@
   }));
 }
 
-TEST(LeadershipMachine, AnswersPastItsLeaseForTheGraceOnlyAndStepsDownForAHigherTerm) {
-  std::vector<Leadership::State> seen;
-  Leadership::Effects e;
+TEST(LeaderElectionStateMachine, AnswersPastItsLeaseForTheGraceOnlyAndStepsDownForAHigherTerm) {
+  std::vector<LeaderElection::State> seen;
+  LeaderElection::Effects e;
   e.grant = [](uint64_t, Seconds) {};
   e.elect = [](uint64_t, uint64_t) {};
   e.renew = [](uint64_t) {};
-  e.changed = [&](Leadership::State, Leadership::State to) { seen.push_back(to); };
+  e.changed = [&](LeaderElection::State, LeaderElection::State to) { seen.push_back(to); };
   auto leading = [&] {
-    Leadership l({2, 0.5, 10, 0}, e);
+    LeaderElection l({2, 0.5, 10, 0}, e);
     l.tick(0, true, false, 0);
     l.tick(0, true, false, 0);
     l.granted(0, 1, 7, 0);
     l.elected(0, 1, true, 3);
     return l;
   };
-  Leadership l = leading();
+  LeaderElection l = leading();
   l.records_known(5);
   EXPECT_TRUE(l.may_act(1.9));
   EXPECT_FALSE(l.may_act(2.1));
   l.tick(2.1, true, true, 0);
-  EXPECT_EQ(l.state(), Leadership::State::Expired);
+  EXPECT_EQ(l.state(), LeaderElection::State::Expired);
   EXPECT_TRUE(l.may_answer(11.9));
   EXPECT_FALSE(l.may_answer(12.1));
   l.tick(12.1, true, true, 0);
-  EXPECT_EQ(l.state(), Leadership::State::Follower);
-  Leadership other = leading();
-  other.saw_term(1, 4);
+  EXPECT_EQ(l.state(), LeaderElection::State::Follower);
+  LeaderElection other = leading();
+  other.observe_term(1, 4);
   EXPECT_FALSE(other.may_answer(1)) << "somebody else leads";
 }
 
--- a/tests/dependents_test.cpp
+++ b/tests/dependents_test.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -31,8 +31,8 @@
   }
 
   void new_leader(uint64_t term) {
-    core_ = std::make_unique<LeaderCore>(settings_, term, now_, now_);
-    core_->set_types({type_});
+    scheduler_ = std::make_unique<Scheduler>(settings_, term, now_, now_);
+    scheduler_->set_types({type_});
     report();
     report();
   }
@@ -49,7 +49,7 @@
     return record;
   }
 
-  void store(const JobRecord& record) { core_->job_stored(record, ++revision_, now_); }
+  void store(const JobRecord& record) { scheduler_->job_stored(record, ++revision_, now_); }
 
   void report(std::vector<TaskReport> tasks = {}) {
     WorkerReport worker;
@@ -61,28 +61,28 @@
     worker.seq = ++reports_;
     worker.token = token_;
     worker.tasks = std::move(tasks);
-    token_ = core_->report(worker, true, now_).token;
+    token_ = scheduler_->report(worker, true, now_).token;
   }
 
   /// A round, and everything that the leader then wants written.
   void round() {
     now_ += 0.5;
-    core_->request_round();
-    core_->tick(now_);
+    scheduler_->request_round();
+    scheduler_->tick(now_);
     for (int i = 0; i < 3; ++i)
-      for (const auto& write : core_->wanted_writes(now_, 20)) {
+      for (const auto& write : scheduler_->wanted_writes(now_, 20)) {
         written_.push_back(write);
-        core_->write_done(write, true, ++revision_, now_);
+        scheduler_->write_done(write, true, ++revision_, now_);
       }
   }
 
   bool placed(const std::string& id) const {
-    const auto found = core_->jobs().find(id);
-    return found != core_->jobs().end() && !found->second.placements.empty();
+    const auto found = scheduler_->jobs().find(id);
+    return found != scheduler_->jobs().end() && !found->second.placements.empty();
   }
 
   size_t being_stopped(const std::string& id) const {
-    const auto& runs = core_->machines().at("i-1").runs;
+    const auto& runs = scheduler_->machines().at("i-1").runs;
     return static_cast<size_t>(std::count_if(runs.begin(), runs.end(), [&](const auto& entry) {
       return entry.first.task.job == id && !entry.second.wanted;
     }));
@@ -91,7 +91,7 @@
   /// All tasks of a job that is placed have run to their end.
   void finish(const std::string& id) {
     std::vector<TaskReport> tasks;
-    for (const auto& [task, places] : core_->jobs().at(id).placements)
+    for (const auto& [task, places] : scheduler_->jobs().at(id).placements)
       for (const auto& place : places)
         tasks.push_back({{id, task}, place.attempt, TaskState::Exited, ExitCause::Done});
     report(tasks);
@@ -106,7 +106,7 @@
 
   Settings settings_;
   MachineType type_;
-  std::unique_ptr<LeaderCore> core_;
+  std::unique_ptr<Scheduler> scheduler_;
   std::vector<RecordWrite> written_;
   Seconds now_ = 1000;
   uint64_t revision_ = 100;
@@ -122,8 +122,8 @@
   EXPECT_TRUE(placed("job-1"));
   EXPECT_FALSE(placed("job-2"));
   finish("job-1");
-  core_->request_round();
-  core_->tick(now_ += 0.5);
+  scheduler_->request_round();
+  scheduler_->tick(now_ += 0.5);
   EXPECT_FALSE(placed("job-2")) << "nothing of it is durable yet";
   round();
   round();
@@ -135,8 +135,8 @@
   store(job("job-2", {"job-1"}));
   round();
   EXPECT_FALSE(placed("job-2"));
-  EXPECT_EQ(core_->unknown_dependencies(), std::set<std::string>{"job-1"});
-  core_->dependency_finished("job-1", {JobState::Done, 2, 5000});
+  EXPECT_EQ(scheduler_->unknown_dependencies(), std::set<std::string>{"job-1"});
+  scheduler_->dependency_finished("job-1", {JobState::Done, 2, 5000});
   round();
   EXPECT_TRUE(placed("job-2"));
 }
@@ -153,14 +153,14 @@
     ASSERT_NE(last_write_of(id), nullptr) << id;
     EXPECT_EQ(last_write_of(id)->record->state, JobState::Cancelled);
     EXPECT_TRUE(last_write_of(id)->finished);
-    EXPECT_FALSE(core_->jobs().contains(id));
+    EXPECT_FALSE(scheduler_->jobs().contains(id));
   }
 }
 
 /// What its record tells of the dependencies ends with the start: only when it was ready stays.
 TEST_F(DependentJobs, KeepTheTimeWhenTheyWereReadyInTheirRecord) {
   store(job("job-2", {"job-1"}));
-  core_->dependency_finished("job-1", {JobState::Done, 2, 900000});
+  scheduler_->dependency_finished("job-1", {JobState::Done, 2, 900000});
   round();
   ASSERT_NE(last_write_of("job-2"), nullptr);
   const JobRecord& record = *last_write_of("job-2")->record;
@@ -191,7 +191,7 @@
   borrowed.spec.tasks = 8;
   store(borrowed);
   round();
-  ASSERT_EQ(core_->jobs().at("job-1").placements.size(), 8u);
+  ASSERT_EQ(scheduler_->jobs().at("job-1").placements.size(), 8u);
   auto waits = job("job-2", {"job-9"});
   waits.spec.tasks = 4;
   store(waits);
@@ -213,7 +213,7 @@
   younger.submitted_ms = 500000;
   store(older);
   store(younger);
-  core_->dependency_finished("job-1", {JobState::Done, 2, 900000});
+  scheduler_->dependency_finished("job-1", {JobState::Done, 2, 900000});
   round();
   EXPECT_TRUE(placed("job-3"));
   EXPECT_FALSE(placed("job-2"));
@@ -228,14 +228,15 @@
   store(last);  // a takeover brings records in any order
   store(job("job-3", {"job-2"}));
   for (const std::string id : {"job-1", "job-2", "job-3"})
-    EXPECT_EQ(core_->jobs().at(id).priority, Priority::High) << id;
+    EXPECT_EQ(scheduler_->jobs().at(id).priority, Priority::High) << id;
   auto plain = job("job-5");
   plain.spec.tasks = 6;
   plain.submitted_ms = 0;
   store(plain);
   round();
   EXPECT_TRUE(placed("job-1"));
-  EXPECT_EQ(core_->jobs().at("job-5").placements.size(), 4u) << "what the limit of 6 CPUs leaves";
+  EXPECT_EQ(scheduler_->jobs().at("job-5").placements.size(), 4u)
+      << "what the limit of 6 CPUs leaves";
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -2,7 +2,7 @@
 // and the loss of a tenth of all machines. Work is counted in things done, never in time.
 #include <gtest/gtest.h>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay {
 namespace {
@@ -21,15 +21,15 @@
     type_.name = "g";
     type_.room = {16, 4, 64};
     type_.zones = {"e", "w"};
-    core_ = std::make_unique<LeaderCore>(settings_, 2, now_, now_ + settings_.answers_s());
-    core_->set_types({type_});
+    scheduler_ = std::make_unique<Scheduler>(settings_, 2, now_, now_ + settings_.answers_s());
+    scheduler_->set_types({type_});
     for (int i = 0; i < kMachines; ++i)
-      core_->host_stored({id(i), "a:1", "g", zone(i), false}, now_);
+      scheduler_->host_stored({id(i), "a:1", "g", zone(i), false}, now_);
     for (int i = 0; i < kMachines; ++i) {
       JobRecord r = record(job(i), JobKind::Service, 1, {4, 1, 16});
       r.started = true;
       r.hosts = std::vector<std::string>{id(i)};
-      core_->job_stored(r, ++revision_, now_);
+      scheduler_->job_stored(r, ++revision_, now_);
     }
   }
 
@@ -69,23 +69,24 @@
                        std::nullopt,
                        {}};
         r.tasks.push_back({{job(i), 0}, 7, TaskState::Running, ExitCause::None});
-        note(core_->report(r, true, now_).commands);
+        note(scheduler_->report(r, true, now_).commands);
       }
-      for (const auto& a : core_->tick(now_)) {
-        if (const auto* p = std::get_if<Probe>(&a)) core_->probed(p->machine, std::nullopt, now_);
+      for (const auto& a : scheduler_->tick(now_)) {
+        if (const auto* p = std::get_if<Probe>(&a))
+          scheduler_->probed(p->machine, std::nullopt, now_);
         if (const auto* o = std::get_if<SendOrders>(&a)) {
           note(o->commands);
-          core_->orders_done(o->machine, std::nullopt, true, now_);
+          scheduler_->orders_done(o->machine, std::nullopt, true, now_);
         }
         if (const auto* r = std::get_if<Rent>(&a))
-          core_->rent_done(*r, LeaderCore::RentOutcome::Refused, {}, now_);
+          scheduler_->rent_done(*r, Scheduler::RentOutcome::Refused, {}, now_);
         if (const auto* r = std::get_if<Release>(&a)) {
           gone_.insert(r->machines.begin(), r->machines.end());
-          core_->release_done(*r, true, now_);
+          scheduler_->release_done(*r, true, now_);
         }
       }
-      for (const auto& w : core_->wanted_writes(now_, 12))
-        core_->write_done(w, true, ++revision_, now_);
+      for (const auto& w : scheduler_->wanted_writes(now_, 12))
+        scheduler_->write_done(w, true, ++revision_, now_);
     }
   }
 
@@ -100,7 +101,7 @@
   Settings settings_;
   MachineType type_;
   Seconds now_ = 1000;
-  std::unique_ptr<LeaderCore> core_;
+  std::unique_ptr<Scheduler> scheduler_;
   uint64_t revision_ = 10;
   int step_ = 0;
   std::set<std::string> gone_;
@@ -111,32 +112,32 @@
 TEST_F(Fleet, StandsATakeoverALostZoneAndAMassLoss) {
   const auto in_west = [](int i) { return zone(i) == "w"; };
   pass(3, in_west);
-  core_->job_stored(record("job-1", JobKind::Service, 3, {4, 1, 16}), ++revision_, now_);
+  scheduler_->job_stored(record("job-1", JobKind::Service, 3, {4, 1, 16}), ++revision_, now_);
   pass(15, in_west);
-  EXPECT_FALSE(core_->all_accounted());
+  EXPECT_FALSE(scheduler_->all_accounted());
   EXPECT_EQ(started_, std::set<std::string>{"job-1"})
       << "new work starts at once; what may run in the zone does not start again";
   EXPECT_TRUE(gone_.empty());
   pass(7, [](int) { return false; });
-  EXPECT_TRUE(core_->all_accounted());
+  EXPECT_TRUE(scheduler_->all_accounted());
   EXPECT_EQ(started_.size(), 1u);
   EXPECT_EQ(stops_, 0);
 
   for (int i = 0; i < 60; ++i)  // gangs that fit nowhere, and stop nobody of higher priority
-    core_->job_stored(record("job-2" + std::to_string(i), JobKind::Gang, 4, {16, 4, 64}),
-                      ++revision_, now_);
-  const auto before = core_->work();
+    scheduler_->job_stored(record("job-2" + std::to_string(i), JobKind::Gang, 4, {16, 4, 64}),
+                           ++revision_, now_);
+  const auto before = scheduler_->work();
   const auto dies = [](int i) { return i % 10 == 0; };
   pass(26, dies);
   EXPECT_EQ(gone_.size(), 200u) << "all of them, and nobody else";
   for (int i = 0; i < kMachines; ++i) {
-    const auto& at = core_->jobs().at(job(i)).placements;
+    const auto& at = scheduler_->jobs().at(job(i)).placements;
     ASSERT_EQ(at.size(), 1u);
     ASSERT_EQ(at.begin()->second.size(), 1u);
     EXPECT_EQ(started_.contains(job(i)), dies(i)) << job(i);
     EXPECT_EQ(gone_.count(at.begin()->second.begin()->machine), 0u);
   }
-  const auto& after = core_->work();
+  const auto& after = scheduler_->work();
   EXPECT_GT(after.rounds, before.rounds);
   EXPECT_LE(after.victim_lists - before.victim_lists, after.rounds - before.rounds)
       << "one list a round, however many wait";
--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 #include "generators.h"
 #include "placement/placement.h"
 
@@ -227,8 +227,8 @@
     type_.name = "g";
     type_.room = {16, 4, 64};
     type_.zones = {"e"};
-    core_ = std::make_unique<LeaderCore>(settings_, 1, now_, now_);
-    core_->set_types({type_});
+    scheduler_ = std::make_unique<Scheduler>(settings_, 1, now_, now_);
+    scheduler_->set_types({type_});
   }
 
   void submit(JobSpec job, uint32_t done = 0) {
@@ -238,7 +238,7 @@
     record.spec = std::move(job);
     for (uint32_t task = 0; task < done; ++task) record.done.add(task);
     record.submitted_ms = static_cast<uint64_t>(now_ * 1000);
-    core_->job_stored(record, ++revision_, now_);
+    scheduler_->job_stored(record, ++revision_, now_);
   }
 
   void add_machine(const std::string& id) { machines_[id]; }
@@ -247,19 +247,19 @@
     for (const Seconds end = now_ + time; now_ < end; now_ += kStep) {
       for (auto& [id, tasks] : machines_) {
         end_stopped(tasks);
-        carry_out(tasks, core_->report(report(id), true, now_).commands);
+        carry_out(tasks, scheduler_->report(report(id), true, now_).commands);
       }
-      for (const auto& action : core_->tick(now_)) {
+      for (const auto& action : scheduler_->tick(now_)) {
         if (const auto* orders = std::get_if<SendOrders>(&action)) {
           carry_out(machines_.at(orders->machine), orders->commands);
           token_[orders->machine] = orders->token;
-          core_->orders_done(orders->machine, report(orders->machine), true, now_);
+          scheduler_->orders_done(orders->machine, report(orders->machine), true, now_);
         }
         if (const auto* rent = std::get_if<Rent>(&action))
-          core_->rent_done(*rent, LeaderCore::RentOutcome::Refused, {}, now_);
+          scheduler_->rent_done(*rent, Scheduler::RentOutcome::Refused, {}, now_);
       }
-      for (const auto& write : core_->wanted_writes(now_, 12))
-        core_->write_done(write, true, ++revision_, now_);
+      for (const auto& write : scheduler_->wanted_writes(now_, 12))
+        scheduler_->write_done(write, true, ++revision_, now_);
     }
   }
 
@@ -274,7 +274,7 @@
   Settings settings_;
   MachineType type_;
   Seconds now_ = 1000;
-  std::unique_ptr<LeaderCore> core_;
+  std::unique_ptr<Scheduler> scheduler_;
   std::map<std::string, size_t> stops_;  ///< tasks told to stop, by job
 
  private:
@@ -406,7 +406,7 @@
 
 TEST_F(TeamsAtWork, NothingIsStoppedForAWarmMachineWhileAnotherHasRoom) {
   type_.fetch_gb_per_s = 1;
-  core_->set_types({type_});
+  scheduler_->set_types({type_});
   Objective soon;
   soon.kind = "wait";
   soon.job_class = "replicas";
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -1,9 +1,9 @@
 // One test for each guard that the generated histories seldom need: each fails without it.
 #include <gtest/gtest.h>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 #include "generators.h"
-#include "leadership/leadership.h"
+#include "leadership/leader_election.h"
 #include "net/concurrency_limit.h"
 #include "wire/messages.h"
 
@@ -49,16 +49,17 @@
     return r;
   }
 
-  std::unique_ptr<LeaderCore> leader(uint64_t term, double grace) {
-    auto core = std::make_unique<LeaderCore>(settings, term, now, now + grace);
-    core->set_types({type});
-    return core;
+  std::unique_ptr<Scheduler> leader(uint64_t term, double grace) {
+    auto scheduler = std::make_unique<Scheduler>(settings, term, now, now + grace);
+    scheduler->set_types({type});
+    return scheduler;
   }
 
   /// Carries out what the leader wants written.
-  void write_all(LeaderCore& core) {
+  void write_all(Scheduler& scheduler) {
     for (int i = 0; i < 3; ++i)
-      for (const auto& w : core.wanted_writes(now, 20)) core.write_done(w, true, ++revision, now);
+      for (const auto& w : scheduler.wanted_writes(now, 20))
+        scheduler.write_done(w, true, ++revision, now);
   }
 
   static std::vector<SendOrders> orders(const std::vector<Action>& actions) {
@@ -72,32 +73,32 @@
 };
 
 TEST_F(Fixture, NothingIsStartedBeforeItsRecordIsDurable) {
-  auto core = leader(1, 0);
-  core->job_stored(record, 5, now);
-  const auto token = core->report(report("i-9", 1, 0), true, now).token;
-  core->report(report("i-9", 2, token), true, now + 0.1);
-  EXPECT_TRUE(orders(core->tick(now + 0.2)).empty());
-  EXPECT_FALSE(core->jobs().at("job-1").placements.empty()) << "placed";
-  EXPECT_TRUE(core->report(report("i-9", 3, token), true, now + 0.3).commands.empty());
-  write_all(*core);
-  const auto sent = orders(core->tick(now + 0.4));
+  auto scheduler = leader(1, 0);
+  scheduler->job_stored(record, 5, now);
+  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
+  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  EXPECT_TRUE(orders(scheduler->tick(now + 0.2)).empty());
+  EXPECT_FALSE(scheduler->jobs().at("job-1").placements.empty()) << "placed";
+  EXPECT_TRUE(scheduler->report(report("i-9", 3, token), true, now + 0.3).commands.empty());
+  write_all(*scheduler);
+  const auto sent = orders(scheduler->tick(now + 0.4));
   ASSERT_EQ(sent.size(), 1u);
   EXPECT_EQ(sent[0].commands.size(), 2u);
 }
 
 TEST_F(Fixture, NothingIsStartedOnAMachineBeforeItsRecordIsDurable) {
   record.started = true;
-  auto core = leader(1, 0);
-  core->job_stored(record, 5, now);
-  const auto token = core->report(report("i-9", 1, 0), true, now).token;
-  core->report(report("i-9", 2, token), true, now + 0.1);
-  core->tick(now + 0.2);
-  const auto writes = core->wanted_writes(now + 0.2, 20);
+  auto scheduler = leader(1, 0);
+  scheduler->job_stored(record, 5, now);
+  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
+  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  scheduler->tick(now + 0.2);
+  const auto writes = scheduler->wanted_writes(now + 0.2, 20);
   ASSERT_EQ(writes.size(), 1u);
   EXPECT_EQ(writes[0].host, "i-9") << "a new leader must know every place to ask";
-  EXPECT_TRUE(orders(core->tick(now + 0.3)).empty());
-  core->write_done(writes[0], true, 200, now + 0.4);
-  EXPECT_EQ(orders(core->tick(now + 0.5)).size(), 1u);
+  EXPECT_TRUE(orders(scheduler->tick(now + 0.3)).empty());
+  scheduler->write_done(writes[0], true, 200, now + 0.4);
+  EXPECT_EQ(orders(scheduler->tick(now + 0.5)).size(), 1u);
 }
 
 TEST_F(Fixture, NothingIsStartedWhereAWriteUnderWayDropsTheMachineFromTheRecord) {
@@ -108,32 +109,33 @@
   record.hosts = {"i-8", "i-9"};
   record.spec.kind = JobKind::Array;
   record.spec.tasks = 3;
-  auto core = leader(1, 0);
-  for (const char* id : {"i-8", "i-9"}) core->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
-  core->job_stored(record, 5, now);
+  auto scheduler = leader(1, 0);
+  for (const char* id : {"i-8", "i-9"})
+    scheduler->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
+  scheduler->job_stored(record, 5, now);
   auto show = [&](const std::string& id, uint64_t seq, std::vector<TaskReport> tasks,
                   std::optional<double> notice = std::nullopt) {
     auto r = report(id, seq, uint64_t{1} << 20, std::move(tasks));
     r.notice_s = notice;
-    return core->report(r, true, now);
+    return scheduler->report(r, true, now);
   };
   const TaskReport runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
   const TaskReport ended{{"job-1", 2}, 8, TaskState::Exited, ExitCause::Done};
   show("i-8", 1, {runs, ended});
   show("i-9", 1, {}, 60);
-  ASSERT_TRUE(core->all_accounted());
+  ASSERT_TRUE(scheduler->all_accounted());
   now += 2;
-  const auto progress = core->wanted_writes(now, 20);
+  const auto progress = scheduler->wanted_writes(now, 20);
   ASSERT_EQ(progress.size(), 1u);
   EXPECT_EQ(progress[0].record->hosts, std::vector<std::string>{"i-8"});
   show("i-8", 2, {runs});
   show("i-9", 2, {});
-  core->tick(now);
-  ASSERT_EQ(core->jobs().at("job-1").placements.count(1), 1u) << "placed on i-9";
+  scheduler->tick(now);
+  ASSERT_EQ(scheduler->jobs().at("job-1").placements.count(1), 1u) << "placed on i-9";
   EXPECT_TRUE(show("i-9", 3, {}).commands.empty());
-  core->write_done(progress[0], false, 0, now);
+  scheduler->write_done(progress[0], false, 0, now);
   EXPECT_TRUE(show("i-9", 4, {}).commands.empty()) << "it may still be applied";
-  write_all(*core);
+  write_all(*scheduler);
   EXPECT_EQ(show("i-9", 5, {}).commands.size(), 1u);
 }
 
@@ -141,26 +143,26 @@
   // The last answer to a report is of the session before: counted from that, tasks of the new one
   // were taken for gone while they ran, and started once more.
   record.started = true;
-  auto core = leader(1, 0);
-  core->host_stored(host, now);
-  core->job_stored(record, 5, now);
-  core->report(report("i-1", 1, uint64_t{1} << 20), true, now);
+  auto scheduler = leader(1, 0);
+  scheduler->host_stored(host, now);
+  scheduler->job_stored(record, 5, now);
+  scheduler->report(report("i-1", 1, uint64_t{1} << 20), true, now);
   now += settings.lease_s - 1;
   auto next = report("i-1", 2, uint64_t{1} << 20);
   next.session = 2;
-  core->probed("i-1", next, now);
+  scheduler->probed("i-1", next, now);
   now += 2;
-  core->tick(now);
-  EXPECT_EQ(core->machines().at("i-1").stage, Machine::Stage::Up);
+  scheduler->tick(now);
+  EXPECT_EQ(scheduler->machines().at("i-1").stage, Machine::Stage::Up);
 }
 
 TEST_F(Fixture, ALateMachineIsGivenUpOnceItDoesNotAnswerWhileItsZoneIsHeard) {
   record.started = true;
   settings.lease_s = 60;
-  auto core = leader(1, 0);
+  auto scheduler = leader(1, 0);
   for (int i = 1; i < 5; ++i)
-    core->host_stored({"i-" + std::to_string(i), "10.0.0.2:9", "g", "e", false}, now);
-  core->job_stored(record, 5, now);
+    scheduler->host_stored({"i-" + std::to_string(i), "10.0.0.2:9", "g", "e", false}, now);
+  scheduler->job_stored(record, 5, now);
   const TaskReport runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
   size_t probes = 0;
   size_t released = 0;
@@ -169,21 +171,21 @@
   auto pass = [&](Seconds time, bool others) {
     for (const Seconds end = now + time; now < end; now += 0.1) {
       for (int i = 2; i < 5 && others; ++i)
-        core->report(
+        scheduler->report(
             report("i-" + std::to_string(i), static_cast<uint64_t>(now * 10), uint64_t{1} << 20),
             true, now);
-      for (const auto& a : core->tick(now)) {
+      for (const auto& a : scheduler->tick(now)) {
         if (const auto* p = std::get_if<Probe>(&a)) {
           ++probes;
           if (answer) answer->seq = static_cast<uint64_t>(now * 10);
-          sockets ? core->probed(p->machine, answer, now) : core->not_probed(p->machine);
+          sockets ? scheduler->probed(p->machine, answer, now) : scheduler->not_probed(p->machine);
         }
         if (std::holds_alternative<Release>(a)) ++released;
       }
     }
   };
   auto first = report("i-1", 1, uint64_t{1} << 20, {runs});
-  core->report(first, true, now);
+  scheduler->report(first, true, now);
   answer = first;
   pass(5, true);
   EXPECT_GE(probes, 2u);
@@ -204,23 +206,23 @@
   // itself for one that had stood still, and machines were given up only at the end of their lease.
   record.started = true;
   settings.lease_s = 10;
-  auto core = leader(1, 0);
+  auto scheduler = leader(1, 0);
   for (int i = 1; i < 5; ++i)
-    core->host_stored({"i-" + std::to_string(i), "10.0.0.2:9", "g", "e", false}, now);
-  core->job_stored(record, 5, now);
+    scheduler->host_stored({"i-" + std::to_string(i), "10.0.0.2:9", "g", "e", false}, now);
+  scheduler->job_stored(record, 5, now);
   const TaskReport runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
-  core->report(report("i-1", 1, uint64_t{1} << 20, {runs}), true, now);
+  scheduler->report(report("i-1", 1, uint64_t{1} << 20, {runs}), true, now);
   const Seconds silent_since = now;
   std::optional<Seconds> released_at;
   constexpr Seconds kBetweenTicks = 2;
   constexpr uint64_t kStepsBetweenTicks = 20;
   for (uint64_t step = 0; now < silent_since + settings.lease_s * 0.8; ++step, now += 0.1) {
     for (int i = 2; i < 5; ++i)
-      core->report(report("i-" + std::to_string(i), 10 + step, uint64_t{1} << 20), true, now);
+      scheduler->report(report("i-" + std::to_string(i), 10 + step, uint64_t{1} << 20), true, now);
     if (step % kStepsBetweenTicks != 0) continue;
-    for (const auto& action : core->tick(now)) {
+    for (const auto& action : scheduler->tick(now)) {
       if (const auto* probe = std::get_if<Probe>(&action))
-        core->probed(probe->machine, std::nullopt, now);
+        scheduler->probed(probe->machine, std::nullopt, now);
       if (std::holds_alternative<Release>(action) && !released_at) released_at = now;
     }
   }
@@ -233,17 +235,18 @@
   // might be there waited for the end of its lease, 51 s.
   record.started = true;
   record.hosts = std::vector<std::string>{"i-7"};
-  auto core = leader(2, 20);
-  for (const char* id : {"i-7", "i-9"}) core->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
-  core->job_stored(record, 5, now);
+  auto scheduler = leader(2, 20);
+  for (const char* id : {"i-7", "i-9"})
+    scheduler->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
+  scheduler->job_stored(record, 5, now);
   uint64_t seq = 0;
   for (const Seconds end = now + settings.lease_s * 0.7; now < end; now += 0.2) {
-    core->report(report("i-9", ++seq, uint64_t{2} << 20), true, now);
-    for (const auto& a : core->tick(now))
-      if (const auto* r = std::get_if<Release>(&a)) core->release_done(*r, true, now);
+    scheduler->report(report("i-9", ++seq, uint64_t{2} << 20), true, now);
+    for (const auto& a : scheduler->tick(now))
+      if (const auto* r = std::get_if<Release>(&a)) scheduler->release_done(*r, true, now);
   }
-  EXPECT_EQ(core->machines().count("i-7"), 0u);
-  EXPECT_EQ(core->jobs().at("job-1").placements.size(), 2u) << "placed on i-9";
+  EXPECT_EQ(scheduler->machines().count("i-7"), 0u);
+  EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u) << "placed on i-9";
 }
 
 TEST_F(Fixture, OnlyJobsThatMayBeOnAMissingMachineWaitForIt) {
@@ -257,36 +260,37 @@
   JobRecord anywhere = record;
   anywhere.spec.id = "job-3";
   anywhere.hosts.reset();
-  auto core = leader(1, 5);
-  for (const char* id : {"i-7", "i-9"}) core->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
-  for (const auto* r : {&record, &other, &anywhere}) core->job_stored(*r, 5, now);
-  core->report(report("i-9", 1, uint64_t{1} << 20), true, now);
-  core->tick(now);
-  EXPECT_TRUE(core->jobs().at("job-1").placements.empty());
-  EXPECT_EQ(core->jobs().at("job-2").placements.size(), 2u);
-  EXPECT_TRUE(core->jobs().at("job-3").placements.empty());
+  auto scheduler = leader(1, 5);
+  for (const char* id : {"i-7", "i-9"})
+    scheduler->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
+  for (const auto* r : {&record, &other, &anywhere}) scheduler->job_stored(*r, 5, now);
+  scheduler->report(report("i-9", 1, uint64_t{1} << 20), true, now);
+  scheduler->tick(now);
+  EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
+  EXPECT_EQ(scheduler->jobs().at("job-2").placements.size(), 2u);
+  EXPECT_TRUE(scheduler->jobs().at("job-3").placements.empty());
 }
 
 TEST_F(Fixture, ASilentMachineIsGivenUpThoughAnOrderToItWentUnanswered) {
   record.started = true;
-  auto core = leader(1, 0);
-  core->job_stored(record, 5, now);
-  const auto token = core->report(report("i-9", 1, 0), true, now).token;
-  core->report(report("i-9", 2, token), true, now + 0.1);
-  core->tick(now + 0.2);
-  write_all(*core);
-  ASSERT_EQ(orders(core->tick(now + 0.3)).size(), 1u);
-  core->orders_done("i-9", std::nullopt, false, now + 0.9);
+  auto scheduler = leader(1, 0);
+  scheduler->job_stored(record, 5, now);
+  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
+  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  scheduler->tick(now + 0.2);
+  write_all(*scheduler);
+  ASSERT_EQ(orders(scheduler->tick(now + 0.3)).size(), 1u);
+  scheduler->orders_done("i-9", std::nullopt, false, now + 0.9);
   bool released = false;
   for (double t = 1; t < settings.lease_s * 0.6; t += 0.1)
-    for (const auto& a : core->tick(now + t))
+    for (const auto& a : scheduler->tick(now + t))
       released = released || std::holds_alternative<Release>(a);
   EXPECT_TRUE(released);
 }
 
 /// A dozen machines in three zones, each with a replica.
 struct Zones : Fixture {
-  std::unique_ptr<LeaderCore> core;
+  std::unique_ptr<Scheduler> scheduler;
   uint64_t seq = 0;
   std::set<std::string> released;
 
@@ -296,9 +300,9 @@
     type.zones = {"e", "n", "w"};
     record.started = true;
     record.spec.tasks = 12;
-    core = leader(1, 0);
-    for (int i = 0; i < 12; ++i) core->host_stored({id(i), addr(i), "g", zone(i), false}, now);
-    core->job_stored(record, 5, now);
+    scheduler = leader(1, 0);
+    for (int i = 0; i < 12; ++i) scheduler->host_stored({id(i), addr(i), "g", zone(i), false}, now);
+    scheduler->job_stored(record, 5, now);
   }
   static std::string id(int i) { return "i-" + std::to_string(i); }
   static std::string addr(int i) { return "10.0.0." + std::to_string(i) + ":9"; }
@@ -313,12 +317,12 @@
           auto r = report(id(i), seq, uint64_t{1} << 20,
                           {{{"job-1", static_cast<uint32_t>(i)}, 7, TaskState::Running, {}}});
           r.zone = zone(i);
-          core->report(r, true, now);
+          scheduler->report(r, true, now);
         }
-      for (const auto& a : core->tick(now))
+      for (const auto& a : scheduler->tick(now))
         if (const auto* r = std::get_if<Release>(&a)) {
           released.insert(r->machines.begin(), r->machines.end());
-          core->release_done(*r, true, now);
+          scheduler->release_done(*r, true, now);
         }
     }
   }
@@ -330,7 +334,7 @@
   EXPECT_EQ(released, (std::set<std::string>{"i-0", "i-1", "i-2", "i-3"}));
   released.clear();
   const auto booting = ListedMachine::State::Booting;
-  core->listed({{"i-new", "10.0.1.1:9", "g", "n", false, booting, 3.4 * type.boot_s}}, now);
+  scheduler->listed({{"i-new", "10.0.1.1:9", "g", "n", false, booting, 3.4 * type.boot_s}}, now);
   pass(9, {0, 1, 2, 3, 4, 7, 10});
   EXPECT_EQ(released, std::set<std::string>{}) << "what runs there goes on, what boots may be up";
   pass(30, {0, 1, 2, 3, 4, 7, 10});
@@ -341,20 +345,20 @@
   record.submitted_ms = static_cast<uint64_t>(now * 1000);
   record.spec.priority = Priority::Production;
   record.spec.need = {4, 4, 4};
-  auto core = leader(1, 0);
-  core->job_stored(record, 5, now);
+  auto scheduler = leader(1, 0);
+  scheduler->job_stored(record, 5, now);
   auto rented = [&](double at) {
     size_t n = 0;
-    for (const auto& a : core->tick(at)) n += std::holds_alternative<Rent>(a);
+    for (const auto& a : scheduler->tick(at)) n += std::holds_alternative<Rent>(a);
     return n;
   };
   EXPECT_GT(rented(now + 0.1), 0u);
   record.state = JobState::Cancelled;
-  core->job_stored(record, 6, now + 1);
-  core->job_finished("job-1");
-  auto later_core = leader(2, 0);
-  later_core->job_stored(record, 6, now);
-  EXPECT_GT(std::holds_alternative<Rent>(later_core->tick(now + 1).at(0)), 0)
+  scheduler->job_stored(record, 6, now + 1);
+  scheduler->job_finished("job-1");
+  auto later_scheduler = leader(2, 0);
+  later_scheduler->job_stored(record, 6, now);
+  EXPECT_GT(std::holds_alternative<Rent>(later_scheduler->tick(now + 1).at(0)), 0)
       << "one came just now";
   auto much_later = leader(3, 0);
   much_later->job_stored(record, 6, now);
@@ -364,20 +368,20 @@
 // On a day when all machines boot slowly, each was given up just before it came up, and another was
 // rented that came no sooner.
 TEST_F(Fixture, ABootIsGivenUpOnlyOnceALaterOneHasOvertakenIt) {
-  auto core = leader(1, 0);
+  auto scheduler = leader(1, 0);
   auto given_up = [&] {
     std::vector<std::string> out;
-    for (const auto& a : core->tick(now))
+    for (const auto& a : scheduler->tick(now))
       if (const auto* r = std::get_if<Release>(&a)) out = r->machines;
     return out;
   };
   using State = ListedMachine::State;
-  core->listed({{"i-1", "", "g", "e", false, State::Booting, 10},
-                {"i-2", "", "g", "e", false, State::Booting, 5}},
-               now);
+  scheduler->listed({{"i-1", "", "g", "e", false, State::Booting, 10},
+                     {"i-2", "", "g", "e", false, State::Booting, 5}},
+                    now);
   now += 2 * type.boot_s;
   EXPECT_TRUE(given_up().empty());
-  core->report(report("i-2", 1, 0), true, now);
+  scheduler->report(report("i-2", 1, 0), true, now);
   now += 1;
   EXPECT_EQ(given_up(), std::vector<std::string>{"i-1"});
 }
@@ -385,15 +389,15 @@
 // A leader that was cut off from all workers, but not from the state service, led on until the
 // lease of every worker had ended.
 TEST_F(Fixture, ALeaderThatNoWorkerReachesKnowsIt) {
-  auto core = leader(1, 0);
+  auto scheduler = leader(1, 0);
   const double began = now;
-  for (const char* id : {"i-1", "i-2", "i-3"}) core->report(report(id, 1, 0), true, now);
+  for (const char* id : {"i-1", "i-2", "i-3"}) scheduler->report(report(id, 1, 0), true, now);
   now = began + 5;
-  core->report(report("i-2", 2, 0), true, now);
+  scheduler->report(report("i-2", 2, 0), true, now);
   now += 2.5;
-  EXPECT_FALSE(core->no_worker_reaches_us(now)) << "two are silent, one is not";
+  EXPECT_FALSE(scheduler->no_worker_reaches_us(now)) << "two are silent, one is not";
   now += 1;
-  EXPECT_TRUE(core->no_worker_reaches_us(now));
+  EXPECT_TRUE(scheduler->no_worker_reaches_us(now));
   EXPECT_FALSE(leader(2, 0)->no_worker_reaches_us(now))
       << "a leader without machines has nothing to hear";
 }
@@ -402,46 +406,46 @@
 // without the room that is held for it, it would wait for ever.
 TEST_F(Fixture, AGangOfSeveralKeepsTheMachinesThatComeUpForIt) {
   settings.teams[0].gpus_max = 0;
-  auto core = leader(1, 0);
+  auto scheduler = leader(1, 0);
   record.spec.kind = JobKind::Gang;
   record.spec.one_zone = true;
   record.spec.priority = Priority::High;
   record.spec.need = type.room;
   record.submitted_ms = static_cast<uint64_t>(now * 1000);
-  core->job_stored(record, ++revision, now);
+  scheduler->job_stored(record, ++revision, now);
   JobRecord array = record;
   array.spec.id = "job-2";
   array.spec.kind = JobKind::Array;
   array.spec.priority = Priority::Low;
   array.spec.tasks = 50;
   array.submitted_ms -= 5000;
-  core->job_stored(array, ++revision, now);
+  scheduler->job_stored(array, ++revision, now);
   auto comes_up = [&](const std::string& id) {
-    core->report(report(id, 1, 0), true, now);
-    core->report(report(id, 2, 1 << 20), true, now);
+    scheduler->report(report(id, 1, 0), true, now);
+    scheduler->report(report(id, 2, 1 << 20), true, now);
     now += 1;
-    core->tick(now);
-    return core->machines().at(id).runs;
+    scheduler->tick(now);
+    return scheduler->machines().at(id).runs;
   };
   now += 1;
   EXPECT_TRUE(comes_up("i-1").empty()) << "held for the gang, though one machine is not enough";
   const auto runs = comes_up("i-2");
   ASSERT_EQ(runs.size(), 1u);
   EXPECT_EQ(runs.begin()->first.task.job, "job-1");
-  EXPECT_EQ(core->machines().at("i-1").runs.size(), 1u);
+  EXPECT_EQ(scheduler->machines().at("i-1").runs.size(), 1u);
   EXPECT_EQ(comes_up("i-3").begin()->first.task.job, "job-2") << "and nothing more than it needs";
 }
 
 TEST_F(Fixture, AnUnheardMachinesTasksWaitForTheFenceAndTheLease) {
   record.started = true;
-  auto core = leader(2, 10);
-  core->host_stored(host, now);
-  core->job_stored(record, 5, now);
-  const auto token = core->report(report("i-9", 1, 0), true, now).token;
+  auto scheduler = leader(2, 10);
+  scheduler->host_stored(host, now);
+  scheduler->job_stored(record, 5, now);
+  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
   auto step = [&, seq = uint64_t{1}](double at) mutable {
-    core->report(report("i-9", ++seq, token), true, at);
-    core->tick(at);
-    return core->jobs().at("job-1").placements.size();
+    scheduler->report(report("i-9", ++seq, token), true, at);
+    scheduler->tick(at);
+    return scheduler->jobs().at("job-1").placements.size();
   };
   for (double t = 0.5; t < 19.9; t += 0.5)
     ASSERT_EQ(step(now + t), 0u) << "an earlier leader may have answered it until " << t;
@@ -451,68 +455,69 @@
 
 TEST_F(Fixture, TheFenceFallsOnceNoEarlierLeaderAnswers) {
   record.started = true;
-  auto core = leader(2, 10);
-  core->host_stored(host, now);
-  core->job_stored(record, 5, now);
-  core->fenced(now + 1);
-  core->tick(now + 10.9);
-  EXPECT_FALSE(core->all_accounted());
-  core->tick(now + 11.5);
-  EXPECT_TRUE(core->all_accounted());
+  auto scheduler = leader(2, 10);
+  scheduler->host_stored(host, now);
+  scheduler->job_stored(record, 5, now);
+  scheduler->on_previous_leader_fenced(now + 1);
+  scheduler->tick(now + 10.9);
+  EXPECT_FALSE(scheduler->all_accounted());
+  scheduler->tick(now + 11.5);
+  EXPECT_TRUE(scheduler->all_accounted());
 }
 
 TEST_F(Fixture, WhatNobodyHasAccountedForCountsAgainstTheLimit) {
   record.started = true;
   record.spec.tasks = 3;
-  auto core = leader(2, 10);
-  core->host_stored(host, now);
-  core->job_stored(record, 5, now);
+  auto scheduler = leader(2, 10);
+  scheduler->host_stored(host, now);
+  scheduler->job_stored(record, 5, now);
   JobRecord other = record;
   other.spec.id = "job-2";
   other.started = false;
-  core->job_stored(other, 6, now);
-  const auto token = core->report(report("i-9", 1, 0), true, now).token;
-  core->report(report("i-9", 2, token), true, now + 0.1);
-  core->tick(now + 0.2);
-  EXPECT_EQ(core->jobs().at("job-2").placements.size(), 1u) << "three of four may be taken";
+  scheduler->job_stored(other, 6, now);
+  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
+  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  scheduler->tick(now + 0.2);
+  EXPECT_EQ(scheduler->jobs().at("job-2").placements.size(), 1u) << "three of four may be taken";
 }
 
 TEST_F(Fixture, AnAnswerToOrdersIsNoProofThatAStartInAReportsAnswerCameToNothing) {
-  auto core = leader(1, 0);
-  core->job_stored(record, 5, now);
-  const auto token = core->report(report("i-9", 1, 0), true, now).token;
-  core->report(report("i-9", 2, token), true, now + 0.1);
-  core->tick(now + 0.2);
-  write_all(*core);
-  ASSERT_EQ(core->report(report("i-9", 3, token), true, now + 0.3).commands.size(), 2u);
+  auto scheduler = leader(1, 0);
+  scheduler->job_stored(record, 5, now);
+  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
+  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  scheduler->tick(now + 0.2);
+  write_all(*scheduler);
+  ASSERT_EQ(scheduler->report(report("i-9", 3, token), true, now + 0.3).commands.size(), 2u);
   record.state = JobState::Cancelled;
   record.started = true;
-  core->job_stored(record, 500, now + 0.3);
-  core->orders_done("i-9", report("i-9", 4, token), true, now + 0.4);
-  EXPECT_EQ(core->jobs().at("job-1").placements.size(), 2u) << "the start may still be on its way";
-  core->report(report("i-9", 5, token), true, now + 1);
-  EXPECT_TRUE(core->jobs().at("job-1").placements.empty());
+  scheduler->job_stored(record, 500, now + 0.3);
+  scheduler->orders_done("i-9", report("i-9", 4, token), true, now + 0.4);
+  EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u)
+      << "the start may still be on its way";
+  scheduler->report(report("i-9", 5, token), true, now + 1);
+  EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
 }
 
 TEST_F(Fixture, WhileAnOrderIsOutAReportProvesNothingAndGetsNoCommands) {
-  auto core = leader(1, 0);
-  core->job_stored(record, 5, now);
-  auto token = core->report(report("i-9", 1, 0), true, now).token;
-  core->report(report("i-9", 2, token), true, now + 0.1);
-  core->tick(now + 0.2);
-  write_all(*core);
-  ASSERT_EQ(orders(core->tick(now + 0.3)).size(), 1u);
+  auto scheduler = leader(1, 0);
+  scheduler->job_stored(record, 5, now);
+  auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
+  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  scheduler->tick(now + 0.2);
+  write_all(*scheduler);
+  ASSERT_EQ(orders(scheduler->tick(now + 0.3)).size(), 1u);
   record.state = JobState::Cancelled;
   record.started = true;
-  core->job_stored(record, 500, now + 0.3);
-  EXPECT_TRUE(core->report(report("i-9", 3, token), true, now + 0.5).commands.empty());
-  EXPECT_EQ(core->jobs().at("job-1").placements.size(), 2u);
-  core->orders_done("i-9", std::nullopt, false, now + 2);
-  const auto raised = core->report(report("i-9", 4, token), true, now + 2.1).token;
+  scheduler->job_stored(record, 500, now + 0.3);
+  EXPECT_TRUE(scheduler->report(report("i-9", 3, token), true, now + 0.5).commands.empty());
+  EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u);
+  scheduler->orders_done("i-9", std::nullopt, false, now + 2);
+  const auto raised = scheduler->report(report("i-9", 4, token), true, now + 2.1).token;
   EXPECT_GT(raised, token) << "the order may be executed minutes late: the token ends that";
-  EXPECT_EQ(core->jobs().at("job-1").placements.size(), 2u);
-  core->report(report("i-9", 5, raised), true, now + 3);
-  EXPECT_TRUE(core->jobs().at("job-1").placements.empty());
+  EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u);
+  scheduler->report(report("i-9", 5, raised), true, now + 3);
+  EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
 }
 
 /// Machines that carry out what they are told to. A task fails where its job was submitted with a
@@ -527,7 +532,7 @@
     std::map<std::pair<TaskKey, uint64_t>, Task> tasks;
   };
   static constexpr Seconds kFailsAfter = 0.6, kDoneAfter = 3;
-  std::unique_ptr<LeaderCore> core;
+  std::unique_ptr<Scheduler> scheduler;
   std::map<std::string, Worker> workers;
   std::set<std::string> mistaken, sick;
   std::map<std::string, size_t> failed, done;  ///< starts that ended, by job
@@ -538,14 +543,14 @@
     type.boot_s = 1000;  // no machine is given back for being idle
     record.spec.kind = JobKind::Array;
     record.spec.need = {4, 1, 4};
-    core = leader(1, 0);
+    scheduler = leader(1, 0);
     for (int i = 1; i <= 12; ++i) workers["i-" + std::to_string(i)];
   }
 
   void submit(const std::string& id, uint32_t tasks) {
     record.spec.id = id;
     record.spec.tasks = tasks;
-    core->job_stored(record, ++revision, now);
+    scheduler->job_stored(record, ++revision, now);
   }
 
   WorkerReport report_of(const std::string& id) {
@@ -590,13 +595,13 @@
   void carry_out(const Action& action) {
     if (const auto* order = std::get_if<SendOrders>(&action)) {
       carry_out(order->machine, order->token, order->commands);
-      core->orders_done(order->machine, report_of(order->machine), true, now);
+      scheduler->orders_done(order->machine, report_of(order->machine), true, now);
     } else if (const auto* release = std::get_if<Release>(&action)) {
       for (const auto& id : release->machines) workers.erase(id);
-      core->release_done(*release, true, now);
+      scheduler->release_done(*release, true, now);
     } else if (const auto* rent = std::get_if<Rent>(&action)) {
       rented += static_cast<size_t>(rent->count);
-      core->rent_done(*rent, LeaderCore::RentOutcome::Refused, {}, now);
+      scheduler->rent_done(*rent, Scheduler::RentOutcome::Refused, {}, now);
     }
   }
 
@@ -606,11 +611,11 @@
       for (auto& [id, worker] : workers) {
         run_tasks(id);
         if (step % 5 != 0) continue;
-        const auto answer = core->report(report_of(id), true, now);
+        const auto answer = scheduler->report(report_of(id), true, now);
         carry_out(id, answer.token, answer.commands);
       }
-      for (const auto& action : core->tick(now)) carry_out(action);
-      write_all(*core);
+      for (const auto& action : scheduler->tick(now)) carry_out(action);
+      write_all(*scheduler);
     }
   }
 
@@ -677,19 +682,19 @@
 
 /// A task of job-1 runs on i-9; the leader hears of the cancellation only when told to.
 struct Cancelled : Fixture {
-  std::unique_ptr<LeaderCore> core = leader(1, 0);
+  std::unique_ptr<Scheduler> scheduler = leader(1, 0);
   uint64_t token = 0, attempt = 0;
 
   Cancelled() {
     record.spec.tasks = 1;
-    core->job_stored(record, 5, now);
-    token = core->report(report("i-9", 1, 0), true, now).token;
-    core->report(report("i-9", 2, token), true, now + 0.1);
-    core->tick(now + 0.2);
-    write_all(*core);
-    for (const auto& c : core->report(report("i-9", 3, token), true, now + 0.3).commands)
+    scheduler->job_stored(record, 5, now);
+    token = scheduler->report(report("i-9", 1, 0), true, now).token;
+    scheduler->report(report("i-9", 2, token), true, now + 0.1);
+    scheduler->tick(now + 0.2);
+    write_all(*scheduler);
+    for (const auto& c : scheduler->report(report("i-9", 3, token), true, now + 0.3).commands)
       if (c.verb == Verb::Start) attempt = c.attempt;
-    core->report(running(4), true, now + 1);
+    scheduler->report(running(4), true, now + 1);
   }
   WorkerReport running(uint64_t seq) {
     return report("i-9", seq, token, {{{"job-1", 0}, attempt, TaskState::Running}});
@@ -697,9 +702,9 @@
   void cancel() {
     record.state = JobState::Cancelled;
     record.started = true;
-    core->job_stored(record, 500, now + 1);
+    scheduler->job_stored(record, 500, now + 1);
   }
-  bool stops(const LeaderCore::ReportAnswer& answer) const {
+  bool stops(const Scheduler::ReportAnswer& answer) const {
     return answer.fresh && std::count(answer.commands.begin(), answer.commands.end(),
                                       Command{Verb::Stop, {"job-1", 0}, attempt, 0}) == 1;
   }
@@ -708,45 +713,46 @@
 // Each answer renews the worker's lease: without the stop a cancelled task whose first stop was
 // lost would go on for as long as that is renewed.
 TEST_F(Cancelled, ALeaderWhoseLeaseHasExpiredStopsWhatItKnowsToBeCancelled) {
-  EXPECT_TRUE(core->report(running(5), false, now + 2).commands.empty()) << "and nothing else";
+  EXPECT_TRUE(scheduler->report(running(5), false, now + 2).commands.empty()) << "and nothing else";
   cancel();
-  EXPECT_TRUE(stops(core->report(running(6), false, now + 3)));
+  EXPECT_TRUE(stops(scheduler->report(running(6), false, now + 3)));
 }
 
 TEST_F(Cancelled, AMachineThatHasNotShownTheTokenIsToldToStop) {
   cancel();
-  ASSERT_EQ(orders(core->tick(now + 2)).size(), 1u);
-  core->orders_done("i-9", std::nullopt, false, now + 3);
-  EXPECT_TRUE(stops(core->report(running(5), true, now + 3.1))) << "the token is raised only now";
+  ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
+  scheduler->orders_done("i-9", std::nullopt, false, now + 3);
+  EXPECT_TRUE(stops(scheduler->report(running(5), true, now + 3.1)))
+      << "the token is raised only now";
 }
 
 TEST_F(Cancelled, AMachineThatAnOrderIsOnItsWayToIsToldToStop) {
   cancel();
-  ASSERT_EQ(orders(core->tick(now + 2)).size(), 1u);
-  EXPECT_TRUE(stops(core->report(running(5), true, now + 2.5)));
+  ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
+  EXPECT_TRUE(stops(scheduler->report(running(5), true, now + 2.5)));
 }
 
 TEST_F(Cancelled, AReportThatAnOrdersAnswerHasOvertakenIsAnsweredWithStops) {
   cancel();
-  core->orders_done("i-9", running(7), true, now + 2);
-  EXPECT_TRUE(stops(core->report(running(6), true, now + 2.1)));
+  scheduler->orders_done("i-9", running(7), true, now + 2);
+  EXPECT_TRUE(stops(scheduler->report(running(6), true, now + 2.1)));
 }
 
 TEST_F(Cancelled, AStopThatWasNotCarriedOutIsOrderedAgain) {
   cancel();
-  ASSERT_EQ(orders(core->tick(now + 2)).size(), 1u);
-  core->orders_done("i-9", std::nullopt, false, now + 3);
+  ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
+  scheduler->orders_done("i-9", std::nullopt, false, now + 3);
   auto shown = running(5);
-  shown.token = core->report(running(5), true, now + 3.1).token;
+  shown.token = scheduler->report(running(5), true, now + 3.1).token;
   shown.seq = 6;
-  core->probed("i-9", shown, now + 4);
-  EXPECT_EQ(orders(core->tick(now + 5)).size(), 1u);
+  scheduler->probed("i-9", shown, now + 4);
+  EXPECT_EQ(orders(scheduler->tick(now + 5)).size(), 1u);
 }
 
 TEST_F(Cancelled, NoNumberOfStartsCrowdsOutAStop) {
   settings.teams[0].gpus_max = 0;
   type.room = {2000, 4, 2000};
-  core->set_types({type});
+  scheduler->set_types({type});
   cancel();
   JobRecord crowd = record;
   crowd.state = JobState::Pending;
@@ -755,12 +761,12 @@
   crowd.spec.kind = JobKind::Array;
   crowd.spec.need = {1, 0, 1};
   crowd.spec.tasks = 500;
-  core->job_stored(crowd, 6, now + 1);
-  core->report(running(5), true, now + 1.1);
-  core->tick(now + 2);
-  core->orders_done("i-9", running(6), true, now + 2.1);
-  write_all(*core);
-  const auto answer = core->report(running(7), true, now + 3);
+  scheduler->job_stored(crowd, 6, now + 1);
+  scheduler->report(running(5), true, now + 1.1);
+  scheduler->tick(now + 2);
+  scheduler->orders_done("i-9", running(6), true, now + 2.1);
+  write_all(*scheduler);
+  const auto answer = scheduler->report(running(7), true, now + 3);
   EXPECT_GT(answer.commands.size(), 200u);
   EXPECT_TRUE(stops(answer));
   EXPECT_EQ(answer.commands[0].verb, Verb::Stop);
@@ -771,54 +777,55 @@
   record.spec.tasks = 1;
   record.started = true;
   for (bool old_first : {true, false}) {
-    auto core = leader(3, 5);
-    core->host_stored(host, now);
-    core->host_stored({"i-2", "10.0.0.3:9", "g", "e", false}, now);
-    core->job_stored(record, 5, now);
+    auto scheduler = leader(3, 5);
+    scheduler->host_stored(host, now);
+    scheduler->host_stored({"i-2", "10.0.0.3:9", "g", "e", false}, now);
+    scheduler->job_stored(record, 5, now);
     const auto old_one = report("i-1", 4, 1 << 20, {{{"job-1", 0}, 7, TaskState::Running}});
     const auto real = report("i-2", 9, 2 << 20, {{{"job-1", 0}, 8, TaskState::Running}});
-    core->report(old_first ? old_one : real, true, now + 0.1);
-    core->report(old_first ? real : old_one, true, now + 0.2);
-    EXPECT_TRUE(core->machines().at("i-2").runs.begin()->second.wanted);
-    EXPECT_FALSE(core->machines().at("i-1").runs.begin()->second.wanted);
-    EXPECT_EQ(core->jobs().at("job-1").placements.at(0).size(), 2u)
+    scheduler->report(old_first ? old_one : real, true, now + 0.1);
+    scheduler->report(old_first ? real : old_one, true, now + 0.2);
+    EXPECT_TRUE(scheduler->machines().at("i-2").runs.begin()->second.wanted);
+    EXPECT_FALSE(scheduler->machines().at("i-1").runs.begin()->second.wanted);
+    EXPECT_EQ(scheduler->jobs().at("job-1").placements.at(0).size(), 2u)
         << "it counts as there all the same";
   }
 }
 
 TEST_F(Fixture, AMachineThatReportsToNobodyGetsNothingNewThoughItAnswersOrders) {
-  auto core = leader(1, 0);
-  const auto token = core->report(report("i-9", 1, 0), true, now).token;
-  core->report(report("i-9", 2, token), true, now + 0.1);
-  for (int i = 1; i <= 8; ++i) core->probed("i-9", report("i-9", 2 + i, token), now + i);
-  core->job_stored(record, 5, now + 8);
-  core->tick(now + 8.1);
-  EXPECT_TRUE(core->jobs().at("job-1").placements.empty()) << "what it runs ends with its lease";
-  core->report(report("i-9", 20, token), true, now + 8.2);
-  core->request_round();
-  core->tick(now + 8.3);
-  EXPECT_FALSE(core->jobs().at("job-1").placements.empty());
+  auto scheduler = leader(1, 0);
+  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
+  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  for (int i = 1; i <= 8; ++i) scheduler->probed("i-9", report("i-9", 2 + i, token), now + i);
+  scheduler->job_stored(record, 5, now + 8);
+  scheduler->tick(now + 8.1);
+  EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty())
+      << "what it runs ends with its lease";
+  scheduler->report(report("i-9", 20, token), true, now + 8.2);
+  scheduler->request_round();
+  scheduler->tick(now + 8.3);
+  EXPECT_FALSE(scheduler->jobs().at("job-1").placements.empty());
 }
 
 TEST_F(Fixture, ALateCopyOfAReportIsNotAnswered) {
-  auto core = leader(1, 0);
-  const auto token = core->report(report("i-9", 5, 0), true, now).token;
-  EXPECT_FALSE(core->report(report("i-9", 5, 0), true, now + 1).fresh);
-  EXPECT_FALSE(core->report(report("i-9", 4, 0), true, now + 1).fresh);
-  EXPECT_TRUE(core->report(report("i-9", 6, token), true, now + 1).fresh);
+  auto scheduler = leader(1, 0);
+  const auto token = scheduler->report(report("i-9", 5, 0), true, now).token;
+  EXPECT_FALSE(scheduler->report(report("i-9", 5, 0), true, now + 1).fresh);
+  EXPECT_FALSE(scheduler->report(report("i-9", 4, 0), true, now + 1).fresh);
+  EXPECT_TRUE(scheduler->report(report("i-9", 6, token), true, now + 1).fresh);
 }
 
 TEST_F(Fixture, AResultIsClearedOnlyOnceItIsDurable) {
   record.spec.kind = JobKind::Array;
   record.started = true;
-  auto core = leader(2, 0);
-  core->job_stored(record, 5, now);
+  auto scheduler = leader(2, 0);
+  scheduler->job_stored(record, 5, now);
   const TaskReport done{{"job-1", 0}, 7, TaskState::Exited, ExitCause::Done};
-  const auto token = core->report(report("i-9", 1, 0, {done}), true, now).token;
-  EXPECT_TRUE(core->report(report("i-9", 2, token, {done}), true, now + 0.1).commands.empty());
+  const auto token = scheduler->report(report("i-9", 1, 0, {done}), true, now).token;
+  EXPECT_TRUE(scheduler->report(report("i-9", 2, token, {done}), true, now + 0.1).commands.empty());
   now += 5;
-  write_all(*core);
-  const auto answer = core->report(report("i-9", 3, token, {done}), true, now);
+  write_all(*scheduler);
+  const auto answer = scheduler->report(report("i-9", 3, token, {done}), true, now);
   ASSERT_EQ(answer.commands.size(), 1u);
   EXPECT_EQ(answer.commands[0].verb, Verb::Forget);
 }
@@ -827,18 +834,19 @@
   record.spec.kind = JobKind::Array;
   record.spec.tasks = 100000;
   record.started = true;
-  auto core = leader(2, 0);
-  core->job_stored(record, 5, now);
+  auto scheduler = leader(2, 0);
+  scheduler->job_stored(record, 5, now);
   std::vector<TaskReport> done;
   for (uint32_t t = 0; t < 100000; t += 20)
     done.push_back({{"job-1", t}, 7, TaskState::Exited, ExitCause::Done});
-  core->report(report("i-9", 1, 0, done), true, now);
+  scheduler->report(report("i-9", 1, 0, done), true, now);
   now += 5;
-  const auto writes = core->wanted_writes(now, 20);
+  const auto writes = scheduler->wanted_writes(now, 20);
   ASSERT_EQ(writes.size(), 1u);
   EXPECT_LT(wire::encode_job(*writes[0].record).size(), settings.state_value_kb * 1024);
-  core->write_done(writes[0], true, 600, now);
-  EXPECT_TRUE(core->wanted_writes(now + 5, 20).empty()) << "what finds no room is not tried again";
+  scheduler->write_done(writes[0], true, 600, now);
+  EXPECT_TRUE(scheduler->wanted_writes(now + 5, 20).empty())
+      << "what finds no room is not tried again";
 }
 
 TEST(ConcurrencyLimit, FollowsMeasuredTimes) {
@@ -868,11 +876,11 @@
         s.cancel_s = s.lease_s * *rc::gen::inRange(13, 60) / 10.0;
         RC_ASSERT(s.answers_s() > 0);
         RC_ASSERT(s.answers_s() + s.lease_s < s.cancel_s);
-        Leadership::Config config;
+        LeaderElection::Config config;
         config.lease = s.tuning.leader_lease * s.lease_s;
         config.grace = s.answers_s();
-        Leadership l(config,
-                     {[](auto, auto) {}, [](auto, auto) {}, [](auto) {}, [](auto, auto) {}});
+        LeaderElection l(config,
+                         {[](auto, auto) {}, [](auto, auto) {}, [](auto) {}, [](auto, auto) {}});
         l.tick(0, true, false, 0);
         l.tick(1, true, false, 0);
         l.granted(1, 1, 7, 1);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -7,9 +7,9 @@
 #include <random>
 #include <set>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 #include "generators.h"
-#include "leader_fixture.h"
+#include "scheduler_fixture.h"
 
 namespace sumacquay {
 namespace {
@@ -21,7 +21,7 @@
   LargeFleet() : LeaderFixture(kTerm, 6, 31) {
     settings.cancel_s = 70;
     type.boot_s = 50;
-    new_core();
+    new_scheduler();
   }
 
   static std::string machine(int i) { return "i-" + std::to_string(100000 + i); }
@@ -36,7 +36,7 @@
     reports += 2;
   }
 
-  size_t placed(int i) const { return core->jobs().at(job_id(i)).placements.size(); }
+  size_t placed(int i) const { return scheduler->jobs().at(job_id(i)).placements.size(); }
 
   uint64_t reports = 0;
 };
@@ -57,22 +57,22 @@
       {JobKind::Array, 10, 100000, kSmall, 40},
   };
   for (const Case& c : cases) {
-    new_core();
+    new_scheduler();
     add_machines(c.machines);
     JobRecord record = job(job_id(1), c.tasks);
     record.spec.kind = c.kind;
     record.spec.need = c.need;
-    core->job_stored(record, 5, kNow);
-    core->tick(kNow);
+    scheduler->job_stored(record, 5, kNow);
+    scheduler->tick(kNow);
     EXPECT_EQ(placed(1), c.placed) << c.machines << " machines, " << c.tasks << " tasks";
   }
 }
 
 TEST_F(LargeFleet, RentsInProportionToTheFleetInRequestsThatTheCloudTakes) {
   add_machines(kMachines);
-  core->job_stored(job(job_id(1), 4 * kMachines), 5, kNow);
-  core->job_stored(job(job_id(2), 4 * kMachines), 6, kNow);
-  const auto requests = rented(core->tick(kNow));
+  scheduler->job_stored(job(job_id(1), 4 * kMachines), 5, kNow);
+  scheduler->job_stored(job(job_id(2), 4 * kMachines), 6, kNow);
+  const auto requests = rented(scheduler->tick(kNow));
   int all = 0;
   for (const int request : requests) {
     EXPECT_LE(request, 50) << "the protocol's limit";
@@ -89,13 +89,13 @@
   for (int step = 0; step < 40 && returned.size() < kIdle; ++step) {
     now += settings.report_s;
     for (int i = 0; i < kIdle; ++i)
-      if (!returned.contains(machine(i))) core->report(next_report(i, token), true, now);
-    for (const auto& action : core->tick(now)) {
+      if (!returned.contains(machine(i))) scheduler->report(next_report(i, token), true, now);
+    for (const auto& action : scheduler->tick(now)) {
       const auto* release = std::get_if<Release>(&action);
       if (!release) continue;
       EXPECT_LE(release->machines.size(), 100u) << "the protocol's limit";
       returned.insert(release->machines.begin(), release->machines.end());
-      core->release_done(*release, true, now);
+      scheduler->release_done(*release, true, now);
     }
   }
   EXPECT_EQ(returned.size(), size_t{kIdle});
@@ -107,7 +107,7 @@
   EXPECT_TRUE(testing::holds(
       "fleet that comes back",
       [this] {
-        new_core();
+        new_scheduler();
         const int cancelled = *rc::gen::inRange(0, kMachines);
         const int waiting = *rc::gen::inRange(1000, 3000);
         std::mt19937_64 random(static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 30)));
@@ -117,32 +117,32 @@
           host.addr = "10.0.0.2:9";
           host.type = "g";
           host.zone = "e";
-          core->host_stored(host, kNow);
+          scheduler->host_stored(host, kNow);
           auto record = job(job_id(i), 1);
           record.started = true;
           record.hosts = std::vector<std::string>{machine(i)};
           if (i < cancelled) record.state = JobState::Cancelled;
-          core->job_stored(record, ++revision, kNow);
+          scheduler->job_stored(record, ++revision, kNow);
         }
         for (int i = 0; i < waiting; ++i)
-          core->job_stored(job(job_id(kMachines + i), 1), ++revision, kNow);
-        RC_ASSERT(!core->all_accounted());
+          scheduler->job_stored(job(job_id(kMachines + i), 1), ++revision, kNow);
+        RC_ASSERT(!scheduler->all_accounted());
         std::vector<int> order(kMachines);
         std::iota(order.begin(), order.end(), 0);
         std::shuffle(order.begin(), order.end(), random);
         constexpr uint64_t kOldToken = (kTerm - 1) << kTokenCounterBits;
         for (const int i : order) {
           const TaskReport task{{job_id(i), 0}, kOldToken | 1, TaskState::Running};
-          const auto answer = core->report(next_report(i, kOldToken, {task}), true, kNow);
+          const auto answer = scheduler->report(next_report(i, kOldToken, {task}), true, kNow);
           RC_ASSERT(answer.fresh && answer.token >= token);
           const bool stops =
               std::any_of(answer.commands.begin(), answer.commands.end(),
                           [](const Command& command) { return command.verb == Verb::Stop; });
           RC_ASSERT(stops == (i < cancelled));
-          core->report(next_report(i, token, {task}), true, kNow);
+          scheduler->report(next_report(i, token, {task}), true, kNow);
         }
-        RC_ASSERT(core->all_accounted());
-        core->tick(kNow);
+        RC_ASSERT(scheduler->all_accounted());
+        scheduler->tick(kNow);
         size_t started = 0;
         for (int i = 0; i < waiting; ++i) started += placed(kMachines + i);
         RC_ASSERT(started == static_cast<size_t>(waiting));
@@ -154,16 +154,16 @@
   add_machines(1);
   constexpr uint64_t kFewLeft = kTokenCounterEnd * 95 / 100;
   for (uint64_t i = 0; i < kFewLeft; ++i) {
-    ASSERT_TRUE(i >= kTokenCounterEnd / 2 || !core->term_nearly_used_up());
-    core->orders_done(machine(0), std::nullopt, false, kNow);
+    ASSERT_TRUE(i >= kTokenCounterEnd / 2 || !scheduler->term_nearly_exhausted());
+    scheduler->orders_done(machine(0), std::nullopt, false, kNow);
   }
-  EXPECT_TRUE(core->term_nearly_used_up());
-  EXPECT_EQ(term_of_token(core->report(next_report(0, token), true, kNow).token), kTerm);
+  EXPECT_TRUE(scheduler->term_nearly_exhausted());
+  EXPECT_EQ(term_of_token(scheduler->report(next_report(0, token), true, kNow).token), kTerm);
 }
 
 // Beyond the last number an attempt would be one of the next leader's.
-TEST(TermNumbers, EndBeforeTheNextTermsNumbersAndSayInTimeThatTheyDo) {
-  TermNumbers numbers(kTerm);
+TEST(FencingTokenAllocator, EndBeforeTheNextTermsNumbersAndSayInTimeThatTheyDo) {
+  FencingTokenAllocator numbers(kTerm);
   uint64_t last = 0;
   size_t handed_out = 0;
   size_t left_when_told = 0;
@@ -173,7 +173,7 @@
     ASSERT_EQ(term_of_token(attempt), kTerm);
     last = attempt;
     ++handed_out;
-    if (numbers.nearly_used_up() && left_when_told == 0) left_when_told = numbers.attempts_left();
+    if (numbers.nearly_exhausted() && left_when_told == 0) left_when_told = numbers.attempts_left();
   }
   EXPECT_EQ(handed_out, kTokenCounterEnd - 1);
   EXPECT_GT(left_when_told, size_t{100000}) << "an array of the protocol's largest size";
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "node/action_executor.h"
-#include "node/active_core.h"
+#include "node/active_scheduler.h"
 #include "node/heartbeat_details.h"
 #include "node/worker_clients.h"
 #include "node/write_pacing.h"
@@ -56,31 +56,31 @@
   EXPECT_EQ(clients.size(), 0u);
 }
 
-std::unique_ptr<LeaderCore> new_core(const Settings& settings) {
-  return std::make_unique<LeaderCore>(settings, 1, 1000, 1000);
+std::unique_ptr<Scheduler> new_scheduler(const Settings& settings) {
+  return std::make_unique<Scheduler>(settings, 1, 1000, 1000);
 }
 
-TEST(ActiveCore, IsFoundByCallbacksOfItsOwnGenerationAlone) {
+TEST(ActiveScheduler, IsFoundByCallbacksOfItsOwnGenerationAlone) {
   const Settings settings;
-  ActiveCore core;
-  EXPECT_FALSE(core);
-  core.begin(new_core(settings));
-  const uint64_t first = core.generation();
-  EXPECT_EQ(core.get(first), core.get());
-  EXPECT_TRUE(core.get(first));
-
-  const uint64_t ended = core.end();
-  EXPECT_FALSE(core.get(first)) << "stepped down";
-  EXPECT_TRUE(core) << "kept until it is released: one of its calls may be under way";
-
-  core.begin(new_core(settings));
-  EXPECT_FALSE(core.get(first)) << "leads anew";
-  EXPECT_TRUE(core.get(core.generation()));
-  core.release(ended);
-  EXPECT_TRUE(core) << "this node leads anew";
-  core.release(core.end());
-  EXPECT_FALSE(core);
-  EXPECT_FALSE(core.get(core.generation()));
+  ActiveScheduler scheduler;
+  EXPECT_FALSE(scheduler);
+  scheduler.begin(new_scheduler(settings));
+  const uint64_t first = scheduler.generation();
+  EXPECT_EQ(scheduler.get(first), scheduler.get());
+  EXPECT_TRUE(scheduler.get(first));
+
+  const uint64_t ended = scheduler.end();
+  EXPECT_FALSE(scheduler.get(first)) << "stepped down";
+  EXPECT_TRUE(scheduler) << "kept until it is released: one of its calls may be under way";
+
+  scheduler.begin(new_scheduler(settings));
+  EXPECT_FALSE(scheduler.get(first)) << "leads anew";
+  EXPECT_TRUE(scheduler.get(scheduler.generation()));
+  scheduler.release(ended);
+  EXPECT_TRUE(scheduler) << "this node leads anew";
+  scheduler.release(scheduler.end());
+  EXPECT_FALSE(scheduler);
+  EXPECT_FALSE(scheduler.get(scheduler.generation()));
 }
 
 Settings with_state_limits(int transaction_changes, double changes_per_second) {
@@ -120,7 +120,7 @@
 }
 
 TEST(RentAnswer, IsARefusalOnlyWhereTheCloudSaysSo) {
-  using Outcome = LeaderCore::RentOutcome;
+  using Outcome = Scheduler::RentOutcome;
   EXPECT_EQ(read_rent_answer(answer(503)).outcome, Outcome::Refused);
   EXPECT_EQ(read_rent_answer(answer(400)).outcome, Outcome::Refused);
   EXPECT_EQ(read_rent_answer(answer(429)).outcome, Outcome::Unknown);
@@ -133,19 +133,19 @@
 
 TEST(HeartbeatDetails, TellOfImagesAndOfMachinesThatBoot) {
   const Settings settings;
-  const auto core = new_core(settings);
-  core->host_stored({"i-1", "10.0.0.1:9", "g", "east", false}, 1000);
-  core->image_held("i-1", "img", 7);
+  const auto scheduler = new_scheduler(settings);
+  scheduler->host_stored({"i-1", "10.0.0.1:9", "g", "east", false}, 1000);
+  scheduler->image_held("i-1", "img", 7);
   ListedMachine booting;
   booting.id = "i-2";
   booting.type = "g";
   booting.zone = "west";
   booting.spot = true;
   booting.age_s = 3;
-  core->listed({booting}, 1000);
+  scheduler->listed({booting}, 1000);
 
   wire::Heartbeat heartbeat;
-  add_hints(*core, 1005, heartbeat);
+  add_hints(*scheduler, 1005, heartbeat);
   ASSERT_EQ(heartbeat.images.size(), 1u);
   EXPECT_EQ(heartbeat.images[0].machine, "i-1");
   EXPECT_EQ(heartbeat.images[0].image, "img");
@@ -159,13 +159,13 @@
 
 TEST(HeartbeatDetails, CountWhatRunsOfJobsThatAreKnown) {
   const Settings settings;
-  const auto core = new_core(settings);
+  const auto scheduler = new_scheduler(settings);
   JobRecord record;
   record.spec.id = "job-1";
   record.spec.tasks = 3;
   record.started = true;
   record.done.add(0);
-  core->job_stored(record, 1, 1000);
+  scheduler->job_stored(record, 1, 1000);
   WorkerReport report;
   report.machine = "i-1";
   report.type = "g";
@@ -173,10 +173,10 @@
   report.session = report.seq = 1;
   for (const std::string job : {"job-1", "unknown"})
     report.tasks.push_back({{job, 1}, 5, TaskState::Running, ExitCause::None});
-  core->report(report, true, 1000);
+  scheduler->report(report, true, 1000);
 
   wire::Heartbeat heartbeat;
-  add_counts(*core, heartbeat);
+  add_counts(*scheduler, heartbeat);
   ASSERT_EQ(heartbeat.counts.size(), 1u);
   EXPECT_EQ(heartbeat.counts[0].job, "job-1");
   EXPECT_EQ(heartbeat.counts[0].done, 1u);
