--- a/tests/prompt_dispatch_test.cpp
+++ b/tests/prompt_dispatch_test.cpp
@@ -5,9 +5,9 @@
 #include <deque>
 
 #include "backlog/pending_queue.h"
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 #include "generators.h"
-#include "leader_fixture.h"
+#include "scheduler_fixture.h"
 #include "world/world.h"
 
 namespace sumacquay {
@@ -76,15 +76,15 @@
   PromptLeader() : LeaderFixture(kTerm, 1, 10) { settings.tuning.prompt_dispatch = true; }
 
   std::vector<RecordWrite> writes(size_t most = 20) const {
-    return core->wanted_writes(kNow, most);
+    return scheduler->wanted_writes(kNow, most);
   }
   void write_all() {
     for (auto batch = writes(); !batch.empty(); batch = writes())
-      for (const auto& write : batch) core->write_done(write, true, ++revision, kNow);
+      for (const auto& write : batch) scheduler->write_done(write, true, ++revision, kNow);
   }
   std::vector<SendOrders> dispatched() const {
     std::vector<SendOrders> out;
-    for (const auto& action : core->dispatch(kNow))
+    for (const auto& action : scheduler->dispatch(kNow))
       if (const auto* order = std::get_if<SendOrders>(&action)) out.push_back(*order);
     return out;
   }
@@ -92,8 +92,8 @@
 
 TEST_F(PromptLeader, OrdersStartsAsSoonAsTheirRecordsAreWrittenWithoutATick) {
   add_machine("i-1");
-  core->job_stored(job("job-1", 3), 5, kNow);
-  core->tick(kNow);
+  scheduler->job_stored(job("job-1", 3), 5, kNow);
+  scheduler->tick(kNow);
   EXPECT_TRUE(dispatched().empty()) << "nothing of it is durable";
   write_all();
   const auto orders = dispatched();
@@ -107,15 +107,15 @@
     const std::string machine = "i-1-" + last;
     const std::string id = last == "job" ? "job-1" : "job-2";
     add_machine(machine);
-    core->job_stored(job(id, 4), ++revision, kNow);
-    core->request_round();
-    core->tick(kNow);
+    scheduler->job_stored(job(id, 4), ++revision, kNow);
+    scheduler->request_round();
+    scheduler->tick(kNow);
     auto both = writes();
     ASSERT_EQ(both.size(), 2u);
     if (both.back().host.empty() != (last == "job")) std::swap(both.front(), both.back());
     for (const auto& write : both) {
       EXPECT_TRUE(dispatched().empty()) << last << " last";
-      core->write_done(write, true, ++revision, kNow);
+      scheduler->write_done(write, true, ++revision, kNow);
     }
     EXPECT_EQ(dispatched().size(), 1u) << last << " last";
   }
@@ -123,64 +123,64 @@
 
 TEST_F(PromptLeader, WritesNothingThatTheRecordHasComeToSayMeanwhile) {
   add_machine("i-1");
-  core->job_stored(job("job-1", 1), 5, kNow);
-  core->tick(kNow);
+  scheduler->job_stored(job("job-1", 1), 5, kNow);
+  scheduler->tick(kNow);
   const auto first = writes();
   ASSERT_EQ(first.size(), 2u);
-  for (const auto& write : first) core->write_done(write, false, 0, kNow);
+  for (const auto& write : first) scheduler->write_done(write, false, 0, kNow);
   // The answers were lost, and the writes were carried out all the same.
   for (const auto& write : first)
-    if (write.record) core->job_stored(*write.record, ++revision, kNow);
+    if (write.record) scheduler->job_stored(*write.record, ++revision, kNow);
   for (const auto& write : writes()) EXPECT_EQ(write.host, "i-1") << write.job;
 }
 
 TEST_F(PromptLeader, WantsAWriteAgainThatFailedBeforeTheNextRound) {
   add_machine("i-1");
-  core->job_stored(job("job-1", 1), 5, kNow);
-  core->tick(kNow);
+  scheduler->job_stored(job("job-1", 1), 5, kNow);
+  scheduler->tick(kNow);
   const auto first = writes();
   ASSERT_EQ(first.size(), 2u);
   EXPECT_TRUE(writes().empty()) << "each is under way once";
-  for (const auto& write : first) core->write_done(write, false, 0, kNow);
+  for (const auto& write : first) scheduler->write_done(write, false, 0, kNow);
   EXPECT_EQ(writes().size(), 2u);
 }
 
 TEST_F(PromptLeader, StartsNothingWhereAnOrderMayStillBeCarriedOutLate) {
   add_machine("i-1");
-  core->job_stored(job("job-1", 1), 5, kNow);
-  core->tick(kNow);
+  scheduler->job_stored(job("job-1", 1), 5, kNow);
+  scheduler->tick(kNow);
   write_all();
   ASSERT_EQ(dispatched().size(), 1u);
-  core->job_stored(job("job-2", 1), 5, kNow);
-  core->request_round();
-  core->tick(kNow);
+  scheduler->job_stored(job("job-2", 1), 5, kNow);
+  scheduler->request_round();
+  scheduler->tick(kNow);
   write_all();
   EXPECT_TRUE(dispatched().empty()) << "one order at a time";
-  core->orders_done("i-1", std::nullopt, false, kNow);
+  scheduler->orders_done("i-1", std::nullopt, false, kNow);
   EXPECT_TRUE(dispatched().empty()) << "the token has been raised and was not shown yet";
   const double later = kNow + 2 * settings.report_s;
-  for (const auto& action : core->tick(later))
+  for (const auto& action : scheduler->tick(later))
     EXPECT_FALSE(std::holds_alternative<SendOrders>(action)) << "nor later, by a round";
-  core->report(report("i-1", 3, kToken + 1), true, later);
-  EXPECT_EQ(core->dispatch(later).size(), 0u) << "the answer to the report carried the start";
+  scheduler->report(report("i-1", 3, kToken + 1), true, later);
+  EXPECT_EQ(scheduler->dispatch(later).size(), 0u) << "the answer to the report carried the start";
 }
 
 TEST_F(PromptLeader, OrdersStopsOfACancelledJobWithoutATick) {
   add_machine("i-1");
-  core->job_stored(job("job-1", 1), 5, kNow);
-  core->tick(kNow);
+  scheduler->job_stored(job("job-1", 1), 5, kNow);
+  scheduler->tick(kNow);
   write_all();
   const auto started = dispatched();
   ASSERT_EQ(started.size(), 1u);
   const auto attempt = started[0].commands[0].attempt;
-  core->orders_done(
+  scheduler->orders_done(
       "i-1",
       report("i-1", 3, kToken, {{{"job-1", 0}, attempt, TaskState::Running, ExitCause::None}}),
       true, kNow);
   dispatched();
-  JobRecord cancelled = core->jobs().at("job-1").stored;
+  JobRecord cancelled = scheduler->jobs().at("job-1").stored;
   cancelled.state = JobState::Cancelled;
-  core->job_stored(cancelled, ++revision, kNow);
+  scheduler->job_stored(cancelled, ++revision, kNow);
   const auto stopped = dispatched();
   ASSERT_EQ(stopped.size(), 1u);
   EXPECT_EQ(stopped[0].commands[0].verb, Verb::Stop);
@@ -188,8 +188,8 @@
 
 TEST_F(PromptLeader, FindsWithTheNextRoundWhatBecameDueByTimeAlone) {
   add_machine("i-1");
-  core->job_stored(job("job-1", 2), 5, kNow);
-  core->tick(kNow);
+  scheduler->job_stored(job("job-1", 2), 5, kNow);
+  scheduler->tick(kNow);
   write_all();
   const auto orders = dispatched();
   ASSERT_EQ(orders.size(), 1u);
@@ -199,11 +199,11 @@
     tasks.push_back({command.key, command.attempt, TaskState::Running, ExitCause::None});
   tasks[0].state = TaskState::Exited;
   tasks[0].cause = ExitCause::Done;
-  core->orders_done("i-1", report("i-1", 3, kToken, tasks), true, kNow);
+  scheduler->orders_done("i-1", report("i-1", 3, kToken, tasks), true, kNow);
   EXPECT_TRUE(writes().empty()) << "progress is written in batches";
   const double later = kNow + 1.1 * settings.report_s;
-  core->tick(later);
-  const auto progress = core->wanted_writes(later, 20);
+  scheduler->tick(later);
+  const auto progress = scheduler->wanted_writes(later, 20);
   ASSERT_EQ(progress.size(), 1u);
   EXPECT_EQ(progress[0].record->done.count(), 1u);
 }
@@ -212,9 +212,9 @@
   add_machine("i-1");
   JobRecord over = job("job-1", 1);
   over.state = JobState::Cancelled;
-  core->job_stored(over, 5, kNow);
-  core->job_stored(job("job-2", 1), 6, kNow);
-  core->tick(kNow);
+  scheduler->job_stored(over, 5, kNow);
+  scheduler->job_stored(job("job-2", 1), 6, kNow);
+  scheduler->tick(kNow);
   std::vector<std::string> jobs;
   for (const auto& write : writes())
     if (!write.job.empty()) jobs.push_back(write.job);
@@ -226,17 +226,17 @@
   const auto many = [](size_t i) { return std::to_string(1000 + i); };
   for (size_t i = 0; i < machines; ++i) leader.add_machine("i-" + many(i));
   for (size_t i = 0; i < jobs; ++i)
-    leader.core->job_stored(PromptLeader::job("job-" + many(i), 1), 5 + i, PromptLeader::kNow);
-  leader.core->tick(PromptLeader::kNow);
+    leader.scheduler->job_stored(PromptLeader::job("job-" + many(i), 1), 5 + i, PromptLeader::kNow);
+  leader.scheduler->tick(PromptLeader::kNow);
   leader.write_all();
   leader.dispatched();
-  leader.core->job_stored(PromptLeader::job("job-1", 1), 500, PromptLeader::kNow);
-  leader.core->request_round();
-  leader.core->tick(PromptLeader::kNow);
-  const size_t before = leader.core->work().dispatch_checks;
+  leader.scheduler->job_stored(PromptLeader::job("job-1", 1), 500, PromptLeader::kNow);
+  leader.scheduler->request_round();
+  leader.scheduler->tick(PromptLeader::kNow);
+  const size_t before = leader.scheduler->work().dispatch_checks;
   leader.write_all();
   EXPECT_EQ(leader.dispatched().size(), 1u);
-  return leader.core->work().dispatch_checks - before;
+  return leader.scheduler->work().dispatch_checks - before;
 }
 
 TEST_F(PromptLeader, CostsWhatItSendsAndNotALookAtTheFleet) {
@@ -248,26 +248,26 @@
 TEST_F(PromptLeader, IsOffByDefault) {
   settings.tuning.prompt_dispatch = Tuning{}.prompt_dispatch;
   add_machine("i-1");
-  core->job_stored(job("job-1", 1), 5, kNow);
-  core->tick(kNow);
+  scheduler->job_stored(job("job-1", 1), 5, kNow);
+  scheduler->tick(kNow);
   write_all();
   EXPECT_TRUE(dispatched().empty());
-  EXPECT_FALSE(core->tick(kNow).empty()) << "with the next tick";
+  EXPECT_FALSE(scheduler->tick(kNow).empty()) << "with the next tick";
 }
 
 TEST_F(PromptLeader, RentsAtThePaceOfTheFleetInRequestsThatTheCloudTakes) {
   for (int i = 0; i < 100; ++i) add_machine("i-" + std::to_string(1000 + i));
-  core->job_stored(job("job-1", 400), 5, kNow);
-  core->job_stored(job("job-2", 480), 6, kNow);
+  scheduler->job_stored(job("job-1", 400), 5, kNow);
+  scheduler->job_stored(job("job-2", 480), 6, kNow);
   settings.tuning.rent = 0.7;
-  EXPECT_EQ(rented(core->tick(kNow)), (std::vector<int>{50, 20}));
+  EXPECT_EQ(rented(scheduler->tick(kNow)), (std::vector<int>{50, 20}));
 }
 
 TEST_F(PromptLeader, RentsAFewAtOnceUnlessToldOtherwise) {
   for (int i = 0; i < 100; ++i) add_machine("i-" + std::to_string(1000 + i));
-  core->job_stored(job("job-1", 400), 5, kNow);
-  core->job_stored(job("job-2", 480), 6, kNow);
-  EXPECT_EQ(rented(core->tick(kNow)), std::vector<int>{12});
+  scheduler->job_stored(job("job-1", 400), 5, kNow);
+  scheduler->job_stored(job("job-2", 480), 6, kNow);
+  EXPECT_EQ(rented(scheduler->tick(kNow)), std::vector<int>{12});
 }
 
 // ---------------------------------------------------------------- several controllers
--- a/tests/record_room_test.cpp
+++ b/tests/record_room_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 #include "generators.h"
 #include "wire/json_size.h"
 #include "wire/records.h"
@@ -124,7 +124,7 @@
   JobRecord record;
   double now = 1000;
   uint64_t revision = 100;
-  std::unique_ptr<LeaderCore> core;
+  std::unique_ptr<Scheduler> scheduler;
 
   LoweredLimits() {
     settings.state_value_kb = 2;
@@ -138,13 +138,13 @@
     record.spec.need = {1, 0, 1};
     record.submitted_ms = 1;
     record.started = true;
-    core = std::make_unique<LeaderCore>(settings, 2, now, now);
+    scheduler = std::make_unique<Scheduler>(settings, 2, now, now);
     MachineType type;
     type.name = "g";
     type.room = {16, 4, 64};
     type.zones = {"e"};
-    core->set_types({type});
-    core->host_stored({"i-9", "10.0.0.1:9", "g", "e", false}, now);
+    scheduler->set_types({type});
+    scheduler->host_stored({"i-9", "10.0.0.1:9", "g", "e", false}, now);
   }
 
   /// Far more than two KiB of done numbers, and of hosts that are all gone.
@@ -154,7 +154,7 @@
     for (int i = 100; i < 500; ++i) record.hosts->push_back("i-" + std::to_string(i));
     record.hosts->push_back("i-9");
     ASSERT_GT(size_of(record), kMostBytes);
-    core->job_stored(record, ++revision, now);
+    scheduler->job_stored(record, ++revision, now);
   }
 
   void report(uint64_t seq, std::vector<TaskReport> tasks) const {
@@ -167,7 +167,7 @@
     r.seq = seq;
     r.token = kToken;
     r.tasks = std::move(tasks);
-    core->report(r, true, now);
+    scheduler->report(r, true, now);
   }
 
   static TaskReport done(uint32_t task) {
@@ -179,19 +179,19 @@
     int writes = 0;
     for (int i = 0; i < seconds; ++i) {
       now += 1;
-      core->tick(now);
-      for (const auto& write : core->wanted_writes(now, 20)) {
+      scheduler->tick(now);
+      for (const auto& write : scheduler->wanted_writes(now, 20)) {
         if (write.host.empty() && !write.finished) {
           ++writes;
           EXPECT_LE(size_of(*write.record), kMostBytes);
         }
-        core->write_done(write, true, ++revision, now);
+        scheduler->write_done(write, true, ++revision, now);
       }
     }
     return writes;
   }
 
-  const Job& job() const { return core->jobs().at("job-1"); }
+  const Job& job() const { return scheduler->jobs().at("job-1"); }
 };
 
 TEST_F(LoweredLimits, ARecordThatIsTooLargeIsNotRewrittenForNothing) {
@@ -214,10 +214,10 @@
 
 TEST_F(LoweredLimits, HostsThatFindNoRoomAreLeftOut) {
   for (int i = 100; i < 400; ++i)
-    core->host_stored({"i-" + std::to_string(i), "10.0.0.1:9", "g", "e", false}, now);
+    scheduler->host_stored({"i-" + std::to_string(i), "10.0.0.1:9", "g", "e", false}, now);
   record.hosts.emplace();
   for (int i = 100; i < 400; ++i) record.hosts->push_back("i-" + std::to_string(i));
-  core->job_stored(record, ++revision, now);
+  scheduler->job_stored(record, ++revision, now);
   report(1, {done(0)});
   EXPECT_EQ(writes_within(2), 1) << "all of them are still unaccounted for";
   EXPECT_FALSE(job().stored.hosts) << "its tasks may be anywhere";
@@ -227,14 +227,14 @@
   record.state = JobState::Cancelled;
   store_oversized();
   report(1, {});
-  const auto writes = core->wanted_writes(now, 20);
+  const auto writes = scheduler->wanted_writes(now, 20);
   ASSERT_EQ(writes.size(), 1u);
   EXPECT_TRUE(writes[0].finished);
   EXPECT_EQ(writes[0].record->done.count(), 1000u);
 }
 
 TEST_F(LoweredLimits, WhatIsStoredStaysStoredAsTheGapsFill) {
-  core->job_stored(record, ++revision, now);
+  scheduler->job_stored(record, ++revision, now);
   std::vector<TaskReport> tasks;
   for (uint32_t task = 3999; task > 1000; task -= 7) tasks.push_back(done(task));
   report(1, tasks);
@@ -254,13 +254,13 @@
   record.started = false;
   record.spec.types = std::vector<std::string>(12, std::string(190, 'x'));
   record.spec.types->push_back("g");
-  core->job_stored(record, ++revision, now);
+  scheduler->job_stored(record, ++revision, now);
   record.spec.types.reset();
   record.spec.id = "job-2";
-  core->job_stored(record, ++revision, now);
+  scheduler->job_stored(record, ++revision, now);
   report(1, {});
   EXPECT_GT(writes_within(3), 0);
-  EXPECT_TRUE(core->jobs().at("job-2").stored.started);
+  EXPECT_TRUE(scheduler->jobs().at("job-2").stored.started);
   EXPECT_FALSE(job().stored.started);
 }
 
--- a/tests/leader_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 
 namespace sumacquay::testing {
 
@@ -25,12 +25,12 @@
     type.name = "g";
     type.room = {4, 4, 16};
     type.zones = {"e"};
-    new_core();
+    new_scheduler();
   }
 
-  void new_core() {
-    core = std::make_unique<LeaderCore>(settings, term, kNow, kNow);
-    core->set_types({type});
+  void new_scheduler() {
+    scheduler = std::make_unique<Scheduler>(settings, term, kNow, kNow);
+    scheduler->set_types({type});
   }
 
   static JobRecord job(const std::string& id, uint32_t tasks) {
@@ -59,8 +59,8 @@
 
   /// A machine that is up and has shown the leader's token.
   void add_machine(const std::string& id) const {
-    core->report(report(id, 1, 0), true, kNow);
-    core->report(report(id, 2, token), true, kNow);
+    scheduler->report(report(id, 1, 0), true, kNow);
+    scheduler->report(report(id, 2, token), true, kNow);
   }
 
   /// How many machines each request among the actions asks the cloud for.
@@ -75,7 +75,7 @@
   uint64_t token;  ///< of a machine whose orders were all answered
   Settings settings;
   MachineType type;
-  std::unique_ptr<LeaderCore> core;
+  std::unique_ptr<Scheduler> scheduler;
   uint64_t revision = 100;
 };
 
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -848,7 +848,7 @@
   expect_all("job-2", "200 cancelled", "while the first is among the live ones");
 }
 
-/// The leader's node tells its core how they ended, also when that has left its memory.
+/// The leader's node tells its scheduler how they ended, also when that has left its memory.
 TEST_F(Dependents, FindTheEndOfAJobThatLeftMemory) {
   prepare(b, 1);
   b.mirror->start();
@@ -1034,9 +1034,9 @@
   constexpr int kJobs = 6;
   std::vector<std::string> ids;
   for (int i = 1; i <= kJobs; ++i) ids.push_back("job-" + std::to_string(i));
-  ActiveCore active;
+  ActiveScheduler active;
   a.settings.report_s = 0.4;
-  active.begin(std::make_unique<LeaderCore>(a.settings, 1, 0, 0));
+  active.begin(std::make_unique<Scheduler>(a.settings, 1, 0, 0));
   for (const auto& id : ids) {
     JobRecord record;
     record.spec.id = id;
--- a/tests/world/controller_heartbeats.cpp
+++ b/tests/world/controller_heartbeats.cpp
@@ -11,7 +11,7 @@
 wire::Heartbeat ControllerProcess::own_heartbeat() const {
   wire::Heartbeat heartbeat;
   heartbeat.node = node_name(controller_);
-  heartbeat.term = leadership_->highest_term();
+  heartbeat.term = election_->highest_term();
   heartbeat.leading = may_answer();
   heartbeat.status = delegate_->status(env_.now());
   return heartbeat;
@@ -52,8 +52,8 @@
   wire::Heartbeat answer = own_heartbeat();
   const std::string& zone = env_.controllers[from].settings.zone;
   if (leads() && settings().finds_delegate(zone))
-    answer.delegation = core_->delegations().delegate(heartbeat.node, zone,
-                                                      leadership_->answers_until(), env_.now());
+    answer.delegation = scheduler_->delegations().delegate(heartbeat.node, zone,
+                                                           election_->answers_until(), env_.now());
   return answer;
 }
 
@@ -62,11 +62,12 @@
   if (env_.now() - asked_at > kAnswerDeadline * settings().renew_s()) return;
   hear(answer);
   if (answer.delegation) delegate_->delegated(*answer.delegation, asked_at, env_.now());
-  if (!core_ || answer.leading || answer.term < leadership_->term()) return;
+  if (!scheduler_ || answer.leading || answer.term < election_->term()) return;
   // The peer follows this term: it answers no worker under an older one. Once all do, nobody else
   // can renew a worker's lease.
   peer_terms_[peer] = answer.term;
-  if (peer_terms_.size() + 1 == env_.controllers.size()) core_->fenced(env_.now());
+  if (peer_terms_.size() + 1 == env_.controllers.size())
+    scheduler_->on_previous_leader_fenced(env_.now());
 }
 
 void ControllerProcess::hear(const wire::Heartbeat& heartbeat) {
@@ -74,10 +75,10 @@
   const bool newer = !known_leader_ || heartbeat.term >= known_leader_->term;
   if (peer && heartbeat.leading && newer)
     known_leader_ = KnownLeader{*peer, heartbeat.term, env_.now()};
-  leadership_->saw_term(env_.now(), heartbeat.term);
-  if (core_ && peer)
-    core_->delegations().heard(heartbeat.node, env_.controllers[*peer].settings.zone,
-                               heartbeat.status, env_.now());
+  election_->observe_term(env_.now(), heartbeat.term);
+  if (scheduler_ && peer)
+    scheduler_->delegations().heard(heartbeat.node, env_.controllers[*peer].settings.zone,
+                                    heartbeat.status, env_.now());
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/world/controller_process.cpp
+++ b/tests/world/controller_process.cpp
@@ -31,11 +31,11 @@
       served_at_(environment.now()) {
   delegate_ =
       std::make_unique<Delegate>(nonce, settings().delegation_after_s(), settings().answers_s());
-  Leadership::Config config;
+  LeaderElection::Config config;
   config.lease = settings().leader_lease_s();
   config.renew = settings().renew_s();
   config.grace = settings().answers_s();
-  leadership_ = std::make_unique<Leadership>(config, leadership_effects());
+  election_ = std::make_unique<LeaderElection>(config, election_effects());
 }
 
 void ControllerProcess::schedule(Seconds delay, ControllerHosts::Event event) {
@@ -43,11 +43,11 @@
 }
 
 bool ControllerProcess::leads() const {
-  return core_ && leadership_->may_act(env_.now());
+  return scheduler_ && election_->may_act(env_.now());
 }
 
 bool ControllerProcess::may_answer() const {
-  return core_ && leadership_->may_answer(env_.now());
+  return scheduler_ && election_->may_answer(env_.now());
 }
 
 void ControllerProcess::step() {
@@ -58,12 +58,12 @@
       me.next_read_ = me.env_.now() + me.env_.random.between(0.05, 0.2);
     });
   }
-  leadership_->records_known(records_.known_at());
-  leadership_->tick(env_.now(), records_.loaded(), records_.leader().version != 0,
-                    env_.random.between(0, 1));
+  election_->records_known(records_.known_at());
+  election_->tick(env_.now(), records_.loaded(), records_.leader().version != 0,
+                  env_.random.between(0, 1));
   resign_if_no_worker_reaches_us();
   if (leads()) {
-    for (const auto& action : core_->tick(env_.now())) perform(action);
+    for (const auto& action : scheduler_->tick(env_.now())) perform(action);
     write_records();
   }
   if (env_.now() >= next_heartbeat_) {
@@ -91,24 +91,28 @@
 
 // ---------------------------------------------------------------- leadership
 
-Leadership::Effects ControllerProcess::leadership_effects() {
-  Leadership::Effects effects;
-  effects.grant = [this](Leadership::Campaign campaign, Seconds lease) { grant(campaign, lease); };
-  effects.elect = [this](Leadership::Campaign campaign, uint64_t lease) { elect(campaign, lease); };
+LeaderElection::Effects ControllerProcess::election_effects() {
+  LeaderElection::Effects effects;
+  effects.grant = [this](LeaderElection::Campaign campaign, Seconds lease) {
+    grant(campaign, lease);
+  };
+  effects.elect = [this](LeaderElection::Campaign campaign, uint64_t lease) {
+    elect(campaign, lease);
+  };
   effects.renew = [this](uint64_t lease) { renew(lease); };
-  effects.changed = [this](Leadership::State from, Leadership::State to) {
-    leadership_changed(from, to);
+  effects.changed = [this](LeaderElection::State from, LeaderElection::State to) {
+    election_state_changed(from, to);
   };
   return effects;
 }
 
-void ControllerProcess::grant(Leadership::Campaign campaign, Seconds lease) {
+void ControllerProcess::grant(LeaderElection::Campaign campaign, Seconds lease) {
   links_.state.request(
       controller_, StateChannel::RequestKind::Other, links_.state.grant(lease),
       [campaign, asked_at = env_.now()](ControllerProcess& me, const StateReply& reply) {
         std::optional<uint64_t> granted;
         if (reply.ok()) granted = reply.lease;
-        me.leadership_->granted(me.env_.now(), campaign, granted, asked_at);
+        me.election_->granted(me.env_.now(), campaign, granted, asked_at);
       });
 }
 
@@ -116,8 +120,8 @@
   links_.state.request(
       controller_, StateChannel::RequestKind::Other, links_.state.renew(lease),
       [lease, sent_at = env_.now()](ControllerProcess& me, const StateReply& reply) {
-        me.leadership_->renewed(me.env_.now(), lease, sent_at, reply.ok(),
-                                reply.outcome == StateOutcome::Failed);
+        me.election_->renewed(me.env_.now(), lease, sent_at, reply.ok(),
+                              reply.outcome == StateOutcome::Failed);
       },
       settings().renew_s());
 }
@@ -127,9 +131,9 @@
                        [](ControllerProcess&, const StateReply&) {});
 }
 
-void ControllerProcess::elect(Leadership::Campaign campaign, uint64_t lease) {
+void ControllerProcess::elect(LeaderElection::Campaign campaign, uint64_t lease) {
   const auto& last_term = records_.term();
-  const uint64_t term = std::max(last_term.value.term, leadership_->highest_term()) + 1;
+  const uint64_t term = std::max(last_term.value.term, election_->highest_term()) + 1;
   const wire::LeaderRecord record{node_name(controller_), nonce_, term, lease};
   const Seconds end = env_.now() + settings().leader_lease_s();
   links_.state.request(
@@ -140,23 +144,23 @@
           WriterTerm{term, nonce_}),
       [campaign, record, lease, end](ControllerProcess& me, const StateReply& reply) {
         if (reply.ok()) {
-          me.records_.won_leadership(record, reply.revision);
+          me.records_.won_election(record, reply.revision);
           return me.read_earlier_writes(campaign, record.term, end);
         }
         me.revoke(lease);
         me.read_records([campaign](ControllerProcess& it, bool) {
-          it.leadership_->elected(it.env_.now(), campaign, false, 0);
+          it.election_->elected(it.env_.now(), campaign, false, 0);
         });
       });
 }
 
 /// Reads everything that earlier leaders wrote before this process acts on the records.
-void ControllerProcess::read_earlier_writes(Leadership::Campaign campaign, uint64_t term,
+void ControllerProcess::read_earlier_writes(LeaderElection::Campaign campaign, uint64_t term,
                                             Seconds end) {
   read_records([campaign, term, end](ControllerProcess& me, bool fresh) {
     const Seconds now = me.env_.now();
-    if (fresh) return me.leadership_->elected(now, campaign, true, term);
-    if (now > end) return me.leadership_->elected(now, campaign, false, 0);
+    if (fresh) return me.election_->elected(now, campaign, true, term);
+    if (now > end) return me.election_->elected(now, campaign, false, 0);
     me.schedule(me.env_.options.lease_s * kReadRetryShare,
                 [campaign, term, end](ControllerProcess& it) {
                   it.read_earlier_writes(campaign, term, end);
@@ -164,39 +168,42 @@
   });
 }
 
-void ControllerProcess::leadership_changed(Leadership::State from, Leadership::State to) {
-  if (to == Leadership::State::Follower) return cease_leading();
-  if (to == Leadership::State::Leading && from != Leadership::State::Expired) begin_leading();
+void ControllerProcess::election_state_changed(LeaderElection::State from,
+                                               LeaderElection::State to) {
+  if (to == LeaderElection::State::Follower) return stop_leading();
+  if (to == LeaderElection::State::Leading && from != LeaderElection::State::Expired)
+    start_leading();
 }
 
-void ControllerProcess::cease_leading() {
-  // Reset from inside a call of the core's would pull it away under its feet.
+void ControllerProcess::stop_leading() {
+  // Reset from inside a call of the scheduler's would pull it away under its feet.
   schedule(0, [generation = generation_](ControllerProcess& me) {
-    if (generation + 1 == me.generation_ && me.leadership_->state() == Leadership::State::Follower)
-      me.core_.reset();
+    if (generation + 1 == me.generation_ &&
+        me.election_->state() == LeaderElection::State::Follower)
+      me.scheduler_.reset();
   });
   ++generation_;
 }
 
-void ControllerProcess::begin_leading() {
+void ControllerProcess::start_leading() {
   ++generation_;
   writing_ = false;
   peer_terms_.clear();
   const Seconds now = env_.now();
-  core_ = std::make_unique<LeaderCore>(settings(), leadership_->term(), now,
-                                       now + settings().answers_s());
-  core_->set_types({machine_type(env_.options)});
-  for (const auto& [id, machine] : records_.hosts()) core_->host_stored(machine.value, now);
-  for (const auto& [id, job] : records_.live()) core_->job_stored(job.value, job.version, now);
+  scheduler_ =
+      std::make_unique<Scheduler>(settings(), election_->term(), now, now + settings().answers_s());
+  scheduler_->set_types({machine_type(env_.options)});
+  for (const auto& [id, machine] : records_.hosts()) scheduler_->host_stored(machine.value, now);
+  for (const auto& [id, job] : records_.live()) scheduler_->job_stored(job.value, job.version, now);
   tell_finished_dependencies();
   send_heartbeats();
   links_.workers.send_kept_copies();
 }
 
 void ControllerProcess::resign_if_no_worker_reaches_us() {
-  if (!leads() || !core_->no_worker_reaches_us(env_.now())) return;
-  const uint64_t lease = leadership_->lease();
-  leadership_->resign(env_.now(), kRestAfterResigning * settings().leader_lease_s());
+  if (!leads() || !scheduler_->no_worker_reaches_us(env_.now())) return;
+  const uint64_t lease = election_->lease();
+  election_->resign(env_.now(), kRestAfterResigning * settings().leader_lease_s());
   revoke(lease);
 }
 
@@ -205,27 +212,27 @@
 void ControllerProcess::orders_done(uint64_t generation, const std::string& machine,
                                     const std::optional<WorkerReport>& report, bool executed) {
   if (!current(generation)) return;
-  if (report) leadership_->saw_term(env_.now(), term_of_token(report->token));
-  if (core_) core_->orders_done(machine, report, executed, env_.now());
+  if (report) election_->observe_term(env_.now(), term_of_token(report->token));
+  if (scheduler_) scheduler_->orders_done(machine, report, executed, env_.now());
 }
 
 void ControllerProcess::probed(uint64_t generation, const std::string& machine,
                                const std::optional<WorkerReport>& report) {
   if (!current(generation)) return;
-  if (report) leadership_->saw_term(env_.now(), term_of_token(report->token));
-  if (core_) core_->probed(machine, report, env_.now());
+  if (report) election_->observe_term(env_.now(), term_of_token(report->token));
+  if (scheduler_) scheduler_->probed(machine, report, env_.now());
 }
 
 void ControllerProcess::rent_done(uint64_t generation, const Rent& rent,
                                   const std::vector<std::string>& machines) {
   if (!current(generation)) return;
   const auto outcome =
-      machines.empty() ? LeaderCore::RentOutcome::Refused : LeaderCore::RentOutcome::Rented;
-  core_->rent_done(rent, outcome, machines, env_.now());
+      machines.empty() ? Scheduler::RentOutcome::Refused : Scheduler::RentOutcome::Rented;
+  scheduler_->rent_done(rent, outcome, machines, env_.now());
 }
 
 void ControllerProcess::release_done(uint64_t generation, const Release& release, bool ok) {
-  if (current(generation)) core_->release_done(release, ok, env_.now());
+  if (current(generation)) scheduler_->release_done(release, ok, env_.now());
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/world/controller_process.h
+++ b/tests/world/controller_process.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "dispatch/leader_core.h"
+#include "dispatch/scheduler.h"
 #include "leadership/delegation.h"
-#include "leadership/leadership.h"
+#include "leadership/leader_election.h"
 #include "world/environment.h"
 #include "world/record_copy.h"
 #include "world/state_channel.h"
@@ -39,8 +39,8 @@
   std::vector<Command> commands;
 };
 
-/// One process of a controller: the real Leadership, LeaderCore, Delegate and Delegations with the
-/// I/O of a node around them, in virtual time.
+/// One process of a controller: the real LeaderElection, Scheduler, Delegate and Delegations with
+/// the I/O of a node around them, in virtual time.
 class ControllerProcess : public std::enable_shared_from_this<ControllerProcess> {
  public:
   /// Starts a process on the controller's host.
@@ -57,7 +57,7 @@
   /// May start tasks and write records.
   bool leads() const;
   bool may_answer() const;
-  uint64_t term() const { return leadership_->term(); }
+  uint64_t term() const { return election_->term(); }
 
   /// Brings the copy of the records up to date; `done(process, fresh)`.
   using ReadDone = std::function<void(ControllerProcess&, bool fresh)>;
@@ -93,7 +93,7 @@
   const ControllerHost& host() const { return env_.controllers[controller_]; }
   const Settings& settings() const { return host().settings; }
   void schedule(Seconds delay, ControllerHosts::Event event);
-  bool current(uint64_t generation) const { return generation == generation_ && core_; }
+  bool current(uint64_t generation) const { return generation == generation_ && scheduler_; }
 
   void perform(const Action& action);
   void carry_out(const SendOrders& orders);
@@ -101,16 +101,16 @@
   void carry_out(const Rent& rent);
   void carry_out(const Release& release);
 
-  // Leadership.
-  Leadership::Effects leadership_effects();
-  void grant(Leadership::Campaign campaign, Seconds lease);
+  // LeaderElection.
+  LeaderElection::Effects election_effects();
+  void grant(LeaderElection::Campaign campaign, Seconds lease);
   void renew(uint64_t lease);
   void revoke(uint64_t lease);
-  void elect(Leadership::Campaign campaign, uint64_t lease);
-  void read_earlier_writes(Leadership::Campaign campaign, uint64_t term, Seconds end);
-  void leadership_changed(Leadership::State from, Leadership::State to);
-  void begin_leading();
-  void cease_leading();
+  void elect(LeaderElection::Campaign campaign, uint64_t lease);
+  void read_earlier_writes(LeaderElection::Campaign campaign, uint64_t term, Seconds end);
+  void election_state_changed(LeaderElection::State from, LeaderElection::State to);
+  void start_leading();
+  void stop_leading();
   void resign_if_no_worker_reaches_us();
 
   // Records.
@@ -118,7 +118,7 @@
   void leader_record_changed();
   void job_record_changed(const std::string& id);
   void all_job_records_changed();
-  /// The core reads no records: it is told of finished jobs as far as others depend on them.
+  /// The scheduler reads no records: it is told of finished jobs as far as others depend on them.
   void tell_finished_dependencies();
   void read_unknown_dependencies();
   void write_records();
@@ -146,8 +146,8 @@
   const size_t controller_;
   const uint64_t nonce_;
   RecordCopy records_;
-  std::unique_ptr<Leadership> leadership_;
-  std::unique_ptr<LeaderCore> core_;  ///< while this process leads
+  std::unique_ptr<LeaderElection> election_;
+  std::unique_ptr<Scheduler> scheduler_;  ///< while this process leads
   std::unique_ptr<Delegate> delegate_;
   uint64_t generation_ = 0;
   std::map<size_t, uint64_t> peer_terms_;  ///< the terms that the others follow
--- a/tests/world/controller_records.cpp
+++ b/tests/world/controller_records.cpp
@@ -53,7 +53,7 @@
 
 void ControllerProcess::leader_record_changed() {
   const auto& leader = records_.leader();
-  leadership_->saw_term(env_.now(), std::max(leader.value.term, records_.term().value.term));
+  election_->observe_term(env_.now(), std::max(leader.value.term, records_.term().value.term));
   const bool of_this_host = leader.version && leader.value.node == node_name(controller_);
   if (!of_this_host || leader.value.nonce == nonce_ || revoked_) return;
   // An earlier process of this host held the lease. It has ended, so nobody need wait for it.
@@ -62,32 +62,33 @@
 }
 
 void ControllerProcess::job_record_changed(const std::string& id) {
-  if (!core_) return;
+  if (!scheduler_) return;
   const auto job = records_.live().find(id);
   if (job != records_.live().end())
-    core_->job_stored(job->second.value, job->second.version, env_.now());
+    scheduler_->job_stored(job->second.value, job->second.version, env_.now());
   else
-    core_->job_finished(id);
+    scheduler_->job_finished(id);
   tell_finished_dependencies();
-  core_->request_round();
+  scheduler_->request_round();
 }
 
 void ControllerProcess::all_job_records_changed() {
-  if (!core_) return;
+  if (!scheduler_) return;
   std::vector<std::string> finished;
-  for (const auto& [id, job] : core_->jobs())
+  for (const auto& [id, job] : scheduler_->jobs())
     if (!records_.live().contains(id)) finished.push_back(id);
-  for (const auto& id : finished) core_->job_finished(id);
+  for (const auto& id : finished) scheduler_->job_finished(id);
   for (const auto& [id, job] : records_.live())
-    core_->job_stored(job.value, job.version, env_.now());
+    scheduler_->job_stored(job.value, job.version, env_.now());
   tell_finished_dependencies();
-  core_->request_round();
+  scheduler_->request_round();
 }
 
 void ControllerProcess::tell_finished_dependencies() {
-  const std::set<std::string> unknown = core_->unknown_dependencies();
+  const std::set<std::string> unknown = scheduler_->unknown_dependencies();
   for (const auto& id : unknown)
-    if (const auto record = records_.dependency_end(id)) core_->dependency_finished(id, *record);
+    if (const auto record = records_.dependency_end(id))
+      scheduler_->dependency_finished(id, *record);
 }
 
 /// One at a time, as in the node.
@@ -127,7 +128,7 @@
 void ControllerProcess::write_records() {
   if (writing_ || !leads() || !records_.loaded()) return;
   const auto writes =
-      core_->wanted_writes(env_.now(), static_cast<size_t>(settings().state_txn_ops));
+      scheduler_->wanted_writes(env_.now(), static_cast<size_t>(settings().state_txn_ops));
   if (writes.empty()) return;
   const auto transaction = record_transaction(writes, records_.term().version);
   env_.digest.add(env_.now(), controller_, transaction);
@@ -135,7 +136,7 @@
   links_.state.request(
       controller_, StateChannel::RequestKind::Transaction,
       links_.state.transaction(transaction.guards, stored(transaction.changes),
-                               WriterTerm{leadership_->term(), nonce_}),
+                               WriterTerm{election_->term(), nonce_}),
       [writes, generation = generation_](ControllerProcess& me, const StateReply& reply) {
         if (me.current(generation)) me.records_written(writes, reply);
       });
@@ -146,10 +147,11 @@
   const bool committed = reply.ok();
   if (committed)
     for (const auto& write : writes) apply_written(write, reply.revision);
-  for (const auto& write : writes) core_->write_done(write, committed, reply.revision, env_.now());
+  for (const auto& write : writes)
+    scheduler_->write_done(write, committed, reply.revision, env_.now());
   if (committed) {
     writing_ = false;
-    core_->request_round();
+    scheduler_->request_round();
     return dispatch();
   }
   // It failed, or nobody knows: what the records say now decides what is still to be written.
@@ -161,7 +163,7 @@
 /// As the node does with prompt dispatch once a transaction has been carried out.
 void ControllerProcess::dispatch() {
   if (!settings().tuning.prompt_dispatch || !leads()) return;
-  for (const auto& action : core_->dispatch(env_.now())) perform(action);
+  for (const auto& action : scheduler_->dispatch(env_.now())) perform(action);
   write_records();
 }
 
--- a/tests/world/controller_reports.cpp
+++ b/tests/world/controller_reports.cpp
@@ -16,14 +16,14 @@
 }
 
 ReportReply ControllerProcess::answer_report(const WorkerReport& report) {
-  leadership_->saw_term(env_.now(), term_of_token(report.token));
+  election_->observe_term(env_.now(), term_of_token(report.token));
   if (may_answer()) return digested(report, answer_as_leader(report));
   if (const auto reply = answer_as_delegate(report)) return digested(report, *reply);
   return digested(report, redirect());
 }
 
 ReportReply ControllerProcess::answer_copy(const WorkerReport& report) {
-  leadership_->saw_term(env_.now(), term_of_token(report.token));
+  election_->observe_term(env_.now(), term_of_token(report.token));
   return digested(report, may_answer() ? answer_as_leader(report) : redirect());
 }
 
@@ -36,7 +36,7 @@
 }
 
 ReportReply ControllerProcess::answer_as_leader(const WorkerReport& report) {
-  const auto answer = core_->report(report, leadership_->may_act(env_.now()), env_.now());
+  const auto answer = scheduler_->report(report, election_->may_act(env_.now()), env_.now());
   ReportReply reply;
   reply.status = answer.fresh ? ReportStatus::Answered : ReportStatus::Late;
   reply.token = answer.token;
@@ -45,12 +45,12 @@
 }
 
 std::optional<ReportReply> ControllerProcess::answer_as_delegate(const WorkerReport& report) {
-  const bool may_be_delegate = leadership_->state() == Leadership::State::Follower &&
+  const bool may_be_delegate = election_->state() == LeaderElection::State::Follower &&
                                report.zone == settings().zone &&
                                env_.now() - served_at_ > settings().delegation_after_s();
   if (!may_be_delegate) return std::nullopt;
   const auto stops = delegate_->answer(
-      report, leadership_->highest_term(), records_.known_at(),
+      report, election_->highest_term(), records_.known_at(),
       [this](const std::string& job) { return records_.ended(job); }, env_.now());
   if (!stops) return std::nullopt;
   links_.workers.answered_by_delegate();
--- a/tests/world/record_copy.cpp
+++ b/tests/world/record_copy.cpp
@@ -78,7 +78,7 @@
   update.leader_changed = true;
 }
 
-void RecordCopy::won_leadership(const wire::LeaderRecord& record, uint64_t revision) {
+void RecordCopy::won_election(const wire::LeaderRecord& record, uint64_t revision) {
   leader_seen_ = std::max(leader_seen_, revision);
   leader_ = term_ = {record, revision};
 }
--- a/tests/world/record_copy.h
+++ b/tests/world/record_copy.h
@@ -32,7 +32,7 @@
   Update apply(const StateReply& reply, Seconds asked_at);
 
   // What this controller's own transactions have written.
-  void won_leadership(const wire::LeaderRecord& record, uint64_t revision);
+  void won_election(const wire::LeaderRecord& record, uint64_t revision);
   /// False: the copy has something newer.
   bool wrote_job(const JobRecord& record, uint64_t version);
   void wrote_finished(const std::string& id, const wire::FinishedRecord& record);
