--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -17,7 +17,7 @@
 constexpr SettingRange kAnyAmount{0, kMostAmount};
 constexpr SettingRange kAnySpan{0, kMostSeconds};
 constexpr SettingRange kShareRange{0, 1};
-constexpr SettingRange kReportPeriodRange{0.01, 3600};
+constexpr SettingRange kHeartbeatPeriodRange{0.01, 3600};
 constexpr SettingRange kLeaseRange{0.1, kMostSeconds};
 constexpr SettingRange kStateRateRange{1, kMostAmount};
 constexpr SettingRange kCloudRateRange{0.01, kMostAmount};
@@ -63,7 +63,7 @@
 }
 
 void read_worker_limits(const TomlTable& workers, Settings& settings) {
-  settings.report_s = workers.number("report_s", kReportPeriodRange);
+  settings.heartbeat_period_s = workers.number("report_s", kHeartbeatPeriodRange);
   settings.lease_s = workers.number("lease_s", kLeaseRange);
   settings.gang_wait_s = workers.number("gang_wait_s", kAnySpan);
   settings.gang_peer_s = workers.number("gang_peer_s", kAnySpan);
@@ -123,13 +123,13 @@
                   tuning.grace * (cancel_s * (1 - kDrift) - lease_s * (1 + kDrift) - kSlack));
 }
 
-bool Settings::finds_delegate(const std::string& of_zone) const {
+bool Settings::finds_delegated_responder(const std::string& of_zone) const {
   // The protocol's: a worker waits 4 s for an answer and turns to the next node 1 s later.
   constexpr double kEachNode = 4 + 1;
   size_t elsewhere = zone == of_zone ? 0 : 1;
   for (const auto& peer : peers)
     if (peer.zone != of_zone) ++elsewhere;
-  return static_cast<double>(elsewhere) * kEachNode + 1.25 * report_s <= lease_s;
+  return static_cast<double>(elsewhere) * kEachNode + 1.25 * heartbeat_period_s <= lease_s;
 }
 
 Settings parse_settings(const std::string& toml_text, const std::string& source) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -52,7 +52,7 @@
   std::vector<std::string> zones;
   std::vector<TeamSettings> teams;
   std::vector<Objective> objectives;
-  double report_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 5, cancel_s = 40;
+  double heartbeat_period_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 5, cancel_s = 40;
   /// Limits of the state service: requests and changes a second, KiB of a value in JSON form, and
   /// changes of a transaction. Where the platform announces others to come, each is the stricter of
   /// the two: the service may change over at any moment.
@@ -83,7 +83,7 @@
   /// Whether a worker of a zone that is cut off finds a node of its zone before its lease is over,
   /// after it has waited for every node elsewhere. If not, delegates keep nothing alive, and the
   /// leader would only wait for them.
-  bool finds_delegate(const std::string& of_zone) const;
+  bool finds_delegated_responder(const std::string& of_zone) const;
   /// How long a node waits for the leader's next word before it answers in the leader's place.
   double delegation_after_s() const { return 2.5 * renew_s(); }
 };
--- a/src/config/tuning.h
+++ b/src/config/tuning.h
@@ -9,7 +9,7 @@
   double leader_lease = 0.2;  ///< leader lease / worker lease
   double renew = 0.3;         ///< renewal period / leader lease
   double grace = 1.0;         ///< answers past the last word / Settings::answers_s at its most
-  double round = 0.1;         ///< placement round / report period
+  double round = 0.1;         ///< placement round / heartbeat period
   double suspect = 0.45;      ///< silence that makes a machine suspect / worker lease
   double idle = 0.4;          ///< idle time before a machine is returned / its boot time
   double rent = 0.05;         ///< machines rented at once / machines up; a few in any case
--- a/src/dispatch/actions.h
+++ b/src/dispatch/actions.h
@@ -4,21 +4,21 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/report.h"
+#include "fleet/worker_heartbeat.h"
 
 namespace sumacquay {
 
-/// Commands for a worker. Refused there if the token or the session is not the newest.
+/// Commands for a worker. Refused there if the fencing token or the agent epoch is not the newest.
 struct SendOrders {
   std::string machine, addr;
-  uint64_t token = 0, session = 0;
+  uint64_t fencing_token = 0, agent_epoch = 0;
   std::vector<Command> commands;
 };
-/// An order without commands: shows the worker the token and brings its report. Whenever it is
-/// carried out, it does no harm.
+/// An order without commands: shows the worker the fencing token and brings its heartbeat. Whenever
+/// it is carried out, it does no harm.
 struct Probe {
   std::string machine, addr;
-  uint64_t token = 0, session = 0;
+  uint64_t fencing_token = 0, agent_epoch = 0;
 };
 /// A request for machines. Sent again under the same name it rents nothing more.
 struct Rent {
--- a/src/dispatch/commands.cpp
+++ b/src/dispatch/commands.cpp
@@ -1,4 +1,4 @@
-// What workers are told, in answers to their reports and in orders.
+// What workers are told, in answers to their heartbeats and in orders.
 #include <algorithm>
 
 #include "dispatch/scheduler.h"
@@ -18,7 +18,7 @@
   return job && job->runnable() && job->next_leader_knows(m.info.id);
 }
 
-/// Stops come first and are never cut: they take no more than their tasks did in the report.
+/// Stops come first and are never cut: they take no more than their tasks did in the heartbeat.
 std::vector<Command> Scheduler::commands_for(Machine& m, bool forget) {
   std::vector<Command> out;
   for (auto& [key, run] : m.runs) {
@@ -62,8 +62,8 @@
                                 std::vector<Action>& out) {
   ++work_.dispatch_checks;
   if (m.stage != Machine::Stage::Up || m.order_in_flight || now < m.next_order) return;
-  if (m.info.addr.empty() || !m.token_confirmed || !has_orders(m)) return;
-  SendOrders order{id, m.info.addr, token(m), std::max<uint64_t>(m.latest.session, 1),
+  if (m.info.addr.empty() || !m.fencing_token_acknowledged || !has_orders(m)) return;
+  SendOrders order{id, m.info.addr, fencing_token(m), std::max<uint64_t>(m.latest.agent_epoch, 1),
                    commands_for(m, false)};
   for (auto& [key, run] : m.runs)
     if (!run.wanted && run.present()) run.stop_sent = true;
--- a/src/dispatch/failures.cpp
+++ b/src/dispatch/failures.cpp
@@ -50,8 +50,8 @@
   }
   // What had started before it backed off is no further trial.
   if (now < job.retry_at) return;
-  job.retry_at =
-      now + settings_.report_s * (1 << std::min(job.trials_failed, kMostBackoffDoublings));
+  job.retry_at = now + settings_.heartbeat_period_s *
+                           (1 << std::min(job.trials_failed, kMostBackoffDoublings));
   ++job.trials_failed;
 }
 
@@ -66,7 +66,7 @@
     if (m->second.error_jobs.contains(job.spec().id)) m->second.others_succeed = true;
   }
   job.trials_failed = 0;
-  job.retry_at = std::min(job.retry_at, now + settings_.report_s);
+  job.retry_at = std::min(job.retry_at, now + settings_.heartbeat_period_s);
 }
 
 void Scheduler::blame(Machine& m, const Job& job, Seconds now) {
--- a/src/dispatch/machine_lifecycle.cpp
+++ b/src/dispatch/machine_lifecycle.cpp
@@ -16,11 +16,11 @@
 constexpr double kAllSlow = 3.5;
 /// The boot time of a type that the cloud's catalog doesn't list.
 constexpr Seconds kUnknownTypeBoot = 60;
-/// The silence of all machines that shows this node to be cut off / report period.
+/// The silence of all machines that shows this node to be cut off / heartbeat period.
 constexpr double kAllSilent = 2.5;
 /// The time that workers need to find a new leader / their lease.
 constexpr double kFindLeader = 0.3;
-/// A machine counts as heard recently within so much of a report period.
+/// A machine counts as heard recently within so much of a heartbeat period.
 constexpr double kRecently = 0.5;
 /// A machine counts as silent, when zones are judged, after this part of the silence after which it
 /// is given up.
@@ -61,14 +61,14 @@
 /// that can't be reached, and each of them would lose its lease though other nodes could answer it.
 /// A new leader waits longer, since workers must find it first.
 bool Scheduler::no_worker_reaches_us(Seconds now) const {
-  const Seconds patience = kAllSilent * settings_.report_s + 0.5;
-  if (now - latest_report_ <= patience) return false;
+  const Seconds patience = kAllSilent * settings_.heartbeat_period_s + 0.5;
+  if (now - latest_heartbeat_ <= patience) return false;
   size_t up = 0;
   Seconds newest = failover_at_ + kFindLeader * settings_.lease_s;
   for (const auto& [id, m] : machines_) {
     if (m.stage != Machine::Stage::Up) continue;
     ++up;
-    newest = std::max(newest, m.last_report);
+    newest = std::max(newest, m.last_heartbeat);
   }
   return up >= kTooManyForChance && now - newest > patience;
 }
@@ -89,14 +89,14 @@
     if (now <= latest_lease_end(m, now)) continue;
     spdlog::info("{} expired with {} tasks", id, m.runs.size());
     if (!returning) set_stage(m, Machine::Stage::Expired);
-    m.token_confirmed = false;
+    m.fencing_token_acknowledged = false;
     remove_all_runs(m);
     mark_accounted(m);
   }
 }
 
-/// A zone that was cut off comes back within a report period or more, not at once: those that are
-/// still silent when most are heard again are as alive as the others.
+/// A zone that was cut off comes back within a heartbeat period or more, not at once: those that
+/// are still silent when most are heard again are as alive as the others.
 void Scheduler::zone_reachable_again(const std::string& zone, Seconds now) {
   for (auto& [id, m] : machines_)
     if (m.info.zone == zone) m.zone_back = now;
@@ -110,7 +110,7 @@
     ZoneReachability::Count& count = zones[m.info.zone];
     ++count.up;
     if (silence(m, now) > suspect * kSilentEarly) ++count.silent;
-    if (silence(m, now) < kRecently * settings_.report_s) ++count.heard_recently;
+    if (silence(m, now) < kRecently * settings_.heartbeat_period_s) ++count.heard_recently;
   }
   for (const auto& zone : zone_reachability_.update(zones, now, settings_.lease_s))
     zone_reachable_again(zone, now);
@@ -134,7 +134,8 @@
 bool Scheduler::seems_dead(const Machine& m, Seconds now) const {
   if (zone_reachability_.cut_off(m.info.zone) || !m.may_hold_tasks()) return false;
   if (silence(m, now) > settings_.tuning.suspect * settings_.lease_s) return true;
-  return m.probe_unanswered && report_overdue(m, now) && zone_reachability_.reachable(m.info.zone);
+  return m.probe_unanswered && heartbeat_overdue(m, now) &&
+         zone_reachability_.reachable(m.info.zone);
 }
 
 /// Whether a machine is to be returned although it isn't idle.
@@ -158,21 +159,22 @@
 }
 
 /// Reports come up to a quarter late.
-bool Scheduler::report_overdue(const Machine& m, Seconds now) const {
-  return silence(m, now) > 1.25 * settings_.report_s + 0.5;
+bool Scheduler::heartbeat_overdue(const Machine& m, Seconds now) const {
+  return silence(m, now) > 1.25 * settings_.heartbeat_period_s + 0.5;
 }
 
-/// Machines that this leader has not met yet, and those that are late with a report.
+/// Machines that this leader has not met yet, and those that are late with a heartbeat.
 void Scheduler::probe(Seconds now, std::vector<Action>& out) {
   for (auto& [id, m] : machines_) {
     if (m.stage != Machine::Stage::Up || m.probe_in_flight || m.info.addr.empty()) continue;
-    const bool greet =
-        !m.token_confirmed && m.earlier_leader_may_answer && !m.accounted && now >= m.next_greeting;
-    const bool late = !m.probe_unanswered && report_overdue(m, now) && m.may_hold_tasks();
+    const bool greet = !m.fencing_token_acknowledged && m.earlier_leader_may_answer &&
+                       !m.accounted && now >= m.next_greeting;
+    const bool late = !m.probe_unanswered && heartbeat_overdue(m, now) && m.may_hold_tasks();
     if (!greet && !late) continue;
-    if (greet) m.next_greeting = now + settings_.report_s;
+    if (greet) m.next_greeting = now + settings_.heartbeat_period_s;
     m.probe_in_flight = true;
-    out.emplace_back(Probe{id, m.info.addr, token(m), std::max<uint64_t>(m.latest.session, 1)});
+    out.emplace_back(
+        Probe{id, m.info.addr, fencing_token(m), std::max<uint64_t>(m.latest.agent_epoch, 1)});
   }
 }
 
--- a/src/dispatch/moves.cpp
+++ b/src/dispatch/moves.cpp
@@ -13,7 +13,7 @@
 /// The protocol counts a start only if no command stops the task within 30 s of it; a replica is
 /// left alone for several times that, so that none is moved again and again.
 constexpr Seconds kSettled = 4 * 30;
-/// Pause between moves / report period.
+/// Pause between moves / heartbeat period.
 constexpr double kPause = 2;
 /// The part of all machines that may be emptied at once: few enough that the replicas on their way
 /// don't show among all that run.
@@ -105,7 +105,7 @@
   for (const auto& d : unplaced_)
     if (d.spec->kind == JobKind::Gang && !gang) gang = d;
   if (gang) gang->tasks.resize(1);
-  next_move_ = now + kPause * settings_.report_s;
+  next_move_ = now + kPause * settings_.heartbeat_period_s;
   std::set<size_t> taken;  // machines that get replicas are not emptied in the same go
   for (size_t i : worth_emptying(slots)) {
     if (taken.contains(i)) continue;
--- a/src/dispatch/reports.cpp
+++ b/src/dispatch/reconciliation.cpp
@@ -26,21 +26,21 @@
   return Run::Phase::Exited;
 }
 
-bool same_start(const TaskReport& t, const RunKey& key) {
+bool same_start(const TaskStatus& t, const RunKey& key) {
   return t.attempt == key.attempt && t.key == key.task;
 }
 
-bool goes_before(const TaskReport& t, const RunKey& key) {
+bool goes_before(const TaskStatus& t, const RunKey& key) {
   return std::tie(t.key, t.attempt) < std::tie(key.task, key.attempt);
 }
 
-/// What the report lacks of the machine's runs, but for those that are still to be started. Both
-/// are walked in the same order, since a report of a full machine has hundreds of tasks.
-std::vector<RunKey> absent_runs(const Machine& m, const WorkerReport& r) {
-  std::vector<const TaskReport*> listed;
+/// What the heartbeat lacks of the machine's runs, but for those that are still to be started. Both
+/// are walked in the same order, since a heartbeat of a full machine has hundreds of tasks.
+std::vector<RunKey> absent_runs(const Machine& m, const WorkerHeartbeat& r) {
+  std::vector<const TaskStatus*> listed;
   listed.reserve(r.tasks.size());
   for (const auto& t : r.tasks) listed.push_back(&t);
-  std::sort(listed.begin(), listed.end(), [](const TaskReport* a, const TaskReport* b) {
+  std::sort(listed.begin(), listed.end(), [](const TaskStatus* a, const TaskStatus* b) {
     return std::tie(a->key, a->attempt) < std::tie(b->key, b->attempt);
   });
   std::vector<RunKey> absent;
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-Machine& Scheduler::find_or_add_machine(const WorkerReport& r, Seconds now) {
+Machine& Scheduler::find_or_add_machine(const WorkerHeartbeat& r, Seconds now) {
   auto [it, added] = machines_.try_emplace(r.machine);
   Machine& m = it->second;
   if (added) {
@@ -78,32 +78,33 @@
   if (unaccounted_ == 0) spdlog::info("every machine is accounted for");
 }
 
-Scheduler::ReportAnswer Scheduler::report(const WorkerReport& r, bool may_act, Seconds now) {
+Scheduler::HeartbeatAnswer Scheduler::on_heartbeat(const WorkerHeartbeat& r, bool may_act,
+                                                   Seconds now) {
   record_progress(now);
   if (returned_.contains(r.machine)) return {};  // held on its way until the machine was gone
   Machine& m = find_or_add_machine(r, now);
-  ReportAnswer answer;
-  if (r.sequence() <= m.latest_own || r.session < m.latest.session) return answer;
+  HeartbeatAnswer answer;
+  if (r.sequence() <= m.latest_own || r.agent_epoch < m.latest.agent_epoch) return answer;
   m.latest_own = r.sequence();
   answer.fresh = true;
   m.last_answered = now;
-  m.last_report = latest_report_ = now;
+  m.last_heartbeat = latest_heartbeat_ = now;
   const bool newest = r.sequence() > m.latest;
   const bool no_orders_out = !m.order_in_flight;
-  if (newest) apply_report(m, r, no_orders_out, now);
-  if (newest && may_act && m.token_confirmed && no_orders_out)
+  if (newest) reconcile(m, r, no_orders_out, now);
+  if (newest && may_act && m.fencing_token_acknowledged && no_orders_out)
     answer.commands = commands_for(m, true);
   else
     // The answer renews the worker's lease: without these a cancelled task whose stop was lost
     // would go on for as long as it is renewed, though this leader may do nothing else there.
     answer.commands = stops_of_ended(r, [this](const std::string& id) { return ended(id); });
-  // A greeting shows it the token faster than it would report again.
-  if (!m.token_confirmed) m.next_greeting = now;
-  answer.token = token(m);
+  // A greeting shows it the fencing token faster than it would report again.
+  if (!m.fencing_token_acknowledged) m.next_greeting = now;
+  answer.fencing_token = fencing_token(m);
   return answer;
 }
 
-void Scheduler::orders_done(const std::string& id, const std::optional<WorkerReport>& report,
+void Scheduler::orders_done(const std::string& id, const std::optional<WorkerHeartbeat>& heartbeat,
                             bool executed, Seconds now) {
   record_progress(now);
   const auto it = machines_.find(id);
@@ -111,29 +112,29 @@
   Machine& m = it->second;
   m.order_in_flight = false;
   if (!executed) {
-    // The order may still be executed, minutes later: a raised token ends that, and until the
-    // worker has shown it nothing new is started there and nothing counts as gone.
-    raise_token(m);
-    m.next_order = now + settings_.report_s;
+    // The order may still be executed, minutes later: a raised fencing token ends that, and until
+    // the worker has shown it nothing new is started there and nothing counts as gone.
+    advance_fencing_token(m);
+    m.next_order = now + settings_.heartbeat_period_s;
     for (auto& [key, run] : m.runs) run.stop_sent = false;
   }
   note_orders(m);
-  if (!report || report->machine != id) return;
-  if (report->sequence() > m.latest) apply_report(m, *report, false, now);
+  if (!heartbeat || heartbeat->machine != id) return;
+  if (heartbeat->sequence() > m.latest) reconcile(m, *heartbeat, false, now);
 }
 
-void Scheduler::probed(const std::string& id, const std::optional<WorkerReport>& report,
+void Scheduler::probed(const std::string& id, const std::optional<WorkerHeartbeat>& heartbeat,
                        Seconds now) {
   record_progress(now);
   const auto it = machines_.find(id);
   if (it == machines_.end()) return;
   Machine& m = it->second;
   m.probe_in_flight = false;
-  if (!report || report->machine != id) {
-    m.probe_unanswered = report_overdue(m, now);
+  if (!heartbeat || heartbeat->machine != id) {
+    m.probe_unanswered = heartbeat_overdue(m, now);
     return;
   }
-  if (report->sequence() > m.latest) apply_report(m, *report, false, now);
+  if (heartbeat->sequence() > m.latest) reconcile(m, *heartbeat, false, now);
 }
 
 void Scheduler::not_probed(const std::string& id) {
@@ -141,13 +142,13 @@
   if (it != machines_.end()) it->second.probe_in_flight = false;
 }
 
-/// A new session begins with nothing: the old one's tasks ended with its lease.
-void Scheduler::begin_session(Machine& m, Seconds now) {
+/// A new agent epoch begins with nothing: the old one's tasks ended with its lease.
+void Scheduler::begin_agent_epoch(Machine& m, Seconds now) {
   remove_all_runs(m);
   m.error_jobs.clear();
-  m.token_confirmed = false;
+  m.fencing_token_acknowledged = false;
   // Its lease counts from when it began. Learnt from an answer to an order or a probe, the last
-  // answer to a report would say that it is over while new tasks run.
+  // answer to a heartbeat would say that it is over while new tasks run.
   m.last_answered = std::max(m.last_answered, now);
 }
 
@@ -161,9 +162,9 @@
     set_stage(m, Machine::Stage::Up);
 }
 
-/// What a worker that has shown the token in force does not list is gone, but for starts that may
-/// still be on their way to it.
-void Scheduler::remove_unlisted(Machine& m, const WorkerReport& r, Seconds now) {
+/// What a worker that has shown the fencing token in force does not list is gone, but for starts
+/// that may still be on their way to it.
+void Scheduler::remove_unlisted(Machine& m, const WorkerHeartbeat& r, Seconds now) {
   for (const auto& key : absent_runs(m, r)) {
     const auto run = m.runs.find(key);
     if (run == m.runs.end()) continue;
@@ -181,28 +182,29 @@
   mark_accounted(m);
 }
 
-/// Called with reports that are newer than all that were applied. Whatever a report lists is
+/// Called with heartbeats that are newer than all that were applied. Whatever a heartbeat lists is
 /// present; what it leaves out is gone only if `absence_counts`, which an answer to an order or a
 /// probe may not tell.
-void Scheduler::apply_report(Machine& m, const WorkerReport& r, bool absence_counts, Seconds now) {
-  if (r.session > m.latest.session) begin_session(m, now);
+void Scheduler::reconcile(Machine& m, const WorkerHeartbeat& r, bool absence_counts, Seconds now) {
+  if (r.agent_epoch > m.latest.agent_epoch) begin_agent_epoch(m, now);
   m.latest = r.sequence();
   m.last_heard = now;
   m.probe_unanswered = false;
   mark_up(m, now);
-  m.reclaim_at = r.notice_s ? std::optional<Seconds>(now + *r.notice_s) : std::nullopt;
-  const bool current_token = r.token >= token(m);
-  if (current_token && !m.order_in_flight && !m.token_confirmed) {
-    m.token_confirmed = true;
+  m.reclaim_at =
+      r.preemption_notice_s ? std::optional<Seconds>(now + *r.preemption_notice_s) : std::nullopt;
+  const bool current_fencing_token = r.fencing_token >= fencing_token(m);
+  if (current_fencing_token && !m.order_in_flight && !m.fencing_token_acknowledged) {
+    m.fencing_token_acknowledged = true;
     note_orders(m);
   }
-  for (const auto& t : r.tasks) apply_task_report(m, t, now);
-  if (!current_token) return;
+  for (const auto& t : r.tasks) reconcile_task(m, t, now);
+  if (!current_fencing_token) return;
   if (absence_counts) remove_unlisted(m, r, now);
   accept_worker(m, now);
 }
 
-void Scheduler::apply_task_report(Machine& m, const TaskReport& t, Seconds now) {
+void Scheduler::reconcile_task(Machine& m, const TaskStatus& t, Seconds now) {
   const RunKey key{t.key, t.attempt};
   auto [it, added] = m.runs.try_emplace(key);
   Run& run = it->second;
--- a/src/dispatch/record_writes.cpp
+++ b/src/dispatch/record_writes.cpp
@@ -113,7 +113,7 @@
   m.info = host;
   set_stage(m, Machine::Stage::Up);
   m.record = Machine::Record::Durable;
-  m.first_seen = m.last_report = now;  // until its worker has found this leader
+  m.first_seen = m.last_heartbeat = now;  // until its worker has found this leader
   ++unaccounted_;
 }
 
@@ -131,7 +131,7 @@
   if (cancelled_by_dependency(job)) return WriteUrgency::Finished;
   // Progress of an array is written in batches, as far as its record has room for it. Only more
   // than is stored is progress: a record of larger limits isn't rewritten for what it would lose.
-  const bool due = !job.progress_since || now >= *job.progress_since + settings_.report_s;
+  const bool due = !job.progress_since || now >= *job.progress_since + settings_.heartbeat_period_s;
   if (job.done.count() != job.stored.done.count() && due &&
       done_for_record(job).count() > job.stored.done.count())
     return WriteUrgency::Progress;
--- a/src/dispatch/releases.cpp
+++ b/src/dispatch/releases.cpp
@@ -46,7 +46,7 @@
 
 void Scheduler::return_machines(Seconds now, std::vector<Action>& out) {
   if (releasing_ || now < next_release_) return;
-  next_release_ = now + settings_.report_s * 0.5;
+  next_release_ = now + settings_.heartbeat_period_s * 0.5;
   find_cut_zones(now);
   for (auto& [id, m] : machines_)
     if (should_give_up(m, now)) {
@@ -66,7 +66,7 @@
 
 void Scheduler::release_done(const Release& release, bool ok, Seconds now) {
   releasing_ = false;
-  next_release_ = now + settings_.report_s * (ok ? 0.1 : 0.5);
+  next_release_ = now + settings_.heartbeat_period_s * (ok ? 0.1 : 0.5);
   if (!ok) return;
   for (const auto& id : release.machines) {
     const auto it = machines_.find(id);
--- a/src/dispatch/renting.cpp
+++ b/src/dispatch/renting.cpp
@@ -34,7 +34,7 @@
 
 void Scheduler::provision(Seconds now, std::vector<Action>& out) {
   if (now < next_provision_ || types_.empty() || !picture_settled(now)) return;
-  next_provision_ = now + settings_.report_s * 0.5;
+  next_provision_ = now + settings_.heartbeat_period_s * 0.5;
   arrivals_.forget_old(now, longest_boot());
   for (auto& rent : rental_requests_.due_again(now)) out.emplace_back(std::move(rent));
   if (rental_requests_.any_open()) return;
@@ -66,7 +66,7 @@
 void Scheduler::rent_done(const Rent& rent, RentOutcome outcome,
                           const std::vector<std::string>& machines, Seconds now) {
   if (outcome == RentOutcome::Unknown)
-    return rental_requests_.repeat(rent, now, settings_.report_s);
+    return rental_requests_.repeat(rent, now, settings_.heartbeat_period_s);
   const size_t rented = outcome == RentOutcome::Rented ? machines.size() : 0;
   if (!rental_requests_.settle(rent, rented, now)) return;
   for (const auto& id : machines) {
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -8,7 +8,7 @@
 namespace sumacquay {
 namespace {
 
-/// Silence after which nothing new is started on a machine / report period. Reports come up to a
+/// Silence after which nothing new is started on a machine / heartbeat period. Reports come up to a
 /// quarter late, and one may be lost and sent again.
 constexpr double kSilence = 2.5;
 /// Tasks of one array that a round looks at: so many in any fleet, in a large one so many for each
@@ -20,8 +20,9 @@
 }  // namespace
 
 bool Scheduler::usable(const Machine& m, Seconds now) const {
-  return m.stage == Machine::Stage::Up && m.token_confirmed && !m.sick() && !m.draining &&
-         !m.reclaim_at && now - m.last_report < kSilence * settings_.report_s + 0.5;
+  return m.stage == Machine::Stage::Up && m.fencing_token_acknowledged && !m.sick() &&
+         !m.draining && !m.reclaim_at &&
+         now - m.last_heartbeat < kSilence * settings_.heartbeat_period_s + 0.5;
 }
 
 std::vector<Slot> Scheduler::picture(Seconds now, bool booting) const {
@@ -53,7 +54,7 @@
 /// What is still silent some reports after the takeover may be so for long, and the fleet is rented
 /// and returned without it: in a large one some machine always is.
 bool Scheduler::picture_settled(Seconds now) const {
-  return all_accounted() || now - failover_at_ > kSilence * settings_.report_s + 0.5;
+  return all_accounted() || now - failover_at_ > kSilence * settings_.heartbeat_period_s + 0.5;
 }
 
 /// Whether a fetch on a machine that lacks the image costs what users were promised: a replica that
@@ -64,7 +65,7 @@
   for (const auto& t : types_)
     if (t.fetch_gb_per_s > 0 && job.spec().allows_type(t.name) && job.spec().need.fits_in(t.room))
       longest = std::max(longest, job.spec().image_gb / t.fetch_gb_per_s);
-  if (job.stored.started) return longest > settings_.report_s;
+  if (job.stored.started) return longest > settings_.heartbeat_period_s;
   return std::any_of(
       settings_.objectives.begin(), settings_.objectives.end(), [&](const Objective& objective) {
         return objective.kind == "wait" && objective.job_class == job.spec().job_class &&
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -24,10 +24,10 @@
       token_allocator_(term),
       rental_requests_(term) {}
 
-/// Ends whatever was ordered under the token before, however late it arrives.
-void Scheduler::raise_token(Machine& m) {
+/// Ends whatever was ordered under the fencing token before, however late it arrives.
+void Scheduler::advance_fencing_token(Machine& m) {
   ++m.counter;
-  m.token_confirmed = false;
+  m.fencing_token_acknowledged = false;
   token_allocator_.record_use(m.counter);
 }
 
@@ -90,7 +90,7 @@
   record_progress(now);
   if (now >= next_round_) {
     expire(now);
-    next_round_ = now + settings_.tuning.round * settings_.report_s;
+    next_round_ = now + settings_.tuning.round * settings_.heartbeat_period_s;
     round(now);
     move_replicas(now);
     provision(now, out);
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -19,8 +19,8 @@
 #include "jobs/dependency_graph.h"
 #include "jobs/guarantees.h"
 #include "jobs/record.h"
-#include "leadership/delegation.h"
 #include "leadership/fencing_token_allocator.h"
+#include "leadership/lease_delegation.h"
 #include "placement/placement.h"
 #include "provision/provision.h"
 
@@ -28,9 +28,9 @@
 
 /// All that a leader decides, without I/O: events and the time go in, actions and writes come out.
 /// The node that holds the leader's lease owns one for its term. It passes on what it reads, hears
-/// and is answered, in any order and with any delay; it carries out actions and writes, and reports
-/// back on each of them. A task is never started where an earlier start of it may still be present,
-/// nor before the records that tell a later leader of it are durable.
+/// and is answered, in any order and with any delay; it carries out actions and writes, and
+/// heartbeats back on each of them. A task is never started where an earlier start of it may still
+/// be present, nor before the records that tell a later leader of it are durable.
 ///
 /// Times are steady times, which never go back from one call to the next.
 class Scheduler {
@@ -53,7 +53,7 @@
   /// A machine's record, at the takeover: tasks may be on it until its worker has reported.
   void host_stored(const HostRecord& host, Seconds now);
   /// What the leader before knew of a machine's images. A hint: placement alone looks at it.
-  void image_held(const std::string& machine, const std::string& image, double gb);
+  void on_cached_image(const std::string& machine, const std::string& image, double gb);
   /// The writes for one transaction, the most urgent first. Each is under way until `write_done`.
   std::vector<RecordWrite> wanted_writes(Seconds now, size_t most_changes);
   /// `committed`: certainly carried out. Otherwise it may be carried out at any later time.
@@ -61,19 +61,19 @@
 
   // Workers.
 
-  struct ReportAnswer {
+  struct HeartbeatAnswer {
     bool fresh = false;  ///< false: a late copy, which nobody waits for
-    uint64_t token = 0;
+    uint64_t fencing_token = 0;
     std::vector<Command> commands;
   };
-  /// A worker's own report. The answer renews its lease, so it goes out only while the leader may
-  /// answer; without `may_act` it carries nothing but stops of jobs that have ended.
-  ReportAnswer report(const WorkerReport& report, bool may_act, Seconds now);
+  /// A worker's own heartbeat. The answer renews its lease, so it goes out only while the leader
+  /// may answer; without `may_act` it carries nothing but stops of jobs that have ended.
+  HeartbeatAnswer on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act, Seconds now);
   /// The outcome of `SendOrders`; `executed` unless the orders may still be carried out later.
-  void orders_done(const std::string& id, const std::optional<WorkerReport>& report, bool executed,
-                   Seconds now);
-  /// The outcome of a `Probe`; no report if there was no answer.
-  void probed(const std::string& id, const std::optional<WorkerReport>& report, Seconds now);
+  void orders_done(const std::string& id, const std::optional<WorkerHeartbeat>& heartbeat,
+                   bool executed, Seconds now);
+  /// The outcome of a `Probe`; no heartbeat if there was no answer.
+  void probed(const std::string& id, const std::optional<WorkerHeartbeat>& heartbeat, Seconds now);
   /// There was no socket for the probe: nothing is known of the machine, and it is asked again.
   void not_probed(const std::string& id);
   /// No earlier leader can answer a worker any more.
@@ -104,8 +104,9 @@
   /// Whether no worker gets through to this node any more, so that another should lead.
   bool no_worker_reaches_us(Seconds now) const;
 
-  /// Whether this term has few numbers left for attempts or for a machine's tokens. They are never
-  /// used twice, and those past the end are a later leader's: the node is to get a new term.
+  /// Whether this term has few numbers left for attempts or for a machine's fencing tokens. They
+  /// are never used twice, and those past the end are a later leader's: the node is to get a new
+  /// term.
   bool term_nearly_exhausted() const { return token_allocator_.nearly_exhausted(); }
 
   /// What rounds cost, in things done: grows with what happens, not with who waits.
@@ -128,12 +129,12 @@
 
  private:
   // leader_core.cpp
-  uint64_t token(const Machine& m) const { return token_allocator_.with_term(m.counter); }
+  uint64_t fencing_token(const Machine& m) const { return token_allocator_.with_term(m.counter); }
   const Job* find_job(const std::string& id) const;
   Job* find_job(const std::string& id);
   const MachineType* type(const std::string& name) const;
   void record_progress(Seconds now);
-  void raise_token(Machine& m);
+  void advance_fencing_token(Machine& m);
 
   // record_writes.cpp
   enum class WriteUrgency { Start, Done, Progress, Finished, None };  ///< the most urgent first
@@ -164,13 +165,13 @@
   void count_arrival(Job& job);
 
   // reports.cpp
-  Machine& find_or_add_machine(const WorkerReport& report, Seconds now);
-  void apply_report(Machine& m, const WorkerReport& r, bool absence_counts, Seconds now);
-  void begin_session(Machine& m, Seconds now);
+  Machine& find_or_add_machine(const WorkerHeartbeat& heartbeat, Seconds now);
+  void reconcile(Machine& m, const WorkerHeartbeat& r, bool absence_counts, Seconds now);
+  void begin_agent_epoch(Machine& m, Seconds now);
   void mark_up(Machine& m, Seconds now);
-  void remove_unlisted(Machine& m, const WorkerReport& r, Seconds now);
+  void remove_unlisted(Machine& m, const WorkerHeartbeat& r, Seconds now);
   void accept_worker(Machine& m, Seconds now);
-  void apply_task_report(Machine& m, const TaskReport& t, Seconds now);
+  void reconcile_task(Machine& m, const TaskStatus& t, Seconds now);
   void mark_accounted(Machine& m);
 
   // task_runs.cpp
@@ -271,7 +272,7 @@
   bool should_give_up(const Machine& m, Seconds now) const;
   void probe(Seconds now, std::vector<Action>& out);
   Seconds silence(const Machine& m, Seconds now) const;
-  bool report_overdue(const Machine& m, Seconds now) const;
+  bool heartbeat_overdue(const Machine& m, Seconds now) const;
 
   // renting.cpp
   void provision(Seconds now, std::vector<Action>& out);
@@ -320,7 +321,7 @@
   Seconds next_round_ = 0, next_provision_ = 0, next_release_ = 0, next_move_ = 0,
           next_summary_ = 0;
   bool releasing_ = false;
-  Seconds latest_report_ = 0;  ///< of any machine
+  Seconds latest_heartbeat_ = 0;  ///< of any machine
   Work work_;
 };
 
--- a/src/dispatch/task_runs.cpp
+++ b/src/dispatch/task_runs.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void Scheduler::image_held(const std::string& machine, const std::string& image, double gb) {
+void Scheduler::on_cached_image(const std::string& machine, const std::string& image, double gb) {
   const auto m = machines_.find(machine);
   if (m != machines_.end()) mark_image_used(m->second, image, gb);
 }
@@ -45,7 +45,7 @@
   if (gang) job.gang_attempt = newest;
   run.wanted = key.attempt == newest && job.runnable() && key.task.task < spec.tasks &&
                !job.done.contains(key.task.task);
-  // A task is started again only once its earlier start is certainly gone: a report that still
+  // A task is started again only once its earlier start is certainly gone: a heartbeat that still
   // shows that one is old, and must not stop the one that runs.
   for (auto at = first; at != last; ++at)
     for (const auto& [machine, attempt] : at->second)
@@ -100,7 +100,7 @@
                m.info.id, static_cast<int>(run.cause));
   if (run.cause == ExitCause::Error || run.cause == ExitCause::Unknown) count_failure(m, *job, now);
   if (run.cause == ExitCause::NoRoom || run.cause == ExitCause::Busy)
-    job->retry_at = now + settings_.report_s;
+    job->retry_at = now + settings_.heartbeat_period_s;
   stop_gang_of(key.task, now);
 }
 
--- a/src/dispatch/waiting_jobs.cpp
+++ b/src/dispatch/waiting_jobs.cpp
@@ -21,7 +21,7 @@
   /// Of those that can stop nobody: tasks that need no GPUs fit into every gap and would take the
   /// CPUs beside all GPUs.
   bool fits_every_gap = false;
-  double arrival_period = 0;  ///< jobs that arrive within one report period arrive together
+  double arrival_period = 0;  ///< jobs that arrive within one heartbeat period arrive together
   int negated_gang_size = 0;  ///< of these the largest gang goes first
   uint64_t arrival_ms = 0;
   std::string_view id;
@@ -110,7 +110,8 @@
   ranked.reserve(jobs.size());
   for (Job* job : jobs) {
     const bool within_guarantee = guaranteed_.contains(job->spec().id);
-    ranked.push_back({rank_of(*job, within_guarantee, arrival_ms(*job), settings_.report_s), job});
+    ranked.push_back(
+        {rank_of(*job, within_guarantee, arrival_ms(*job), settings_.heartbeat_period_s), job});
   }
   std::sort(ranked.begin(), ranked.end(),
             [](const RankedJob& a, const RankedJob& b) { return a.rank < b.rank; });
--- a/src/dispatch/zone_reachability.h
+++ b/src/dispatch/zone_reachability.h
@@ -22,7 +22,7 @@
   struct Count {
     size_t up = 0;
     size_t silent = 0;          ///< for some time, though for less than a dead machine
-    size_t heard_recently = 0;  ///< within the last part of a report period
+    size_t heard_recently = 0;  ///< within the last part of a heartbeat period
   };
   /// Takes a new count. A zone without machines shows nothing either way: it stays cut off for
   /// `forget_after` at most, or nothing would ever be rented there again. Returns the zones that
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/report.h"
+#include "fleet/worker_heartbeat.h"
 #include "jobs/record.h"
 
 namespace sumacquay {
@@ -87,14 +87,14 @@
   Stage stage = Stage::Booting;
   Record record = Record::None;
 
-  ReportSequence latest;         ///< of all reports that were applied
-  ReportSequence latest_own;     ///< of those that the worker sent by itself
-  uint64_t counter = 0;          ///< low part of the token in force at this worker
-  bool token_confirmed = false;  ///< has shown the token in force
-  bool accounted = false;        ///< since the takeover: told what it has, or certainly has nothing
+  HeartbeatSequence latest;      ///< of all heartbeats that were applied
+  HeartbeatSequence latest_own;  ///< of those that the worker sent by itself
+  uint64_t counter = 0;          ///< low part of the fencing token in force at this worker
+  bool fencing_token_acknowledged = false;  ///< has shown the fencing token in force
+  bool accounted = false;  ///< since the takeover: told what it has, or certainly has nothing
   Seconds last_heard = kNever;
-  /// When a report of its own came; answers to orders don't count, and show no lease renewed.
-  Seconds last_report = kNever;
+  /// When a heartbeat of its own came; answers to orders don't count, and show no lease renewed.
+  Seconds last_heartbeat = kNever;
   Seconds zone_back = kNever;      ///< when its zone was heard again
   Seconds last_answered = kNever;  ///< last answer that may renew
   /// An earlier leader may have answered it until the fence.
--- a/src/fleet/report.h
+++ b/src/fleet/worker_heartbeat.h
@@ -17,11 +17,11 @@
 
 /// How far a start of a task is.
 enum class TaskState { Fetching, Waiting, Running, Saving, Exited };
-/// Why a task has exited; `Peers`: another of its gang has.
-enum class ExitCause { None, Done, Stopped, Peers, Alone, Error, NoRoom, Busy, Unknown };
+/// Why a task has exited; `PeerHeartbeats`: another of its gang has.
+enum class ExitCause { None, Done, Stopped, PeerHeartbeats, Alone, Error, NoRoom, Busy, Unknown };
 
 /// A start of a task as its worker sees it.
-struct TaskReport {
+struct TaskStatus {
   TaskKey key;
   uint64_t attempt = 0;
   TaskState state = TaskState::Fetching;
@@ -29,29 +29,30 @@
 };
 
 /// A token is the term of the leader that gave it, and below it a counter of the worker's own.
-inline constexpr int kTokenCounterBits = 20;
+inline constexpr int kFencingTokenCounterBits = 20;
 /// The first number that no longer fits below a term.
-inline constexpr uint64_t kTokenCounterEnd = uint64_t{1} << kTokenCounterBits;
-inline uint64_t term_of_token(uint64_t token) {
-  return token >> kTokenCounterBits;
+inline constexpr uint64_t kFencingTokenCounterEnd = uint64_t{1} << kFencingTokenCounterBits;
+inline uint64_t term_of_fencing_token(uint64_t fencing_token) {
+  return fencing_token >> kFencingTokenCounterBits;
 }
 
-/// The order of a worker's reports: those of a later session are newer than all of an earlier one.
-struct ReportSequence {
-  uint64_t session = 0;
+/// The order of a worker's reports: those of a later agent epoch are newer than all of an earlier
+/// one.
+struct HeartbeatSequence {
+  uint64_t agent_epoch = 0;
   uint64_t number = 0;
-  auto operator<=>(const ReportSequence&) const = default;
+  auto operator<=>(const HeartbeatSequence&) const = default;
 };
 
-/// What a worker says of itself, in a report of its own or in the answer to an order or a probe.
-struct WorkerReport {
+/// What a worker says of itself, in a heartbeat of its own or in the answer to an order or a probe.
+struct WorkerHeartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
-  uint64_t session = 0, seq = 0, token = 0;
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  uint64_t agent_epoch = 0, sequence_number = 0, fencing_token = 0;
+  std::optional<double> preemption_notice_s;
+  std::vector<TaskStatus> tasks;
 
-  ReportSequence sequence() const { return {session, seq}; }
+  HeartbeatSequence sequence() const { return {agent_epoch, sequence_number}; }
 };
 
 enum class Verb { Start, Stop, Forget };
@@ -65,13 +66,13 @@
   bool operator==(const Command&) const = default;
 };
 
-/// Stops for all tasks of a report whose jobs are known to be cancelled or finished. They do no
+/// Stops for all tasks of a heartbeat whose jobs are known to be cancelled or finished. They do no
 /// harm at any time, since attempts are never reused, and whoever renews a worker's lease sends
 /// them.
 template <class Ended>
-std::vector<Command> stops_of_ended(const WorkerReport& report, Ended&& ended) {
+std::vector<Command> stops_of_ended(const WorkerHeartbeat& heartbeat, Ended&& ended) {
   std::vector<Command> out;
-  for (const auto& t : report.tasks)
+  for (const auto& t : heartbeat.tasks)
     if (t.state != TaskState::Exited && ended(t.key.job))
       out.push_back({Verb::Stop, t.key, t.attempt, 0});
   return out;
--- a/src/fleetload/controller_settings.cpp
+++ b/src/fleetload/controller_settings.cpp
@@ -72,7 +72,8 @@
   for (const auto& team : teams_of(settings))
     out << "[[params.teams]]\nname = \"" << team.name << "\"\ngpus = " << team.gpus
         << "\ngpus_max = " << team.gpus_max << "\n";
-  out << "[params.workers]\nreport_s = " << settings.report_s << "\nlease_s = " << settings.lease_s
+  out << "[params.workers]\nreport_s = " << settings.heartbeat_period_s
+      << "\nlease_s = " << settings.lease_s
       << "\ngang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = " << settings.cancel_s
       << "\n[params.state]\nrps = " << settings.state_rps
       << "\nwrite_rps = " << settings.state_write_rps << "\nvalue_kb = " << settings.state_value_kb
--- a/src/fleetload/load_settings.cpp
+++ b/src/fleetload/load_settings.cpp
@@ -39,7 +39,7 @@
           {"urgent_per_s", &s.urgent_per_s, {0, 1000}},
           {"urgent_run_s", &s.urgent_run_s, {0.1, kMostSeconds}},
           {"polls_per_s", &s.polls_per_s, {0, kMany}},
-          {"report_s", &s.report_s, {0.1, kMostSeconds}},
+          {"report_s", &s.heartbeat_period_s, {0.1, kMostSeconds}},
           {"lease_s", &s.lease_s, {1, kMostSeconds}},
           {"cancel_s", &s.cancel_s, {1, kMostSeconds}},
           {"fetch_s", &s.fetch_s, {0, kMostSeconds}},
--- a/src/fleetload/load_settings.h
+++ b/src/fleetload/load_settings.h
@@ -27,7 +27,7 @@
   double urgent_run_s = 3;
   double polls_per_s = 20;  ///< users' questions
   // Times of the protocol.
-  double report_s = 6;
+  double heartbeat_period_s = 6;
   double lease_s = 31;
   double cancel_s = 51;
   double fetch_s = 0.5;
--- a/src/fleetload/trial.cpp
+++ b/src/fleetload/trial.cpp
@@ -26,7 +26,7 @@
 
 standin::WorkerTimes times_of(const LoadSettings& settings) {
   standin::WorkerTimes times;
-  times.report_s = settings.report_s;
+  times.heartbeat_period_s = settings.heartbeat_period_s;
   times.lease_s = settings.lease_s;
   times.fetch_s = settings.fetch_s;
   return times;
@@ -237,7 +237,7 @@
     }
   }
   m.standin_cores = (after.own.cpu_s - before.own.cpu_s) / span;
-  m.reports_per_s = rate(before.workers.reports, after.workers.reports);
+  m.reports_per_s = rate(before.workers.heartbeats, after.workers.heartbeats);
   m.orders_per_s = rate(before.workers.orders, after.workers.orders);
   m.worker_bytes_per_s = rate(before.workers.bytes_in + before.workers.bytes_out,
                               after.workers.bytes_in + after.workers.bytes_out) /
@@ -281,7 +281,7 @@
 Measurement Trial::measure_load() {
   Measurement filling;
   start_controllers();
-  run_for(2 * settings_.report_s);  // every worker finds the leader
+  run_for(2 * settings_.heartbeat_period_s);  // every worker finds the leader
   fill(filling);
   submit_waiting();
   users_->poll(settings_.polls_per_s);
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -8,7 +8,7 @@
 #include "net/concurrency_limit.h"
 #include "net/http_server.h"
 #include "store/mirror.h"
-#include "wire/heartbeat.h"
+#include "wire/peer_heartbeat.h"
 #include "wire/records.h"
 
 namespace sumacquay {
@@ -19,7 +19,7 @@
   struct Sources {
     std::function<const std::vector<MachineType>&()> types;
     /// Tasks that run, as the leader last said; for display only.
-    std::function<wire::RunningCount(const std::string& id)> counts;
+    std::function<wire::JobProgress(const std::string& id)> counts;
     std::function<uint64_t()> time_of_day_ms;
   };
 
--- a/src/leadership/fencing_token_allocator.h
+++ b/src/leadership/fencing_token_allocator.h
@@ -2,13 +2,13 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "fleet/report.h"
+#include "fleet/worker_heartbeat.h"
 
 namespace sumacquay {
 
-/// Hands out what carries a leader's term in its upper part: attempts and workers' tokens. None is
-/// ever handed out twice, by this leader or a later one, so the numbers of a term can run out: a
-/// large fleet starts a million tasks in days. Owned by Scheduler.
+/// Hands out what carries a leader's term in its upper part: attempts and workers' fencing tokens.
+/// None is ever handed out twice, by this leader or a later one, so the numbers of a term can run
+/// out: a large fleet starts a million tasks in days. Owned by Scheduler.
 class FencingTokenAllocator {
  public:
   explicit FencingTokenAllocator(uint64_t term) : term_(term) {}
@@ -19,12 +19,12 @@
     record_use(number);
     return with_term(number);
   }
-  size_t attempts_left() const { return kTokenCounterEnd - next_attempt_; }
+  size_t attempts_left() const { return kFencingTokenCounterEnd - next_attempt_; }
 
-  uint64_t with_term(uint64_t number) const { return (term_ << kTokenCounterBits) | number; }
+  uint64_t with_term(uint64_t number) const { return (term_ << kFencingTokenCounterBits) | number; }
   /// A number is in use, of an attempt or of a worker's token.
   void record_use(uint64_t number) {
-    if (static_cast<double>(number) > kNearly * static_cast<double>(kTokenCounterEnd))
+    if (static_cast<double>(number) > kNearly * static_cast<double>(kFencingTokenCounterEnd))
       nearly_exhausted_ = true;
   }
 
--- a/src/leadership/delegation.cpp
+++ b/src/leadership/lease_delegation.cpp
@@ -1,4 +1,4 @@
-#include "leadership/delegation.h"
+#include "leadership/lease_delegation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,20 +12,20 @@
 
 }  // namespace
 
-void Delegate::delegated(const Delegation& p, Seconds asked_at, Seconds now) {
+void DelegatedResponder::delegated(const Delegation& p, Seconds asked_at, Seconds now) {
   if (p.term < newest_.term || (p.term == newest_.term && p.number <= newest_.number)) return;
   newest_ = p;
-  until_ = asked_at + p.for_s * (1 - kDrift);
+  until_ = asked_at + p.valid_for_s * (1 - kDrift);
   heard_ = now;
 }
 
-bool Delegate::in_place(uint64_t highest_term, Seconds now) const {
+bool DelegatedResponder::active(uint64_t highest_term, Seconds now) const {
   return newest_.term > 0 && newest_.term == highest_term && now >= heard_ + after_ && now < until_;
 }
 
-DelegateStatus Delegate::status(Seconds now) const {
-  DelegateStatus w{process_, newest_.term, newest_.number, std::nullopt};
-  if (answered_) w.ago = now - *answered_;
+DelegationStatus DelegatedResponder::status(Seconds now) const {
+  DelegationStatus w{process_, newest_.term, newest_.number, std::nullopt};
+  if (answered_) w.last_answer_age_s = now - *answered_;
   return w;
 }
 
@@ -43,7 +43,7 @@
 }
 
 void Delegations::heard(const std::string& name, const std::string& zone,
-                        const DelegateStatus& status, Seconds now) {
+                        const DelegationStatus& status, Seconds now) {
   Node& n = node(name, zone);
   if (n.process != status.process) {
     // What an earlier process answered is forgotten, but it ended before this one spoke.
@@ -51,7 +51,8 @@
     n.process = status.process;
     n.quiet_until = -1;
   }
-  if (status.ago) n.last = std::max(n.last, now - *status.ago * (1 - kDrift));
+  if (status.last_answer_age_s)
+    n.last = std::max(n.last, now - *status.last_answer_age_s * (1 - kDrift));
   // It waits from when it heard the delegation, which is no earlier than this leader said it.
   if (status.term == term_)
     n.quiet_until =
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -6,8 +6,8 @@
 namespace sumacquay {
 namespace {
 
-/// How long an order may take: in report periods, but at most this part of a worker's lease.
-constexpr double kOrderDeadlineReports = 1.5;
+/// How long an order may take: in heartbeat periods, but at most this part of a worker's lease.
+constexpr double kCommandDeadlineHeartbeats = 1.5;
 constexpr double kOrderDeadlineLeaseShare = 0.2;
 /// How long a machine has to answer a probe / the workers' lease.
 constexpr double kProbeDeadlineLeaseShare = 0.05;
@@ -36,7 +36,7 @@
 }
 
 Seconds ActionExecutor::order_deadline() const {
-  return std::min(settings_.report_s * kOrderDeadlineReports,
+  return std::min(settings_.heartbeat_period_s * kCommandDeadlineHeartbeats,
                   settings_.lease_s * kOrderDeadlineLeaseShare);
 }
 
@@ -44,12 +44,13 @@
   std::visit([this](const auto& a) { perform(a); }, action);
 }
 
-/// A worker answers orders with its report, whether it carries them out or not.
-std::optional<WorkerReport> ActionExecutor::take_report(const HttpResult& result) {
+/// A worker answers orders with its heartbeat, whether it carries them out or not.
+std::optional<WorkerHeartbeat> ActionExecutor::receive_heartbeat(const HttpResult& result) {
   if (!result.ok() && !(result.answered && result.status == kStatusConflict)) return std::nullopt;
-  auto report = wire::parse_report(result.body);
-  if (report) election_.observe_term(steady_now(), term_of_token(report->token));
-  return report;
+  auto heartbeat = wire::parse_worker_heartbeat(result.body);
+  if (heartbeat)
+    election_.observe_term(steady_now(), term_of_fencing_token(heartbeat->fencing_token));
+  return heartbeat;
 }
 
 void ActionExecutor::perform(const SendOrders& order) {
@@ -66,18 +67,19 @@
 }
 
 void ActionExecutor::send(const SendOrders& order, const std::shared_ptr<HttpClient>& client) {
-  client->request("POST", wire::path::kOrders,
-                  wire::orders_body(order.token, order.session, order.commands), order_deadline(),
-                  [this, client, machine = order.machine,
-                   generation = scheduler_.generation()](const HttpResult& result) {
-                    if (!scheduler_.get(generation)) return;
-                    const auto report = take_report(result);
-                    // The scheduler that sent the orders hears of them, also if the report's term
-                    // has just made this node step down: it is released later, by a posted handler.
-                    if (scheduler_)
-                      scheduler_->orders_done(machine, report, result.ok() && report, steady_now());
-                    send_waiting();
-                  });
+  client->request(
+      "POST", wire::path::kOrders,
+      wire::orders_body(order.fencing_token, order.agent_epoch, order.commands), order_deadline(),
+      [this, client, machine = order.machine,
+       generation = scheduler_.generation()](const HttpResult& result) {
+        if (!scheduler_.get(generation)) return;
+        const auto heartbeat = receive_heartbeat(result);
+        // The scheduler that sent the orders hears of them, also if the heartbeat's term
+        // has just made this node step down: it is released later, by a posted handler.
+        if (scheduler_)
+          scheduler_->orders_done(machine, heartbeat, result.ok() && heartbeat, steady_now());
+        send_waiting();
+      });
 }
 
 /// Sends orders, those that have waited longest first, until all connections are busy. An order was
@@ -100,13 +102,14 @@
 void ActionExecutor::perform(const Probe& probe) {
   const auto client = workers_.find_or_open(probe.addr);
   if (!client) return scheduler_->not_probed(probe.machine);
-  client->request("POST", wire::path::kOrders, wire::orders_body(probe.token, probe.session, {}),
+  client->request("POST", wire::path::kOrders,
+                  wire::orders_body(probe.fencing_token, probe.agent_epoch, {}),
                   settings_.lease_s * kProbeDeadlineLeaseShare,
                   [this, client, machine = probe.machine,
                    generation = scheduler_.generation()](const HttpResult& result) {
                     if (!scheduler_.get(generation)) return;
-                    const auto report = take_report(result);
-                    if (scheduler_) scheduler_->probed(machine, report, steady_now());
+                    const auto heartbeat = receive_heartbeat(result);
+                    if (scheduler_) scheduler_->probed(machine, heartbeat, steady_now());
                     send_waiting();
                   });
 }
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -45,7 +45,7 @@
   void perform(const Probe& probe);
   void perform(const Rent& rent);
   void perform(const Release& release);
-  std::optional<WorkerReport> take_report(const HttpResult& result);
+  std::optional<WorkerHeartbeat> receive_heartbeat(const HttpResult& result);
 
   asio::io_context& io_;
   const Settings& settings_;
--- a/src/node/heartbeat_details.cpp
+++ b/src/node/leader_hints_source.cpp
@@ -1,8 +1,8 @@
-#include "node/heartbeat_details.h"
+#include "node/leader_hints_source.h"
 
 namespace sumacquay {
 
-void add_counts(const Scheduler& scheduler, wire::Heartbeat& heartbeat) {
+void add_counts(const Scheduler& scheduler, wire::PeerHeartbeat& heartbeat) {
   for (const auto& [id, running] : scheduler.running_counts()) {
     const auto job = scheduler.jobs().find(id);
     if (job == scheduler.jobs().end()) continue;
@@ -10,7 +10,7 @@
   }
 }
 
-void add_hints(const Scheduler& scheduler, Seconds now, wire::Heartbeat& heartbeat) {
+void add_hints(const Scheduler& scheduler, Seconds now, wire::PeerHeartbeat& heartbeat) {
   for (const auto& [id, machine] : scheduler.machines()) {
     for (const auto& [image, gb] : machine.images.kept())
       heartbeat.images.push_back({id, image, gb});
--- a/src/node/machine_types_poller.cpp
+++ b/src/node/machine_types_poller.cpp
@@ -10,10 +10,10 @@
 constexpr double kDeadlineLeaseShare = 0.5;
 /// The pause between two reads / the workers' lease: prices move.
 constexpr double kPauseLeases = 6;
-/// Until the first read has succeeded, the shortest pause / the report period, and the random part
-/// on top: a node that has no types yet can't take submissions.
-constexpr double kFirstPauseReports = 0.3;
-constexpr double kFirstPauseJitterReports = 0.4;
+/// Until the first read has succeeded, the shortest pause / the heartbeat period, and the random
+/// part on top: a node that has no types yet can't take submissions.
+constexpr double kFirstPauseHeartbeats = 0.3;
+constexpr double kFirstPauseJitterHeartbeats = 0.4;
 
 }  // namespace
 
@@ -43,7 +43,8 @@
 
 Seconds MachineTypesPoller::pause() {
   if (!types_.empty()) return kPauseLeases * settings_.lease_s;
-  return settings_.report_s * (kFirstPauseReports + kFirstPauseJitterReports * random_());
+  return settings_.heartbeat_period_s *
+         (kFirstPauseHeartbeats + kFirstPauseJitterHeartbeats * random_());
 }
 
 }  // namespace sumacquay
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "node/heartbeat_details.h"
+#include "node/leader_hints_source.h"
 #include "node/steady_time.h"
 
 namespace sumacquay {
@@ -17,12 +17,12 @@
 constexpr double kPausePerTickDuration = 3;
 /// For how long an answer of the state service shows that it serves this node / the workers' lease.
 constexpr double kServedLeaseShare = 0.3;
-/// How long a worker's connection may be idle / the report period.
-constexpr double kIdleReports = 60;
+/// How long a worker's connection may be idle / the heartbeat period.
+constexpr double kIdleHeartbeats = 60;
 
-/// After how long a connection that nobody uses gives way to a worker that reports / the report
-/// period: a worker that is there reports sooner, also if a report of it is lost.
-constexpr double kStaleReports = 2.5;
+/// After how long a connection that nobody uses gives way to a worker that reports / the heartbeat
+/// period: a worker that is there reports sooner, also if a heartbeat of it is lost.
+constexpr double kStaleHeartbeats = 2.5;
 
 constexpr size_t kCloudQueued = 32;
 
@@ -56,12 +56,13 @@
       executor_(io, settings, sockets_.orders, cloud_, election_, scheduler_),
       record_writer_(settings, store_, mirror_, scheduler_,
                      [this] { asio::post(io_, [this] { on_committed(); }); }),
-      delegate_(process_, settings.delegation_after_s(), settings.answers_s()),
-      peers_(io, settings, settings.renew_s(), peer_hooks()),
-      frontend_(settings, sockets_.users_in_progress, store_, mirror_,
-                {[this]() -> const std::vector<MachineType>& { return machine_types_.types(); },
-                 [this](const std::string& id) { return peers_.leader_details().counts(id); },
-                 time_of_day_ms}),
+      delegated_responder_(process_, settings.delegation_after_s(), settings.answers_s()),
+      peer_heartbeats_(io, settings, settings.renew_s(), peer_hooks()),
+      frontend_(
+          settings, sockets_.users_in_progress, store_, mirror_,
+          {[this]() -> const std::vector<MachineType>& { return machine_types_.types(); },
+           [this](const std::string& id) { return peer_heartbeats_.leader_hints().counts(id); },
+           time_of_day_ms}),
       outage_log_(settings.lease_s),
       connection_log_(settings.lease_s),
       tick_timer_(io) {}
@@ -72,8 +73,8 @@
   limits.connections = sockets_.served_and_refused;
   limits.refusals = sockets_.refusals;
   limits.kept_open = sockets_.kept_open;
-  limits.idle_s = kIdleReports * settings_.report_s;
-  limits.stale_s = kStaleReports * settings_.report_s;
+  limits.idle_s = kIdleHeartbeats * settings_.heartbeat_period_s;
+  limits.stale_s = kStaleHeartbeats * settings_.heartbeat_period_s;
   server_ = std::make_unique<HttpServer>(
       io_, settings_.listen, limits,
       [this](const HttpRequest& request, const Respond& respond) { on_request(request, respond); });
@@ -83,7 +84,7 @@
                           request_tick();
                         }});
   mirror_.start();
-  peers_.start();
+  peer_heartbeats_.start();
   machine_types_.start();
   tick();
 }
@@ -121,7 +122,7 @@
 /// A leader looks at its workers steadily. Any other node sleeps until its election has something
 /// to do, but for no longer than between two renewals.
 Seconds Node::time_to_next_tick() const {
-  const Seconds shortest = settings_.report_s * settings_.tuning.round * kTickRoundShare;
+  const Seconds shortest = settings_.heartbeat_period_s * settings_.tuning.round * kTickRoundShare;
   if (scheduler_) return shortest;
   return std::clamp(election_driver_.due_at() - steady_now(), shortest,
                     std::max(shortest, settings_.renew_s()));
@@ -158,8 +159,8 @@
 // ---------------------------------------------------------------- requests
 
 void Node::on_request(const HttpRequest& request, const Respond& respond) {
-  if (request.path == wire::path::kReport && request.method == "POST")
-    return on_report(request, respond);
+  if (request.path == wire::path::kWorkerHeartbeat && request.method == "POST")
+    return on_worker_heartbeat(request, respond);
   if (request.path == wire::path::kReady)
     return respond({ready() ? 200 : 503, wire::error_body(ready() ? "" : "not ready"), 0});
   if (!frontend_.handle(request, respond)) respond({404, wire::error_body("no such path"), 0});
@@ -173,28 +174,28 @@
 bool Node::ready() const {
   // In an outage for all, no other node could do better: the users stay where they are.
   return mirror_.loaded() && !machine_types_.types().empty() &&
-         (served() || !peers_.others_served());
+         (served() || !peer_heartbeats_.others_served());
 }
 
-void Node::on_report(const HttpRequest& request, const Respond& respond) {
-  const auto report = wire::parse_report(request.body);
-  if (!report) return respond({400, wire::error_body("not a report"), 0});
-  election_.observe_term(steady_now(), term_of_token(report->token));
+void Node::on_worker_heartbeat(const HttpRequest& request, const Respond& respond) {
+  const auto heartbeat = wire::parse_worker_heartbeat(request.body);
+  if (!heartbeat) return respond({400, wire::error_body("not a report"), 0});
+  election_.observe_term(steady_now(), term_of_fencing_token(heartbeat->fencing_token));
   if (!scheduler_ || !election_.may_answer(steady_now()))
-    return answer_as_follower(*report, respond);
+    return answer_as_follower(*heartbeat, respond);
   const Seconds now = steady_now();
-  const auto answer = scheduler_->report(*report, election_.may_act(now), now);
+  const auto answer = scheduler_->on_heartbeat(*heartbeat, election_.may_act(now), now);
   if (!answer.fresh) return respond({503, {}, 0});
-  respond({200, wire::report_answer(answer.token, answer.commands), 0});
+  respond({200, wire::heartbeat_answer(answer.fencing_token, answer.commands), 0});
 }
 
 /// In the leader's place where this node may, otherwise with the leader's name.
-void Node::answer_as_follower(const WorkerReport& report, const Respond& respond) {
-  if (may_be_delegate(report)) {
-    const auto stops = delegate_.answer(
-        report, election_.highest_term(), to_seconds(mirror_.known_at()),
+void Node::answer_as_follower(const WorkerHeartbeat& heartbeat, const Respond& respond) {
+  if (may_answer_as_delegate(heartbeat)) {
+    const auto stops = delegated_responder_.answer(
+        heartbeat, election_.highest_term(), to_seconds(mirror_.known_at()),
         [this](const std::string& id) { return mirror_.ended(id); }, steady_now());
-    if (stops) return respond({200, wire::report_answer(report.token, *stops), 0});
+    if (stops) return respond({200, wire::heartbeat_answer(heartbeat.fencing_token, *stops), 0});
   }
   respond({421, wire::redirect_body(leader_to_redirect_to()), 0});
 }
@@ -202,16 +203,16 @@
 /// Empty if no other node is known to lead.
 std::string Node::leader_to_redirect_to() const {
   const auto& record = mirror_.leader().value;
-  const bool record_newer = record.term > peers_.leader_term();
-  const std::string leader = record_newer ? record.node : peers_.leader();
+  const bool record_newer = record.term > peer_heartbeats_.leader_term();
+  const std::string leader = record_newer ? record.node : peer_heartbeats_.leader();
   return leader == settings_.node ? std::string() : leader;
 }
 
 /// A zone that is cut off loses the leader and the state service together. While this node still
 /// hears either, another leader may be found, and workers had better go on looking.
-bool Node::may_be_delegate(const WorkerReport& report) const {
+bool Node::may_answer_as_delegate(const WorkerHeartbeat& heartbeat) const {
   const Seconds served_at = to_seconds(store_.last_served());
-  return election_.state() == LeaderElection::State::Follower && report.zone == settings_.zone &&
+  return election_.state() == LeaderElection::State::Follower && heartbeat.zone == settings_.zone &&
          steady_now() - served_at > settings_.delegation_after_s();
 }
 
@@ -238,7 +239,7 @@
   scheduler_.begin(create_scheduler());
   spdlog::info("takes over {} jobs and {} machines", mirror_.live().size(), mirror_.hosts().size());
   if (settings_.peers.empty()) scheduler_->on_previous_leader_fenced(steady_now());
-  peers_.beat_now(wire::HeartbeatPart::Beat);
+  peer_heartbeats_.send_peer_heartbeats(wire::PeerHeartbeatPart::StatusOnly);
   machine_list_.start();
   asio::post(io_, [this] { tick_scheduler(); });
 }
@@ -255,10 +256,10 @@
   for (const auto& [id, job] : mirror_.live())
     scheduler->job_stored(job.value, job.version, steady_now());
   tell_finished_dependencies(*scheduler);
-  for (const auto& held : peers_.leader_details().images())
-    scheduler->image_held(held.machine, held.image, held.gb);
+  for (const auto& held : peer_heartbeats_.leader_hints().images())
+    scheduler->on_cached_image(held.machine, held.image, held.gb);
   // The cloud's list is late: without this, what the leader before rented is rented once more.
-  scheduler->listed(peers_.leader_details().booting(), steady_now());
+  scheduler->listed(peer_heartbeats_.leader_hints().booting(), steady_now());
   return scheduler;
 }
 
@@ -295,27 +296,27 @@
 
 // ---------------------------------------------------------------- heartbeats
 
-Peers::Hooks Node::peer_hooks() {
-  Peers::Hooks hooks;
-  hooks.own = [this](wire::HeartbeatPart part) { return own_heartbeat(part); };
-  hooks.answer = [this](const wire::Heartbeat& from) { return answer_heartbeat(from); };
-  hooks.answered = [this](const std::string& node, const wire::Heartbeat& heartbeat,
-                          auto asked_at) { on_heartbeat_answer(node, heartbeat, asked_at); };
+PeerHeartbeats::Hooks Node::peer_hooks() {
+  PeerHeartbeats::Hooks hooks;
+  hooks.own = [this](wire::PeerHeartbeatPart part) { return own_peer_heartbeat(part); };
+  hooks.answer = [this](const wire::PeerHeartbeat& from) { return answer_peer_heartbeat(from); };
+  hooks.answered = [this](const std::string& node, const wire::PeerHeartbeat& heartbeat,
+                          auto asked_at) { on_peer_heartbeat_answer(node, heartbeat, asked_at); };
   return hooks;
 }
 
-wire::Heartbeat Node::own_heartbeat(wire::HeartbeatPart part) const {
+wire::PeerHeartbeat Node::own_peer_heartbeat(wire::PeerHeartbeatPart part) const {
   const Seconds now = steady_now();
-  wire::Heartbeat heartbeat;
+  wire::PeerHeartbeat heartbeat;
   heartbeat.node = settings_.node;
   heartbeat.term = election_.highest_term();
   heartbeat.leading = scheduler_ && election_.may_answer(now);
   heartbeat.served = served();
-  heartbeat.status = delegate_.status(now);
+  heartbeat.status = delegated_responder_.status(now);
   if (!heartbeat.leading) return heartbeat;
   heartbeat.part = part;
-  if (part == wire::HeartbeatPart::Counts) add_counts(*scheduler_, heartbeat);
-  if (part == wire::HeartbeatPart::Hints) add_hints(*scheduler_, now, heartbeat);
+  if (part == wire::PeerHeartbeatPart::Counts) add_counts(*scheduler_, heartbeat);
+  if (part == wire::PeerHeartbeatPart::Hints) add_hints(*scheduler_, now, heartbeat);
   return heartbeat;
 }
 
@@ -325,7 +326,7 @@
   return nullptr;
 }
 
-void Node::on_heartbeat(const wire::Heartbeat& heartbeat) {
+void Node::on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat) {
   const Seconds now = steady_now();
   election_.observe_term(now, heartbeat.term);
   const std::string* zone = zone_of(heartbeat.node);
@@ -334,21 +335,21 @@
 }
 
 /// Delegations go out with answers only: they count from when they were asked for.
-wire::Heartbeat Node::answer_heartbeat(const wire::Heartbeat& from) {
-  on_heartbeat(from);
-  wire::Heartbeat answer = own_heartbeat(wire::HeartbeatPart::Beat);
+wire::PeerHeartbeat Node::answer_peer_heartbeat(const wire::PeerHeartbeat& from) {
+  on_peer_heartbeat(from);
+  wire::PeerHeartbeat answer = own_peer_heartbeat(wire::PeerHeartbeatPart::StatusOnly);
   const std::string* zone = zone_of(from.node);
-  if (leads_now() && zone && settings_.finds_delegate(*zone))
+  if (leads_now() && zone && settings_.finds_delegated_responder(*zone))
     answer.delegation = scheduler_->delegations().delegate(from.node, *zone,
                                                            election_.answers_until(), steady_now());
   return answer;
 }
 
-void Node::on_heartbeat_answer(const std::string& node, const wire::Heartbeat& heartbeat,
-                               std::chrono::steady_clock::time_point asked_at) {
-  on_heartbeat(heartbeat);
+void Node::on_peer_heartbeat_answer(const std::string& node, const wire::PeerHeartbeat& heartbeat,
+                                    std::chrono::steady_clock::time_point asked_at) {
+  on_peer_heartbeat(heartbeat);
   if (heartbeat.delegation)
-    delegate_.delegated(*heartbeat.delegation, to_seconds(asked_at), steady_now());
+    delegated_responder_.delegated(*heartbeat.delegation, to_seconds(asked_at), steady_now());
   if (!scheduler_ || heartbeat.leading || heartbeat.term < election_.term()) return;
   // That node follows this term: it answers no worker under an older one. Once all do, nobody else
   // can renew a worker's lease.
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -7,7 +7,7 @@
 #include "config/settings.h"
 #include "config/socket_budget.h"
 #include "frontend/frontend.h"
-#include "leadership/delegation.h"
+#include "leadership/lease_delegation.h"
 #include "net/http.h"
 #include "node/action_executor.h"
 #include "node/active_scheduler.h"
@@ -18,7 +18,7 @@
 #include "node/outage_log.h"
 #include "node/record_writer.h"
 #include "node/steady_time.h"
-#include "peer/peers.h"
+#include "peer/peer_heartbeats.h"
 #include "store/mirror.h"
 #include "store/store_client.h"
 #include "wire/messages.h"
@@ -43,12 +43,12 @@
   std::optional<std::string> reason_to_resign() const;
   // requests
   void on_request(const HttpRequest& request, const Respond& respond);
-  void on_report(const HttpRequest& request, const Respond& respond);
-  void answer_as_follower(const WorkerReport& report, const Respond& respond);
+  void on_worker_heartbeat(const HttpRequest& request, const Respond& respond);
+  void answer_as_follower(const WorkerHeartbeat& heartbeat, const Respond& respond);
   std::string leader_to_redirect_to() const;
   bool ready() const;
   bool served() const;
-  bool may_be_delegate(const WorkerReport& report) const;
+  bool may_answer_as_delegate(const WorkerHeartbeat& heartbeat) const;
   // leadership
   void on_election_state_changed(LeaderElection::State from, LeaderElection::State to);
   void start_leading();
@@ -60,12 +60,12 @@
   void on_all_job_records();
   void tell_finished_dependencies(Scheduler& scheduler) const;
   // heartbeats
-  Peers::Hooks peer_hooks();
-  wire::Heartbeat own_heartbeat(wire::HeartbeatPart part) const;
-  wire::Heartbeat answer_heartbeat(const wire::Heartbeat& from);
-  void on_heartbeat(const wire::Heartbeat& heartbeat);
-  void on_heartbeat_answer(const std::string& node, const wire::Heartbeat& heartbeat,
-                           std::chrono::steady_clock::time_point asked_at);
+  PeerHeartbeats::Hooks peer_hooks();
+  wire::PeerHeartbeat own_peer_heartbeat(wire::PeerHeartbeatPart part) const;
+  wire::PeerHeartbeat answer_peer_heartbeat(const wire::PeerHeartbeat& from);
+  void on_peer_heartbeat(const wire::PeerHeartbeat& heartbeat);
+  void on_peer_heartbeat_answer(const std::string& node, const wire::PeerHeartbeat& heartbeat,
+                                std::chrono::steady_clock::time_point asked_at);
   const std::string* zone_of(const std::string& node) const;
 
   asio::io_context& io_;
@@ -83,8 +83,8 @@
   MachineListPoller machine_list_;
   ActionExecutor executor_;
   RecordWriter record_writer_;
-  Delegate delegate_;
-  Peers peers_;
+  DelegatedResponder delegated_responder_;
+  PeerHeartbeats peer_heartbeats_;
   Frontend frontend_;
   OutageLog outage_log_;
   ConnectionLog connection_log_;
--- a/src/node/outage_log.h
+++ b/src/node/outage_log.h
@@ -4,8 +4,8 @@
 namespace sumacquay {
 
 /// Tells operators from the log which trouble it was: this process that stood still, or the state
-/// service that was lost. Lost peers are logged by `Peers`. Called by the node at every tick; each
-/// trouble is logged once as it begins, the state service's also as it ends.
+/// service that was lost. Lost peers are logged by `PeerHeartbeats`. Called by the node at every
+/// tick; each trouble is logged once as it begins, the state service's also as it ends.
 class OutageLog {
  public:
   explicit OutageLog(Seconds worker_lease) : worker_lease_(worker_lease) {}
--- a/src/node/write_pacing.cpp
+++ b/src/node/write_pacing.cpp
@@ -7,8 +7,8 @@
 
 /// A job that finishes leaves one key and enters another.
 constexpr size_t kFewestChanges = 2;
-/// How long transactions stay small / the report period.
-constexpr double kCautionReports = 30;
+/// How long transactions stay small / the heartbeat period.
+constexpr double kCautionHeartbeats = 30;
 
 /// A transaction of more changes than the service takes in a second might never be taken.
 size_t changes_within_limits(const Settings& settings) {
@@ -20,15 +20,16 @@
 }  // namespace
 
 WritePacing::WritePacing(const Settings& settings)
-    : most_changes_(changes_within_limits(settings)), report_s_(settings.report_s) {}
+    : most_changes_(changes_within_limits(settings)),
+      heartbeat_period_s_(settings.heartbeat_period_s) {}
 
 size_t WritePacing::most_changes(Seconds now) const {
   return now < cautious_until_ ? kFewestChanges : most_changes_;
 }
 
 void WritePacing::too_large(Seconds now) {
-  paused_until_ = now + report_s_;
-  cautious_until_ = now + kCautionReports * report_s_;
+  paused_until_ = now + heartbeat_period_s_;
+  cautious_until_ = now + kCautionHeartbeats * heartbeat_period_s_;
 }
 
 }  // namespace sumacquay
--- a/src/node/write_pacing.h
+++ b/src/node/write_pacing.h
@@ -10,8 +10,8 @@
 /// it before each transaction.
 ///
 /// The state service may come to refuse what it took before. After a transaction that was too large
-/// this pauses for a report period, and for a while lets through only the fewest changes that are
-/// of use, so that one record that is too large keeps no others back.
+/// this pauses for a heartbeat period, and for a while lets through only the fewest changes that
+/// are of use, so that one record that is too large keeps no others back.
 class WritePacing {
  public:
   explicit WritePacing(const Settings& settings);
@@ -24,7 +24,7 @@
 
  private:
   size_t most_changes_;
-  Seconds report_s_;
+  Seconds heartbeat_period_s_;
   Seconds paused_until_ = 0;
   Seconds cautious_until_ = 0;
 };
--- a/src/peer/peers.cpp
+++ b/src/peer/peer_heartbeats.cpp
@@ -1,4 +1,4 @@
-#include "peer/peers.h"
+#include "peer/peer_heartbeats.h"
 
 #include <spdlog/spdlog.h>
 
@@ -20,59 +20,62 @@
 constexpr size_t kBodyLimit = HttpLimits{}.body_bytes;
 
 /// A peer with so many heartbeats under way gets no more until one is answered or given up.
-constexpr size_t kHeartbeatsUnderWay = 2;
+constexpr size_t kMaxHeartbeatsInFlight = 2;
 
 double age_s(Clock::time_point time) {
   return std::chrono::duration<double>(Clock::now() - time).count();
 }
 }  // namespace
 
-Peers::Peers(asio::io_context& io, const Settings& settings, double period_s, Hooks hooks)
+PeerHeartbeats::PeerHeartbeats(asio::io_context& io, const Settings& settings, double period_s,
+                               Hooks hooks)
     : io_(io),
       settings_(settings),
       period_s_(period_s),
       hooks_(std::move(hooks)),
       timer_(io),
-      beats_per_counts_(std::max(1, static_cast<int>(kCountsIntervalS / period_s))) {
+      periods_per_counts_(std::max(1, static_cast<int>(kCountsIntervalS / period_s))) {
   for (const auto& peer : settings.peers) {
     peers_[peer.node].heard = Clock::now();
     clients_[peer.node] = std::make_unique<HttpClient>(
-        io, peer.addr, fixed_sockets::kClientConnectionsPerPeer, kMostHeartbeatPieces);
+        io, peer.addr, fixed_sockets::kClientConnectionsPerPeer, kMaxPeerHeartbeatFragments);
   }
 }
 
-void Peers::start() {
+void PeerHeartbeats::start() {
   HttpLimits limits;
   limits.connections = fixed_sockets::kServerConnectionsPerPeer * settings_.peers.size() +
                        fixed_sockets::kServerConnectionsSpare;
   server_ = std::make_unique<HttpServer>(
       io_, settings_.peer_listen, limits,
       [this](const HttpRequest& request, const Respond& respond) { on_request(request, respond); });
-  beat();
+  send_periodic_peer_heartbeats();
 }
 
-void Peers::on_request(const HttpRequest& request, const Respond& respond) {
-  const auto heartbeat =
-      request.path == wire::path::kHeartbeat ? wire::decode_heartbeat(request.body) : std::nullopt;
+void PeerHeartbeats::on_request(const HttpRequest& request, const Respond& respond) {
+  const auto heartbeat = request.path == wire::path::kPeerHeartbeat
+                             ? wire::decode_peer_heartbeat(request.body)
+                             : std::nullopt;
   if (!heartbeat) return respond({400, {}, 0});
   note(*heartbeat);
-  respond({200, wire::encode_heartbeat(hooks_.answer(*heartbeat)), 0});
+  respond({200, wire::encode_peer_heartbeat(hooks_.answer(*heartbeat)), 0});
 }
 
-void Peers::beat_now(wire::HeartbeatPart part) {
-  const wire::Heartbeat own = hooks_.own(part);
-  if (own.leading) leader_details_.take(own);
-  const auto bodies = wire::encode_heartbeat_pieces(own, ++batches_, kBodyLimit);
+void PeerHeartbeats::send_peer_heartbeats(wire::PeerHeartbeatPart part) {
+  const wire::PeerHeartbeat own = hooks_.own(part);
+  if (own.leading) leader_hints_.take(own);
+  const auto bodies = wire::encode_peer_heartbeat_fragments(own, ++batches_, kBodyLimit);
   for (auto& [node, client] : clients_) {
-    if (client->in_progress() >= kHeartbeatsUnderWay) continue;
+    if (client->in_progress() >= kMaxHeartbeatsInFlight) continue;
     for (const auto& body : bodies) send(*client, node, body);
   }
 }
 
-void Peers::send(HttpClient& client, const std::string& node, const std::string& body) {
-  client.request("POST", wire::path::kHeartbeat, body, period_s_ * kDeadlinePeriods,
+void PeerHeartbeats::send(HttpClient& client, const std::string& node, const std::string& body) {
+  client.request("POST", wire::path::kPeerHeartbeat, body, period_s_ * kDeadlinePeriods,
                  [this, node, asked_at = Clock::now()](const HttpResult& r) {
-                   const auto heartbeat = r.ok() ? wire::decode_heartbeat(r.body) : std::nullopt;
+                   const auto heartbeat =
+                       r.ok() ? wire::decode_peer_heartbeat(r.body) : std::nullopt;
                    if (!heartbeat) return;
                    note(*heartbeat);
                    hooks_.answered(node, *heartbeat, asked_at);
@@ -80,7 +83,7 @@
 }
 
 /// Each peer that falls silent or is heard again is told once, for operators.
-void Peers::log_silent_peers() {
+void PeerHeartbeats::log_silent_peers() {
   for (auto& [node, peer] : peers_) {
     const bool silent = age_s(peer.heard) > kRecentPeriods * period_s_;
     if (silent == peer.silent) continue;
@@ -89,19 +92,20 @@
   }
 }
 
-void Peers::beat() {
+void PeerHeartbeats::send_periodic_peer_heartbeats() {
   log_silent_peers();
-  const int count = beats_++;
-  beat_now(count % beats_per_counts_ == 0 ? wire::HeartbeatPart::Counts
-                                          : wire::HeartbeatPart::Beat);
-  if (count % (kCountsPerHints * beats_per_counts_) == 0) beat_now(wire::HeartbeatPart::Hints);
+  const int count = periods_++;
+  send_peer_heartbeats(count % periods_per_counts_ == 0 ? wire::PeerHeartbeatPart::Counts
+                                                        : wire::PeerHeartbeatPart::StatusOnly);
+  if (count % (kCountsPerHints * periods_per_counts_) == 0)
+    send_peer_heartbeats(wire::PeerHeartbeatPart::Hints);
   timer_.expires_after(std::chrono::microseconds(static_cast<long long>(period_s_ * 1e6)));
   timer_.async_wait([this](auto error) {
-    if (!error) beat();
+    if (!error) send_periodic_peer_heartbeats();
   });
 }
 
-void Peers::note(const wire::Heartbeat& heartbeat) {
+void PeerHeartbeats::note(const wire::PeerHeartbeat& heartbeat) {
   const auto peer = peers_.find(heartbeat.node);
   if (peer != peers_.end()) peer->second.heard = Clock::now();
   if (heartbeat.served) served_heard_ = Clock::now();
@@ -109,14 +113,14 @@
   leader_ = heartbeat.node;
   leader_term_ = heartbeat.term;
   leader_heard_ = Clock::now();
-  leader_details_.take(heartbeat);
+  leader_hints_.take(heartbeat);
 }
 
-std::string Peers::leader() const {
+std::string PeerHeartbeats::leader() const {
   return age_s(leader_heard_) < kRecentPeriods * period_s_ ? leader_ : std::string();
 }
 
-bool Peers::others_served() const {
+bool PeerHeartbeats::others_served() const {
   return age_s(served_heard_) < kRecentPeriods * period_s_;
 }
 
--- a/src/peer/peers.h
+++ b/src/peer/peer_heartbeats.h
@@ -7,8 +7,8 @@
 #include "config/settings.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "peer/leader_details.h"
-#include "wire/heartbeat.h"
+#include "peer/leader_hints.h"
+#include "wire/peer_heartbeat.h"
 
 namespace sumacquay {
 
@@ -17,35 +17,35 @@
 /// would help its successor place. Made by the node, which supplies what is said (`Hooks`) and asks
 /// what was heard. Nothing that safety needs rests on it, but for one answer: a node that has
 /// answered a term never acts under an older one.
-class Peers {
+class PeerHeartbeats {
  public:
   struct Hooks {
     /// What this node says: its status, or also what users are shown or a successor would want.
-    std::function<wire::Heartbeat(wire::HeartbeatPart)> own;
-    std::function<wire::Heartbeat(const wire::Heartbeat& from)> answer;
+    std::function<wire::PeerHeartbeat(wire::PeerHeartbeatPart)> own;
+    std::function<wire::PeerHeartbeat(const wire::PeerHeartbeat& from)> answer;
     /// A peer has answered what was sent at `asked_at`.
-    std::function<void(const std::string& node, const wire::Heartbeat&,
+    std::function<void(const std::string& node, const wire::PeerHeartbeat&,
                        std::chrono::steady_clock::time_point asked_at)>
         answered;
   };
-  Peers(asio::io_context& io, const Settings& settings, double period_s, Hooks hooks);
+  PeerHeartbeats(asio::io_context& io, const Settings& settings, double period_s, Hooks hooks);
   void start();
   /// Sends a heartbeat to all peers at once, beside the steady ones.
-  void beat_now(wire::HeartbeatPart part);
+  void send_peer_heartbeats(wire::PeerHeartbeatPart part);
 
   /// The leader that others speak of, empty if none was heard of lately.
   std::string leader() const;
   uint64_t leader_term() const { return leader_term_; }
   /// As the leader said last, be it another node or this one.
-  const LeaderDetails& leader_details() const { return leader_details_; }
+  const LeaderHints& leader_hints() const { return leader_hints_; }
   /// Another node was served by the state service lately.
   bool others_served() const;
 
  private:
-  void beat();
+  void send_periodic_peer_heartbeats();
   void on_request(const HttpRequest& request, const Respond& respond);
   void log_silent_peers();
-  void note(const wire::Heartbeat& heartbeat);
+  void note(const wire::PeerHeartbeat& heartbeat);
   void send(HttpClient& client, const std::string& node, const std::string& body);
 
   asio::io_context& io_;
@@ -60,13 +60,13 @@
   std::map<std::string, std::unique_ptr<HttpClient>> clients_;
   std::unique_ptr<HttpServer> server_;
   asio::steady_timer timer_;
-  int beats_ = 0;
-  int beats_per_counts_;
+  int periods_ = 0;
+  int periods_per_counts_;
   std::string leader_;
   uint64_t leader_term_ = 0;
   std::chrono::steady_clock::time_point leader_heard_{}, served_heard_{};
-  LeaderDetails leader_details_;
-  uint64_t batches_ = 0;  ///< tellings so far, for the pieces of those that need several
+  LeaderHints leader_hints_;
+  uint64_t batches_ = 0;  ///< tellings so far, for the fragments of those that need several
 };
 
 }  // namespace sumacquay
--- a/src/standin/hollow_fleet.cpp
+++ b/src/standin/hollow_fleet.cpp
@@ -131,7 +131,7 @@
   const auto left = std::exchange(found->second.ready, {});
   for (const auto& [task, machine] : left)
     if (HollowWorker* worker = find(machine))
-      worker->end_gang_task(task, attempt.second, ExitCause::Peers);
+      worker->end_gang_task(task, attempt.second, ExitCause::PeerHeartbeats);
   gangs_.erase(attempt);
 }
 
--- a/src/standin/hollow_worker.cpp
+++ b/src/standin/hollow_worker.cpp
@@ -10,17 +10,17 @@
 namespace sumacquay::standin {
 namespace {
 
-/// How long a worker waits for the answer to a report.
+/// How long a worker waits for the answer to a heartbeat.
 constexpr Seconds kAnswerTimeout = 4;
 /// When a worker reports to the next controller after one did not answer or sent it away.
 constexpr Seconds kNextControllerDelay = 1;
 /// The shortest time between two reports.
 constexpr Seconds kLeastPause = 0.5;
-constexpr double kReportEarly = 0.75;
-constexpr double kReportLate = 1.25;
+constexpr double kHeartbeatEarly = 0.75;
+constexpr double kHeartbeatLate = 1.25;
 constexpr size_t kMostOrderConnections = 8;
-constexpr size_t kReportConnections = 1;
-constexpr size_t kQueuedReports = 2;
+constexpr size_t kHeartbeatConnections = 1;
+constexpr size_t kQueuedHeartbeats = 2;
 /// Bytes of an HTTP head as both sides write it, for the count of bytes.
 constexpr uint64_t kHeadBytes = 110;
 
@@ -61,8 +61,8 @@
 
 void HollowWorker::start() {
   const Seconds now = steady_now();
-  state_.session_began = now;
-  next_report_ = now + random_between(0, context_.times.report_s);
+  state_.agent_epoch_began = now;
+  next_heartbeat_ = now + random_between(0, context_.times.heartbeat_period_s);
   wake_later();
 }
 
@@ -74,11 +74,11 @@
 // ---------------------------------------------------------------- time
 
 void HollowWorker::wake_later() {
-  Seconds next = report_under_way_ ? kFarFuture : next_report_;
+  Seconds next = heartbeat_in_flight_ ? kFarFuture : next_heartbeat_;
   for (const auto& [key, task] : state_.tasks)
     if (task.present()) next = std::min(next, task.next_change);
   const Seconds lease_end =
-      state_.answered_report.value_or(state_.session_began) + context_.times.lease_s;
+      state_.answered_heartbeat.value_or(state_.agent_epoch_began) + context_.times.lease_s;
   next = std::min(next, lease_end);
   constexpr Seconds kLeastWait = 0.001;
   timer_.expires_after(to_microseconds(std::max(next - steady_now(), kLeastWait)));
@@ -89,22 +89,22 @@
 
 void HollowWorker::on_wake() {
   const Seconds now = steady_now();
-  end_session_if_over(now);
+  end_agent_epoch_if_expired(now);
   advance_tasks(now);
-  if (!report_under_way_ && now >= next_report_) send_report(now);
+  if (!heartbeat_in_flight_ && now >= next_heartbeat_) send_heartbeat(now);
   wake_later();
 }
 
-void HollowWorker::end_session_if_over(Seconds now) {
+void HollowWorker::end_agent_epoch_if_expired(Seconds now) {
   if (!state_.lease_over(context_.times.lease_s, now)) return;
   ++context_.counts.leases_lost;
   std::vector<std::pair<TaskKey, uint64_t>> ended;
   for (const auto& [key, task] : state_.tasks)
     if (task.present()) ended.emplace_back(key, task.attempt);
   for (const auto& [key, attempt] : ended) context_.checker.task_left(state_, key);
-  state_.expire_session(context_.times.lease_s, now);
+  state_.expire_agent_epoch(context_.times.lease_s, now);
   for (const auto& [key, attempt] : ended) context_.gang_task_gone(key, attempt);
-  report_soon(now);
+  heartbeat_soon(now);
 }
 
 // ---------------------------------------------------------------- tasks
@@ -126,7 +126,7 @@
       if (job.spec.kind != JobKind::Gang) return set_running(key, task, job.run_s, now);
       task.state = TaskState::Waiting;
       task.next_change = now + context_.times.gang_wait_s;
-      report_soon(now);
+      heartbeat_soon(now);
       return context_.gang_task_ready(state_.id, key, task.attempt);
     case TaskState::Waiting:
       return set_exited(key, task, ExitCause::Alone);
@@ -143,7 +143,7 @@
   task.state = TaskState::Running;
   task.next_change = service ? kFarFuture : now + run_s;
   context_.task_running(key.job);
-  report_soon(now);
+  heartbeat_soon(now);
 }
 
 void HollowWorker::set_exited(const TaskKey& key, WorkerTask& task, ExitCause cause) {
@@ -152,7 +152,7 @@
   task.cause = cause;
   if (cause == ExitCause::Done) context_.jobs.at(key.job).done.insert(key.task);
   context_.checker.task_left(state_, key);
-  report_soon(steady_now());
+  heartbeat_soon(steady_now());
   if (cause != ExitCause::Done) context_.gang_task_gone(key, attempt);
 }
 
@@ -199,35 +199,37 @@
     context_.checker.task_arrived(state_, command.key, now);
   }
   state_.tasks[command.key] = task;
-  report_soon(now);
+  heartbeat_soon(now);
 }
 
 // ---------------------------------------------------------------- reports
 
-void HollowWorker::report_soon(Seconds now) {
-  next_report_ = std::min(next_report_, std::max(now, last_report_ + kLeastPause));
+void HollowWorker::heartbeat_soon(Seconds now) {
+  next_heartbeat_ = std::min(next_heartbeat_, std::max(now, last_heartbeat_ + kLeastPause));
 }
 
-void HollowWorker::send_report(Seconds now) {
-  last_report_ = now;
-  next_report_ = now + context_.times.report_s * random_between(kReportEarly, kReportLate);
+void HollowWorker::send_heartbeat(Seconds now) {
+  last_heartbeat_ = now;
+  next_heartbeat_ =
+      now + context_.times.heartbeat_period_s * random_between(kHeartbeatEarly, kHeartbeatLate);
   if (silent_) return turn_to_next(now);
   if (!client_)
     client_ = std::make_unique<HttpClient>(context_.io, context_.controllers[controller_],
-                                           kReportConnections, kQueuedReports);
-  const std::string body = report_body(state_.report());
-  ++context_.counts.reports;
+                                           kHeartbeatConnections, kQueuedHeartbeats);
+  const std::string body = worker_heartbeat_body(state_.heartbeat());
+  ++context_.counts.heartbeats;
   context_.counts.bytes_out += body.size() + kHeadBytes;
-  report_under_way_ = true;
-  client_->request("POST", wire::path::kReport, body, kAnswerTimeout,
-                   [this, alive = alive_, now, session = state_.session](const HttpResult& result) {
-                     if (*alive) on_answer(result, now, session);
-                   });
+  heartbeat_in_flight_ = true;
+  client_->request(
+      "POST", wire::path::kWorkerHeartbeat, body, kAnswerTimeout,
+      [this, alive = alive_, now, agent_epoch = state_.agent_epoch](const HttpResult& result) {
+        if (*alive) on_answer(result, now, agent_epoch);
+      });
 }
 
-void HollowWorker::on_answer(const HttpResult& result, Seconds sent_at, uint64_t session) {
+void HollowWorker::on_answer(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch) {
   const Seconds now = steady_now();
-  report_under_way_ = false;
+  heartbeat_in_flight_ = false;
   context_.counts.bytes_in += result.body.size() + (result.answered ? kHeadBytes : 0);
   const bool heard = !silent_ && result.answered;
   if (heard && result.status == kMisdirected) {
@@ -235,20 +237,20 @@
     turn_to(parse_redirect(result.body), now);
   } else if (!heard || !result.ok()) {
     turn_to_next(now);
-  } else if (session == state_.session) {
+  } else if (agent_epoch == state_.agent_epoch) {
     hear_leader(result.body, sent_at, now);
   }
   wake_later();
 }
 
-/// A 200 renews the lease, unless its token is older than one that was seen.
+/// A 200 renews the lease, unless its fencing token is older than one that was seen.
 void HollowWorker::hear_leader(const std::string& body, Seconds sent_at, Seconds now) {
   const auto orders = parse_orders(body);
-  if (!orders || orders->token < state_.token) return;
-  ++context_.counts.reports_answered;
-  if (orders->token > state_.token) report_soon(now);
-  state_.raise_token(orders->token);
-  state_.answered_report = sent_at;
+  if (!orders || orders->fencing_token < state_.fencing_token) return;
+  ++context_.counts.heartbeats_answered;
+  if (orders->fencing_token > state_.fencing_token) heartbeat_soon(now);
+  state_.advance_fencing_token(orders->fencing_token);
+  state_.answered_heartbeat = sent_at;
   execute(orders->commands, now);
 }
 
@@ -259,13 +261,13 @@
   if (named == names.end() || index == controller_) return turn_to_next(now);
   controller_ = index;
   client_.reset();
-  next_report_ = now + random_between(0, kLeastPause);
+  next_heartbeat_ = now + random_between(0, kLeastPause);
 }
 
 void HollowWorker::turn_to_next(Seconds now) {
   controller_ = (controller_ + 1) % context_.controllers.size();
   client_.reset();
-  next_report_ = now + kNextControllerDelay;
+  next_heartbeat_ = now + kNextControllerDelay;
 }
 
 // ---------------------------------------------------------------- orders
@@ -277,14 +279,15 @@
   const auto orders = parse_orders(request.body);
   if (!orders) return respond({kBadRequest, {}, 0});
   const Seconds now = steady_now();
-  end_session_if_over(now);
-  const bool in_force = orders->token >= state_.token && orders->session == state_.session;
+  end_agent_epoch_if_expired(now);
+  const bool in_force =
+      orders->fencing_token >= state_.fencing_token && orders->agent_epoch == state_.agent_epoch;
   if (in_force) {
-    if (orders->token > state_.token) report_soon(now);
-    state_.raise_token(orders->token);
+    if (orders->fencing_token > state_.fencing_token) heartbeat_soon(now);
+    state_.advance_fencing_token(orders->fencing_token);
     execute(orders->commands, now);
   }
-  const std::string body = report_body(state_.report());
+  const std::string body = worker_heartbeat_body(state_.heartbeat());
   context_.counts.bytes_out += body.size() + kHeadBytes;
   respond({in_force ? kOk : kConflict, body, 0});
   wake_later();
--- a/src/standin/hollow_worker.h
+++ b/src/standin/hollow_worker.h
@@ -17,7 +17,7 @@
 
 /// Times of the protocol that a worker keeps to.
 struct WorkerTimes {
-  Seconds report_s = 4;
+  Seconds heartbeat_period_s = 4;
   Seconds lease_s = 22;
   Seconds fetch_s = 0.5;  ///< to have a task's image
   Seconds gang_wait_s = 30;
@@ -26,8 +26,8 @@
 
 /// What workers said and were told since the start.
 struct WorkerCounts {
-  uint64_t reports = 0;                  ///< sent
-  uint64_t reports_answered = 0;         ///< by a 200
+  uint64_t heartbeats = 0;               ///< sent
+  uint64_t heartbeats_answered = 0;      ///< by a 200
   uint64_t redirects = 0;                ///< answers that named another controller
   uint64_t orders = 0;                   ///< received straight from the leader
   uint64_t bytes_out = 0, bytes_in = 0;  ///< bodies and heads of both directions
@@ -58,7 +58,7 @@
   HollowWorker(const HollowWorker&) = delete;
   ~HollowWorker();
 
-  /// Begins to report, at a random moment of the first report period.
+  /// Begins to report, at a random moment of the first heartbeat period.
   void start();
   /// Whether it exchanges anything with controllers.
   void set_silent(bool silent);
@@ -76,10 +76,10 @@
   void advance(const TaskKey& key, WorkerTask& task, Seconds now);
   void set_running(const TaskKey& key, WorkerTask& task, Seconds run_s, Seconds now);
   void set_exited(const TaskKey& key, WorkerTask& task, ExitCause cause);
-  void end_session_if_over(Seconds now);
-  void report_soon(Seconds now);
-  void send_report(Seconds now);
-  void on_answer(const HttpResult& result, Seconds sent_at, uint64_t session);
+  void end_agent_epoch_if_expired(Seconds now);
+  void heartbeat_soon(Seconds now);
+  void send_heartbeat(Seconds now);
+  void on_answer(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch);
   void hear_leader(const std::string& body, Seconds sent_at, Seconds now);
   void turn_to(const std::string& controller, Seconds now);
   void turn_to_next(Seconds now);
@@ -95,9 +95,9 @@
   asio::steady_timer timer_;
   size_t controller_ = 0;
   bool silent_ = false;
-  bool report_under_way_ = false;
-  Seconds next_report_ = 0;
-  Seconds last_report_ = 0;
+  bool heartbeat_in_flight_ = false;
+  Seconds next_heartbeat_ = 0;
+  Seconds last_heartbeat_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/standin/messages.cpp
+++ b/src/standin/messages.cpp
@@ -50,10 +50,10 @@
 
 std::optional<WorkerOrders> read_orders(View root) {
   WorkerOrders orders;
-  const auto token = root[field::kToken].count();
-  if (!token) return std::nullopt;
-  orders.token = *token;
-  orders.session = root[field::kSession].count().value_or(0);
+  const auto fencing_token = root[field::kFencingToken].count();
+  if (!fencing_token) return std::nullopt;
+  orders.fencing_token = *fencing_token;
+  orders.agent_epoch = root[field::kAgentEpoch].count().value_or(0);
   const View list = root["orders"];
   for (size_t i = 0; i < list.size(); ++i) {
     auto command = read_command(list.at(i));
@@ -63,7 +63,7 @@
   return orders;
 }
 
-void pack_task(Packer& packer, const TaskReport& task) {
+void pack_task(Packer& packer, const TaskStatus& task) {
   const bool exited = task.state == TaskState::Exited;
   packer.pack_map(exited ? 4 : 3);
   pack_field(packer, field::kTask, task.key.job + "/" + std::to_string(task.key.task));
@@ -172,21 +172,22 @@
 
 }  // namespace
 
-std::string report_body(const WorkerReport& report) {
+std::string worker_heartbeat_body(const WorkerHeartbeat& heartbeat) {
   return build([&](Packer& packer) {
-    packer.pack_map(report.notice_s ? 10 : 9);
-    pack_field(packer, field::kMachine, report.machine);
-    pack_field(packer, field::kAddress, report.addr);
-    pack_field(packer, field::kType, report.type);
-    pack_field(packer, field::kZone, report.zone);
-    pack_field(packer, field::kSpot, report.spot);
-    pack_field(packer, field::kSession, report.session);
-    pack_field(packer, "tally", report.seq);
-    pack_field(packer, field::kToken, report.token);
-    if (report.notice_s) pack_field(packer, "warning_s", *report.notice_s);
+    packer.pack_map(heartbeat.preemption_notice_s ? 10 : 9);
+    pack_field(packer, field::kMachine, heartbeat.machine);
+    pack_field(packer, field::kAddress, heartbeat.addr);
+    pack_field(packer, field::kType, heartbeat.type);
+    pack_field(packer, field::kZone, heartbeat.zone);
+    pack_field(packer, field::kSpot, heartbeat.spot);
+    pack_field(packer, field::kAgentEpoch, heartbeat.agent_epoch);
+    pack_field(packer, "tally", heartbeat.sequence_number);
+    pack_field(packer, field::kFencingToken, heartbeat.fencing_token);
+    if (heartbeat.preemption_notice_s)
+      pack_field(packer, "warning_s", *heartbeat.preemption_notice_s);
     pack_text(packer, field::kTasks);
-    pack_list(packer, report.tasks.size());
-    for (const auto& task : report.tasks) pack_task(packer, task);
+    pack_list(packer, heartbeat.tasks.size());
+    for (const auto& task : heartbeat.tasks) pack_task(packer, task);
   });
 }
 
--- a/src/standin/messages.h
+++ b/src/standin/messages.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/report.h"
+#include "fleet/worker_heartbeat.h"
 #include "jobs/spec.h"
 #include "wire/store_messages.h"
 #include "wire/user_messages.h"
@@ -16,15 +16,15 @@
 
 // Workers.
 
-std::string report_body(const WorkerReport& report);
+std::string worker_heartbeat_body(const WorkerHeartbeat& heartbeat);
 
-/// What a controller tells a worker, in the answer to a report or as orders.
+/// What a controller tells a worker, in the answer to a heartbeat or as orders.
 struct WorkerOrders {
-  uint64_t token = 0;
-  uint64_t session = 0;  ///< of orders alone
+  uint64_t fencing_token = 0;
+  uint64_t agent_epoch = 0;  ///< of orders alone
   std::vector<Command> commands;
 };
-/// None without a token, or if a command is invalid.
+/// None without a fencing token, or if a command is invalid.
 std::optional<WorkerOrders> parse_orders(std::string_view body);
 /// The controller that a redirected worker is to report to; empty if it isn't named.
 std::string parse_redirect(std::string_view body);
--- a/src/standin/worker_state.cpp
+++ b/src/standin/worker_state.cpp
@@ -4,36 +4,36 @@
 
 namespace sumacquay::standin {
 
-WorkerReport WorkerState::report() {
-  WorkerReport report;
-  report.machine = id;
-  report.addr = addr;
-  report.type = type;
-  report.zone = zone;
-  report.spot = spot;
-  report.session = session;
-  report.seq = ++seq;
-  report.token = token;
-  report.tasks.reserve(tasks.size());
+WorkerHeartbeat WorkerState::heartbeat() {
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine = id;
+  heartbeat.addr = addr;
+  heartbeat.type = type;
+  heartbeat.zone = zone;
+  heartbeat.spot = spot;
+  heartbeat.agent_epoch = agent_epoch;
+  heartbeat.sequence_number = ++sequence_number;
+  heartbeat.fencing_token = fencing_token;
+  heartbeat.tasks.reserve(tasks.size());
   for (const auto& [key, task] : tasks)
-    report.tasks.push_back({key, task.attempt, task.state, task.cause});
-  return report;
+    heartbeat.tasks.push_back({key, task.attempt, task.state, task.cause});
+  return heartbeat;
 }
 
-void WorkerState::raise_token(uint64_t seen) {
-  token = std::max(token, seen);
+void WorkerState::advance_fencing_token(uint64_t seen) {
+  fencing_token = std::max(fencing_token, seen);
 }
 
 bool WorkerState::lease_over(Seconds lease, Seconds now) const {
-  return now - answered_report.value_or(session_began) > lease;
+  return now - answered_heartbeat.value_or(agent_epoch_began) > lease;
 }
 
-void WorkerState::expire_session(Seconds lease, Seconds now) {
+void WorkerState::expire_agent_epoch(Seconds lease, Seconds now) {
   if (!lease_over(lease, now)) return;
   tasks.clear();
-  ++session;
-  session_began = now;
-  answered_report.reset();
+  ++agent_epoch;
+  agent_epoch_began = now;
+  answered_heartbeat.reset();
 }
 
 bool WorkerState::accepts_start(const Command& command) const {
--- a/src/standin/worker_state.h
+++ b/src/standin/worker_state.h
@@ -3,7 +3,7 @@
 #include <optional>
 #include <string>
 
-#include "fleet/report.h"
+#include "fleet/worker_heartbeat.h"
 #include "jobs/spec.h"
 
 namespace sumacquay::standin {
@@ -18,25 +18,25 @@
   bool present() const { return state != TaskState::Exited; }
 };
 
-/// What a worker of the protocol keeps, without I/O: its session, the highest token it has seen,
-/// and its tasks. The simulated deployments of the tests and the hollow workers of the load tool
-/// run on it.
+/// What a worker of the protocol keeps, without I/O: its agent epoch, the highest fencing token it
+/// has seen, and its tasks. The simulated deployments of the tests and the hollow workers of the
+/// load tool run on it.
 struct WorkerState {
   std::string id, addr, type, zone;
   bool spot = false;
-  uint64_t session = 1, seq = 0, token = 0;
-  Seconds session_began = 0;
-  std::optional<Seconds> answered_report;  ///< when the last report with an answer was sent
+  uint64_t agent_epoch = 1, sequence_number = 0, fencing_token = 0;
+  Seconds agent_epoch_began = 0;
+  std::optional<Seconds> answered_heartbeat;  ///< when the last heartbeat with an answer was sent
   std::map<TaskKey, WorkerTask> tasks;
 
-  /// The next report.
-  WorkerReport report();
-  /// Shows the worker a token; an older one changes nothing.
-  void raise_token(uint64_t seen);
+  /// The next heartbeat.
+  WorkerHeartbeat heartbeat();
+  /// Shows the worker a fencing token; an older one changes nothing.
+  void advance_fencing_token(uint64_t seen);
   /// Whether a lease has passed without an answer.
   bool lease_over(Seconds lease, Seconds now) const;
-  /// Ends the session once the lease is over: all tasks are gone, and a new session begins.
-  void expire_session(Seconds lease, Seconds now);
+  /// Ends the agent epoch once the lease is over: all tasks are gone, and a new agent epoch begins.
+  void expire_agent_epoch(Seconds lease, Seconds now);
   /// Whether a start command has an effect: a task that is here already, in any state with this
   /// attempt or present with another, is left alone.
   bool accepts_start(const Command& command) const;
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -4,7 +4,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/report.h"
+#include "fleet/worker_heartbeat.h"
 #include "jobs/spec.h"
 
 /// What the leader asks of the cloud that rents out machines: which types there are, which machines
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -25,8 +25,8 @@
 inline constexpr const char* kMemory = "ram_gb";
 
 // Workers' orders.
-inline constexpr const char* kToken = "baton";
-inline constexpr const char* kSession = "shift";
+inline constexpr const char* kFencingToken = "baton";
+inline constexpr const char* kAgentEpoch = "shift";
 
 // The state service.
 inline constexpr const char* kKey = "path";
--- a/src/wire/heartbeat.cpp
+++ b/src/wire/peer_heartbeat.cpp
@@ -1,4 +1,4 @@
-#include "wire/heartbeat.h"
+#include "wire/peer_heartbeat.h"
 
 #include <compare>
 #include <map>
@@ -25,41 +25,41 @@
 constexpr const char* kImages = "images";
 constexpr const char* kHeld = "held";
 constexpr const char* kBooting = "booting";
-constexpr const char* kPiece = "piece";
+constexpr const char* kFragment = "piece";
 
 // Lists within a heartbeat hold their fields by position.
 constexpr size_t kStatusFields = 3;  ///< one more if it has answered in the leader's place
 constexpr size_t kDelegationFields = 3;
-constexpr size_t kPieceFields = 4;
-constexpr size_t kHeartbeatFields = 10;  ///< one more for a delegation, and for a piece
+constexpr size_t kFragmentFields = 4;
+constexpr size_t kPeerHeartbeatFields = 10;  ///< one more for a delegation, and for a fragment
 constexpr size_t kCountFields = 3;
 constexpr size_t kImageFields = 2;
 constexpr size_t kBootingFields = 5;
 
-void pack_status(Packer& packer, const DelegateStatus& status) {
-  pack_list(packer, status.ago ? kStatusFields + 1 : kStatusFields);
+void pack_status(Packer& packer, const DelegationStatus& status) {
+  pack_list(packer, status.last_answer_age_s ? kStatusFields + 1 : kStatusFields);
   packer.pack_uint64(status.process);
   packer.pack_uint64(status.term);
   packer.pack_uint64(status.number);
-  if (status.ago) packer.pack_double(*status.ago);
+  if (status.last_answer_age_s) packer.pack_double(*status.last_answer_age_s);
 }
 
 void pack_delegation(Packer& packer, const Delegation& delegation) {
   pack_list(packer, kDelegationFields);
   packer.pack_uint64(delegation.term);
   packer.pack_uint64(delegation.number);
-  packer.pack_double(delegation.for_s);
+  packer.pack_double(delegation.valid_for_s);
 }
 
-void pack_piece(Packer& packer, const HeartbeatPiece& piece) {
-  pack_list(packer, kPieceFields);
-  packer.pack_uint64(piece.batch);
-  packer.pack_uint64(piece.index);
-  packer.pack_uint64(piece.pieces);
-  packer.pack_uint64(static_cast<uint64_t>(piece.part));
+void pack_fragment(Packer& packer, const PeerHeartbeatFragment& fragment) {
+  pack_list(packer, kFragmentFields);
+  packer.pack_uint64(fragment.batch);
+  packer.pack_uint64(fragment.index);
+  packer.pack_uint64(fragment.fragments);
+  packer.pack_uint64(static_cast<uint64_t>(fragment.part));
 }
 
-void pack_counts(Packer& packer, const std::vector<RunningCount>& counts) {
+void pack_counts(Packer& packer, const std::vector<JobProgress>& counts) {
   pack_list(packer, counts.size());
   for (const auto& count : counts) {
     pack_list(packer, kCountFields);
@@ -78,7 +78,7 @@
 /// The images of a heartbeat, each one once, and which of them each machine holds.
 class ImageTable {
  public:
-  explicit ImageTable(const std::vector<HeldImage>& held) {
+  explicit ImageTable(const std::vector<CachedImageHint>& held) {
     for (const auto& image : held) held_[image.machine].push_back({image.image, image.gb});
     for (const auto& [machine, images] : held_)
       for (const Image& image : images) add(image);
@@ -126,13 +126,13 @@
   }
 }
 
-DelegateStatus read_status(View list) {
-  DelegateStatus status;
+DelegationStatus read_status(View list) {
+  DelegationStatus status;
   if (list.size() < kStatusFields || list.size() > kStatusFields + 1) return status;
   status.process = list.at(0).count().value_or(0);
   status.term = list.at(1).count().value_or(0);
   status.number = list.at(2).count().value_or(0);
-  if (list.size() > kStatusFields) status.ago = list.at(3).number();
+  if (list.size() > kStatusFields) status.last_answer_age_s = list.at(3).number();
   return status;
 }
 
@@ -140,21 +140,21 @@
   if (list.size() != kDelegationFields) return std::nullopt;
   const auto term = list.at(0).count();
   const auto number = list.at(1).count();
-  const auto for_s = list.at(2).number();
-  if (!term || !number || !for_s) return std::nullopt;
-  return Delegation{*term, *number, *for_s};
+  const auto valid_for_s = list.at(2).number();
+  if (!term || !number || !valid_for_s) return std::nullopt;
+  return Delegation{*term, *number, *valid_for_s};
 }
 
-std::optional<RunningCount> read_count(View list) {
+std::optional<JobProgress> read_count(View list) {
   if (list.size() != kCountFields) return std::nullopt;
   const auto job = list.at(0).text();
   const auto done = list.at(1).count();
   const auto running = list.at(2).count();
   if (!job || !done || !running) return std::nullopt;
-  return RunningCount{*job, static_cast<uint32_t>(*done), static_cast<uint32_t>(*running)};
+  return JobProgress{*job, static_cast<uint32_t>(*done), static_cast<uint32_t>(*running)};
 }
 
-bool read_counts(View list, std::vector<RunningCount>& counts) {
+bool read_counts(View list, std::vector<JobProgress>& counts) {
   for (size_t i = 0; i < list.size(); ++i) {
     auto count = read_count(list.at(i));
     if (!count) return false;
@@ -164,7 +164,7 @@
 }
 
 /// One image of a machine, by its number in the list of images.
-std::optional<HeldImage> read_image(const std::string& machine, View number, View images) {
+std::optional<CachedImageHint> read_image(const std::string& machine, View number, View images) {
   const auto index = number.count();
   if (!index || *index >= images.size()) return std::nullopt;
   const View image = images.at(*index);
@@ -172,10 +172,10 @@
   const auto name = image.at(0).text();
   const auto gb = image.at(1).number();
   if (!name || !gb) return std::nullopt;
-  return HeldImage{machine, *name, *gb};
+  return CachedImageHint{machine, *name, *gb};
 }
 
-bool read_held(View lines, View images, std::vector<HeldImage>& held) {
+bool read_held(View lines, View images, std::vector<CachedImageHint>& held) {
   for (size_t i = 0; i < lines.size(); ++i) {
     const View line = lines.at(i);
     const auto machine = line.size() > 0 ? line.at(0).text() : std::nullopt;
@@ -209,30 +209,30 @@
   return true;
 }
 
-std::optional<HeartbeatPart> read_part(View value) {
+std::optional<PeerHeartbeatPart> read_part(View value) {
   const uint64_t part = value.count().value_or(0);
-  if (part > static_cast<uint64_t>(HeartbeatPart::Hints)) return std::nullopt;
-  return static_cast<HeartbeatPart>(part);
+  if (part > static_cast<uint64_t>(PeerHeartbeatPart::Hints)) return std::nullopt;
+  return static_cast<PeerHeartbeatPart>(part);
 }
 
-std::optional<HeartbeatPiece> read_piece(View list) {
-  if (list.size() != kPieceFields) return std::nullopt;
+std::optional<PeerHeartbeatFragment> read_fragment(View list) {
+  if (list.size() != kFragmentFields) return std::nullopt;
   const auto batch = list.at(0).count();
   const auto index = list.at(1).count();
-  const auto pieces = list.at(2).count();
+  const auto fragments = list.at(2).count();
   const auto part = read_part(list.at(3));
-  if (!batch || !index || !pieces || !part || *index >= *pieces) return std::nullopt;
-  return HeartbeatPiece{*batch, *index, *pieces, *part};
+  if (!batch || !index || !fragments || !part || *index >= *fragments) return std::nullopt;
+  return PeerHeartbeatFragment{*batch, *index, *fragments, *part};
 }
 
-std::optional<Heartbeat> read_heartbeat(View root) {
+std::optional<PeerHeartbeat> read_peer_heartbeat(View root) {
   const auto node = root[kNode].text();
   const auto term = root[kTerm].count();
   const auto leading = root[kLeading].flag();
   const auto part = read_part(root[kPart]);
   const View counts = root[kCounts];
   if (!node || !term || !leading || !part || !counts.is_list()) return std::nullopt;
-  Heartbeat heartbeat;
+  PeerHeartbeat heartbeat;
   heartbeat.part = *part;
   heartbeat.node = *node;
   heartbeat.term = *term;
@@ -240,24 +240,25 @@
   heartbeat.served = root[kServed].flag().value_or(false);
   heartbeat.status = read_status(root[kStatus]);
   heartbeat.delegation = read_delegation(root[kDelegation]);
-  heartbeat.piece = read_piece(root[kPiece]);
+  heartbeat.fragment = read_fragment(root[kFragment]);
   if (!read_counts(counts, heartbeat.counts)) return std::nullopt;
   if (!read_held(root[kHeld], root[kImages], heartbeat.images)) return std::nullopt;
   if (!read_booting(root[kBooting], heartbeat.booting)) return std::nullopt;
   return heartbeat;
 }
 
-/// The members of a list that belong to a piece.
+/// The members of a list that belong to a fragment.
 template <class Member>
-std::vector<Member> share_of(const std::vector<Member>& list, const HeartbeatPiece& piece) {
-  const size_t begin = list.size() * piece.index / piece.pieces;
-  const size_t end = list.size() * (piece.index + 1) / piece.pieces;
+std::vector<Member> share_of(const std::vector<Member>& list,
+                             const PeerHeartbeatFragment& fragment) {
+  const size_t begin = list.size() * fragment.index / fragment.fragments;
+  const size_t end = list.size() * (fragment.index + 1) / fragment.fragments;
   return {list.begin() + static_cast<std::ptrdiff_t>(begin),
           list.begin() + static_cast<std::ptrdiff_t>(end)};
 }
 
-Heartbeat without_lists(const Heartbeat& whole) {
-  Heartbeat head = whole;
+PeerHeartbeat without_lists(const PeerHeartbeat& whole) {
+  PeerHeartbeat head = whole;
   head.counts.clear();
   head.images.clear();
   head.booting.clear();
@@ -265,25 +266,26 @@
 }
 
 /// `head`: the whole without its lists.
-std::string encode_piece(const Heartbeat& whole, Heartbeat head, const HeartbeatPiece& piece) {
-  head.piece = piece;
-  if (piece.index > 0) head.part = HeartbeatPart::Beat;
-  head.counts = share_of(whole.counts, piece);
-  head.images = share_of(whole.images, piece);
-  head.booting = share_of(whole.booting, piece);
-  return encode_heartbeat(head);
+std::string encode_fragment(const PeerHeartbeat& whole, PeerHeartbeat head,
+                            const PeerHeartbeatFragment& fragment) {
+  head.fragment = fragment;
+  if (fragment.index > 0) head.part = PeerHeartbeatPart::StatusOnly;
+  head.counts = share_of(whole.counts, fragment);
+  head.images = share_of(whole.images, fragment);
+  head.booting = share_of(whole.booting, fragment);
+  return encode_peer_heartbeat(head);
 }
 
-size_t longest_list(const Heartbeat& heartbeat) {
+size_t longest_list(const PeerHeartbeat& heartbeat) {
   return std::max({heartbeat.counts.size(), heartbeat.images.size(), heartbeat.booting.size()});
 }
 
 }  // namespace
 
-std::string encode_heartbeat(const Heartbeat& heartbeat) {
+std::string encode_peer_heartbeat(const PeerHeartbeat& heartbeat) {
   return codec::build([&](Packer& packer) {
     const size_t fields =
-        kHeartbeatFields + (heartbeat.delegation ? 1 : 0) + (heartbeat.piece ? 1 : 0);
+        kPeerHeartbeatFields + (heartbeat.delegation ? 1 : 0) + (heartbeat.fragment ? 1 : 0);
     packer.pack_map(static_cast<uint32_t>(fields));
     pack_field(packer, kNode, heartbeat.node);
     pack_field(packer, kTerm, heartbeat.term);
@@ -296,9 +298,9 @@
       pack_text(packer, kDelegation);
       pack_delegation(packer, *heartbeat.delegation);
     }
-    if (heartbeat.piece) {
-      pack_text(packer, kPiece);
-      pack_piece(packer, *heartbeat.piece);
+    if (heartbeat.fragment) {
+      pack_text(packer, kFragment);
+      pack_fragment(packer, *heartbeat.fragment);
     }
     pack_text(packer, kCounts);
     pack_counts(packer, heartbeat.counts);
@@ -312,28 +314,29 @@
   });
 }
 
-std::vector<std::string> encode_heartbeat_pieces(const Heartbeat& heartbeat, uint64_t batch,
-                                                 size_t limit) {
-  // Members differ in size, and each piece has a head of its own.
+std::vector<std::string> encode_peer_heartbeat_fragments(const PeerHeartbeat& heartbeat,
+                                                         uint64_t batch, size_t limit) {
+  // Members differ in size, and each fragment has a head of its own.
   constexpr double kMargin = 0.9;
-  std::string whole = encode_heartbeat(heartbeat);
+  std::string whole = encode_peer_heartbeat(heartbeat);
   if (whole.size() <= limit) return {std::move(whole)};
-  const Heartbeat head = without_lists(heartbeat);
+  const PeerHeartbeat head = without_lists(heartbeat);
   const size_t most = longest_list(heartbeat);
   const double fits = kMargin * static_cast<double>(limit);
-  for (auto pieces = static_cast<size_t>(static_cast<double>(whole.size()) / fits) + 1;; ++pieces) {
+  for (auto fragments = static_cast<size_t>(static_cast<double>(whole.size()) / fits) + 1;;
+       ++fragments) {
     std::vector<std::string> bodies;
     bool all_fit = true;
-    for (size_t index = 0; index < pieces && all_fit; ++index) {
-      bodies.push_back(encode_piece(heartbeat, head, {batch, index, pieces, heartbeat.part}));
-      all_fit = bodies.back().size() <= limit || pieces >= most;
+    for (size_t index = 0; index < fragments && all_fit; ++index) {
+      bodies.push_back(encode_fragment(heartbeat, head, {batch, index, fragments, heartbeat.part}));
+      all_fit = bodies.back().size() <= limit || fragments >= most;
     }
     if (all_fit) return bodies;
   }
 }
 
-std::optional<Heartbeat> decode_heartbeat(std::string_view body) {
-  return codec::read_root<Heartbeat>(body, read_heartbeat);
+std::optional<PeerHeartbeat> decode_peer_heartbeat(std::string_view body) {
+  return codec::read_root<PeerHeartbeat>(body, read_peer_heartbeat);
 }
 
 }  // namespace sumacquay::wire
--- a/src/wire/spellings.h
+++ b/src/wire/spellings.h
@@ -1,5 +1,5 @@
 #pragma once
-#include "fleet/report.h"
+#include "fleet/worker_heartbeat.h"
 #include "wire/codec.h"
 #include "wire/user_messages.h"
 
@@ -16,7 +16,7 @@
                                                       {TaskState::Exited, "exited"}}};
 inline constexpr Spellings<ExitCause, 8> kExitCauses{{{ExitCause::Done, "done"},
                                                       {ExitCause::Stopped, "stopped"},
-                                                      {ExitCause::Peers, "mates_gone"},
+                                                      {ExitCause::PeerHeartbeats, "mates_gone"},
                                                       {ExitCause::Alone, "alone"},
                                                       {ExitCause::Error, "error"},
                                                       {ExitCause::NoRoom, "no_room"},
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -49,34 +49,34 @@
   return state == TaskState::Exited ? ExitCause::Error : ExitCause::None;
 }
 
-std::optional<TaskReport> parse_task(View task) {
+std::optional<TaskStatus> parse_task(View task) {
   const auto key = parse_task_name(task[field::kTask]);
   const auto attempt = task[field::kAttempt].count();
   const auto state = value_of(spelling::kTaskStates, task[field::kStage]);
   if (!key || !attempt || !state) return std::nullopt;
-  return TaskReport{*key, *attempt, *state, parse_exit_cause(task, *state)};
+  return TaskStatus{*key, *attempt, *state, parse_exit_cause(task, *state)};
 }
 
-std::optional<WorkerReport> read_report(View root) {
+std::optional<WorkerHeartbeat> read_worker_heartbeat(View root) {
   Fields fields(root);
-  WorkerReport report;
-  report.machine = fields.text(field::kMachine, 1, kMostNameBytes);
-  report.addr = fields.text(field::kAddress, 1, kMostNameBytes);
-  report.type = fields.text(field::kType, 0, kMostNameBytes);
-  report.zone = fields.text(field::kZone, 0, kMostNameBytes);
-  report.spot = fields.flag(field::kSpot);
-  report.session = fields.count(field::kSession, 0, UINT64_MAX);
-  report.seq = fields.count("tally", 0, UINT64_MAX);
-  report.token = fields.count(field::kToken, 0, UINT64_MAX);
-  report.notice_s = root["warning_s"].number();
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine = fields.text(field::kMachine, 1, kMostNameBytes);
+  heartbeat.addr = fields.text(field::kAddress, 1, kMostNameBytes);
+  heartbeat.type = fields.text(field::kType, 0, kMostNameBytes);
+  heartbeat.zone = fields.text(field::kZone, 0, kMostNameBytes);
+  heartbeat.spot = fields.flag(field::kSpot);
+  heartbeat.agent_epoch = fields.count(field::kAgentEpoch, 0, UINT64_MAX);
+  heartbeat.sequence_number = fields.count("tally", 0, UINT64_MAX);
+  heartbeat.fencing_token = fields.count(field::kFencingToken, 0, UINT64_MAX);
+  heartbeat.preemption_notice_s = root["warning_s"].number();
   const View tasks = root[field::kTasks];
-  if (!fields.ok() || !tasks.is_list() || !safe_in_keys(report.machine)) return std::nullopt;
+  if (!fields.ok() || !tasks.is_list() || !safe_in_keys(heartbeat.machine)) return std::nullopt;
   for (size_t i = 0; i < tasks.size(); ++i) {
     auto task = parse_task(tasks.at(i));
     if (!task) return std::nullopt;
-    report.tasks.push_back(std::move(*task));
+    heartbeat.tasks.push_back(std::move(*task));
   }
-  return report;
+  return heartbeat;
 }
 
 void pack_command(Packer& packer, const Command& command) {
@@ -96,14 +96,14 @@
 
 }  // namespace
 
-std::optional<WorkerReport> parse_report(std::string_view body) {
-  return codec::read_root<WorkerReport>(body, read_report);
+std::optional<WorkerHeartbeat> parse_worker_heartbeat(std::string_view body) {
+  return codec::read_root<WorkerHeartbeat>(body, read_worker_heartbeat);
 }
 
-std::string report_answer(uint64_t token, const std::vector<Command>& commands) {
+std::string heartbeat_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
   return build([&](Packer& packer) {
     packer.pack_map(2);
-    pack_field(packer, field::kToken, token);
+    pack_field(packer, field::kFencingToken, fencing_token);
     pack_commands(packer, commands);
   });
 }
@@ -115,11 +115,12 @@
   });
 }
 
-std::string orders_body(uint64_t token, uint64_t session, const std::vector<Command>& commands) {
+std::string orders_body(uint64_t fencing_token, uint64_t agent_epoch,
+                        const std::vector<Command>& commands) {
   return build([&](Packer& packer) {
     packer.pack_map(3);
-    pack_field(packer, field::kToken, token);
-    pack_field(packer, field::kSession, session);
+    pack_field(packer, field::kFencingToken, fencing_token);
+    pack_field(packer, field::kAgentEpoch, agent_epoch);
     pack_commands(packer, commands);
   });
 }
--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -35,7 +35,7 @@
   std::vector<std::unique_ptr<Worker>> workers;
 
   OrdersToManyWorkers() {
-    settings.report_s = 2;
+    settings.heartbeat_period_s = 2;
     settings.lease_s = 30;
     const Seconds now = steady_now();
     election.tick(now, true, false, 0);
@@ -62,8 +62,8 @@
     SendOrders order;
     order.machine = "at " + worker.address;
     order.addr = worker.address;
-    order.token = kTerm << kTokenCounterBits;
-    order.session = 1;
+    order.fencing_token = kTerm << kFencingTokenCounterBits;
+    order.agent_epoch = 1;
     executor.perform(Action(order));
   }
 
@@ -88,7 +88,7 @@
 };
 
 // Each such order counted as one that may still be carried out: its machine got nothing for a
-// report period, and had to show a new token first.
+// heartbeat period, and had to show a new token first.
 TEST_F(OrdersToManyWorkers, WaitForAConnectionAndAllArrive) {
   constexpr int kWorkers = 9;
   add_workers(kWorkers);
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr uint64_t kTerm = 2;
-constexpr uint64_t kToken = kTerm << 20;
+constexpr uint64_t kFencingToken = kTerm << 20;
 constexpr size_t kMachines = 40;
 constexpr uint32_t kTasksEach = 50;
 constexpr uint32_t kTasks = kMachines * kTasksEach;
@@ -20,7 +20,7 @@
   std::unique_ptr<Scheduler> scheduler;
 
   LargeArray() {
-    settings.report_s = 3;
+    settings.heartbeat_period_s = 3;
     settings.lease_s = 21;
     TeamSettings team;
     team.name = "t";
@@ -46,15 +46,15 @@
 
   static std::string machine(size_t i) { return "i-" + std::to_string(100 + i); }
 
-  WorkerReport report(size_t i, uint64_t seq, TaskState state) const {
-    WorkerReport r;
+  WorkerHeartbeat heartbeat(size_t i, uint64_t sequence_number, TaskState state) const {
+    WorkerHeartbeat r;
     r.machine = machine(i);
     r.addr = "10.0.0.2:9";
     r.type = "g";
     r.zone = "e";
-    r.session = 1;
-    r.seq = seq;
-    r.token = kToken;
+    r.agent_epoch = 1;
+    r.sequence_number = sequence_number;
+    r.fencing_token = kFencingToken;
     for (uint32_t t = 0; t < kTasksEach; ++t)
       r.tasks.push_back({{"job-1", static_cast<uint32_t>(i) * kTasksEach + t},
                          (uint64_t{1} << 20) + t,
@@ -63,15 +63,16 @@
     return r;
   }
 
-  void report_all(uint64_t seq, TaskState state) const {
-    for (size_t i = 0; i < kMachines; ++i) scheduler->report(report(i, seq, state), true, now);
+  void heartbeat_all(uint64_t sequence_number, TaskState state) const {
+    for (size_t i = 0; i < kMachines; ++i)
+      scheduler->on_heartbeat(heartbeat(i, sequence_number, state), true, now);
   }
 
   void take_over() const {
     for (size_t i = 0; i < kMachines; ++i)
       scheduler->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
     scheduler->job_stored(array("job-1", kTasks), 5, now);
-    report_all(1, TaskState::Running);
+    heartbeat_all(1, TaskState::Running);
   }
 };
 
@@ -79,7 +80,7 @@
   take_over();
   scheduler->tick(now);
   const size_t before = scheduler->work().dispatch_checks;
-  const double until_next_round = settings.tuning.round * settings.report_s;
+  const double until_next_round = settings.tuning.round * settings.heartbeat_period_s;
   for (double share = 0.2; share < 1; share += 0.2) scheduler->tick(now + share * until_next_round);
   ASSERT_EQ(scheduler->work().rounds, 1u);
   EXPECT_EQ(scheduler->work().dispatch_checks, before);
@@ -94,7 +95,7 @@
 TEST_F(LargeArray, ATakeoverThatReadsTheRecordLastLooksAtEachTaskTwiceAtMost) {
   for (size_t i = 0; i < kMachines; ++i)
     scheduler->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
-  report_all(1, TaskState::Running);
+  heartbeat_all(1, TaskState::Running);
   scheduler->job_stored(array("job-1", kTasks), 5, now);
   ASSERT_EQ(scheduler->jobs().at("job-1").placements.size(), kTasks);
   EXPECT_LE(scheduler->work().adoption_checks, 2 * kTasks);
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -1,6 +1,4 @@
 // Delegations, words and answers of delegates, with late and lost messages, restarts and drift.
-#include "leadership/delegation.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,6 +7,7 @@
 
 #include "config/settings.h"
 #include "generators.h"
+#include "leadership/lease_delegation.h"
 #include "wire/messages.h"
 
 namespace sumacquay {
@@ -16,12 +15,12 @@
 
 using testing::holds;
 
-constexpr Seconds kAfter = 3, kBeat = 1, kFor = 20;
+constexpr Seconds kAfter = 3, kStatusOnly = 1, kFor = 20;
 
-/// A report of a worker that has seen a token, with a task of each of two jobs.
-WorkerReport report() {
-  WorkerReport r;
-  r.token = 7 << 20;
+/// A report of a worker that has seen a fencing token, with a task of each of two jobs.
+WorkerHeartbeat heartbeat() {
+  WorkerHeartbeat r;
+  r.fencing_token = 7 << 20;
   r.tasks = {{{"job-1", 0}, 4, TaskState::Running}, {{"job-2", 3}, 5, TaskState::Saving}};
   return r;
 }
@@ -43,7 +42,7 @@
         auto clock = [&] { return now * skew + 5; };
         Delegations ledger(7, kAfter);
         uint64_t process = 1;
-        Delegate node(process, kAfter, kFor);
+        DelegatedResponder node(process, kAfter, kFor);
         std::multimap<Seconds, std::function<void()>> mail;
         Seconds next = 0;
         Seconds cut_until = 0;
@@ -56,9 +55,9 @@
             f();
           }
           if (draw(0, 1) < 0.004) cut_until = now + draw(1, 60);
-          if (draw(0, 1) < 0.004) node = Delegate(++process, kAfter, kFor);
+          if (draw(0, 1) < 0.004) node = DelegatedResponder(++process, kAfter, kFor);
           if (clock() >= next) {
-            next = clock() + kBeat;
+            next = clock() + kStatusOnly;
             const double there = now < cut_until ? draw(0, 60) : draw(0.001, 0.05);
             mail.emplace(now + there, [&, status = node.status(clock()), asked = clock(), process] {
               ledger.heard("n", "z", status, now);
@@ -69,7 +68,7 @@
               });
             });
           }
-          if (draw(0, 1) < 0.3 && node.answer(report(), 7, clock(), none_ended, clock())) {
+          if (draw(0, 1) < 0.3 && node.answer(heartbeat(), 7, clock(), none_ended, clock())) {
             last_answer = now;
             ++answers;
           }
@@ -83,21 +82,21 @@
 
 TEST(Delegations, OneThatHearsTheLeaderDelaysNothing) {
   Delegations ledger(7, kAfter);
-  Delegate node(1, kAfter, kFor);
-  for (Seconds now = 10; now < 50; now += kBeat) {
+  DelegatedResponder node(1, kAfter, kFor);
+  for (Seconds now = 10; now < 50; now += kStatusOnly) {
     ledger.heard("n", "z", node.status(now), now);
     node.delegated(ledger.delegate("n", "z", now + kFor, now), now, now);
-    EXPECT_FALSE(node.in_place(7, now));
+    EXPECT_FALSE(node.active(7, now));
     if (now > 12) {
       EXPECT_LT(ledger.last_answer("z", now), 0);
     }
   }
-  EXPECT_TRUE(node.in_place(7, 49 + kAfter));
-  EXPECT_FALSE(node.in_place(8, 49 + kAfter)) << "somebody else leads";
-  EXPECT_FALSE(node.in_place(7, 49 + kFor));
+  EXPECT_TRUE(node.active(7, 49 + kAfter));
+  EXPECT_FALSE(node.active(8, 49 + kAfter)) << "somebody else leads";
+  EXPECT_FALSE(node.active(7, 49 + kFor));
   EXPECT_NEAR(ledger.last_answer("z", 49 + kAfter), 49 + kAfter, 1e-9);
   EXPECT_NEAR(ledger.last_answer("z", 200), 49 + kFor, 1e-9);
-  EXPECT_TRUE(node.answer(report(), 7, 60, none_ended, 60));
+  EXPECT_TRUE(node.answer(heartbeat(), 7, 60, none_ended, 60));
   ledger.heard("n", "z", node.status(70), 70);
   node.delegated(ledger.delegate("n", "z", 70 + kFor, 70), 70, 70);
   ledger.heard("n", "z", node.status(71), 71);
@@ -106,18 +105,18 @@
 
 TEST(Delegations, AnAnswerStopsWhatIsKnownToHaveEndedAndNoneComesLongPastTheOwnLook) {
   Delegations ledger(7, kAfter);
-  Delegate node(1, kAfter, 10);
+  DelegatedResponder node(1, kAfter, 10);
   node.delegated(ledger.delegate("n", "z", 30, 10), 10, 10);
   const auto ended = [](const std::string& job) { return job == "job-2"; };
-  const auto answer = node.answer(report(), 7, 9, ended, 18.9);
+  const auto answer = node.answer(heartbeat(), 7, 9, ended, 18.9);
   ASSERT_TRUE(answer);
   EXPECT_EQ(*answer, (std::vector<Command>{{Verb::Stop, {"job-2", 3}, 5, 0}}));
-  EXPECT_FALSE(node.answer(report(), 7, 9, ended, 19)) << "10 s past its own look";
-  EXPECT_FALSE(node.answer(report(), 8, 15, ended, 19)) << "somebody else leads";
-  auto fresh = report();
-  fresh.token = 0;
+  EXPECT_FALSE(node.answer(heartbeat(), 7, 9, ended, 19)) << "10 s past its own look";
+  EXPECT_FALSE(node.answer(heartbeat(), 8, 15, ended, 19)) << "somebody else leads";
+  auto fresh = heartbeat();
+  fresh.fencing_token = 0;
   EXPECT_FALSE(node.answer(fresh, 7, 15, ended, 19)) << "it has no token to be answered with";
-  EXPECT_TRUE(node.answer(report(), 7, 15, ended, 19));
+  EXPECT_TRUE(node.answer(heartbeat(), 7, 15, ended, 19));
 }
 
 TEST(Delegations, AreOnlyOfUseWhereWorkersFindThemWithinTheirLease) {
@@ -126,37 +125,39 @@
   Settings s;
   s.zone = "a";
   for (const char* zone : {"b", "c", "a", "b"}) s.peers.push_back({"n", zone, {}});
-  s.report_s = 1;
+  s.heartbeat_period_s = 1;
   s.lease_s = 10;
-  EXPECT_FALSE(s.finds_delegate("b"));
+  EXPECT_FALSE(s.finds_delegated_responder("b"));
   s.lease_s = 22;
-  EXPECT_TRUE(s.finds_delegate("b"));
-  EXPECT_TRUE(s.finds_delegate("c"));
+  EXPECT_TRUE(s.finds_delegated_responder("b"));
+  EXPECT_TRUE(s.finds_delegated_responder("c"));
 }
 
 TEST(Delegations, WordsAndDelegationsComeThroughTheWire) {
   EXPECT_TRUE(holds(
       "heartbeats",
       [] {
-        wire::Heartbeat p;
+        wire::PeerHeartbeat p;
         p.node = "n";
         p.term = *rc::gen::arbitrary<uint64_t>();
         p.status = {*rc::gen::arbitrary<uint64_t>(), *rc::gen::arbitrary<uint64_t>(),
                     *rc::gen::arbitrary<uint64_t>(), std::nullopt};
-        if (*rc::gen::arbitrary<bool>()) p.status.ago = *rc::gen::inRange(0, 1000) / 7.0;
+        if (*rc::gen::arbitrary<bool>())
+          p.status.last_answer_age_s = *rc::gen::inRange(0, 1000) / 7.0;
         if (*rc::gen::arbitrary<bool>())
           p.delegation =
               Delegation{*rc::gen::arbitrary<uint64_t>(), *rc::gen::arbitrary<uint64_t>(),
                          *rc::gen::inRange(0, 1000) / 7.0};
-        const auto q = wire::decode_heartbeat(wire::encode_heartbeat(p));
+        const auto q = wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(p));
         RC_ASSERT(q.has_value());
         RC_ASSERT(q->status.process == p.status.process && q->status.term == p.status.term);
-        RC_ASSERT(q->status.number == p.status.number && q->status.ago == p.status.ago);
+        RC_ASSERT(q->status.number == p.status.number &&
+                  q->status.last_answer_age_s == p.status.last_answer_age_s);
         RC_ASSERT(q->delegation.has_value() == p.delegation.has_value());
         if (p.delegation) {
           RC_ASSERT(q->delegation->term == p.delegation->term);
           RC_ASSERT(q->delegation->number == p.delegation->number);
-          RC_ASSERT(q->delegation->for_s == p.delegation->for_s);
+          RC_ASSERT(q->delegation->valid_for_s == p.delegation->valid_for_s);
         }
       },
       200));
--- a/tests/dependents_test.cpp
+++ b/tests/dependents_test.cpp
@@ -17,7 +17,7 @@
 class DependentJobs : public ::testing::Test {
  protected:
   DependentJobs() {
-    settings_.report_s = 1;
+    settings_.heartbeat_period_s = 1;
     settings_.lease_s = 10;
     TeamSettings team;
     team.name = "t";
@@ -33,8 +33,8 @@
   void new_leader(uint64_t term) {
     scheduler_ = std::make_unique<Scheduler>(settings_, term, now_, now_);
     scheduler_->set_types({type_});
-    report();
-    report();
+    heartbeat();
+    heartbeat();
   }
 
   static JobRecord job(const std::string& id, std::vector<std::string> dependencies = {}) {
@@ -51,17 +51,17 @@
 
   void store(const JobRecord& record) { scheduler_->job_stored(record, ++revision_, now_); }
 
-  void report(std::vector<TaskReport> tasks = {}) {
-    WorkerReport worker;
+  void heartbeat(std::vector<TaskStatus> tasks = {}) {
+    WorkerHeartbeat worker;
     worker.machine = "i-1";
     worker.addr = "10.0.0.2:9";
     worker.type = "g";
     worker.zone = "e";
-    worker.session = 1;
-    worker.seq = ++reports_;
-    worker.token = token_;
+    worker.agent_epoch = 1;
+    worker.sequence_number = ++heartbeats_;
+    worker.fencing_token = fencing_token_;
     worker.tasks = std::move(tasks);
-    token_ = scheduler_->report(worker, true, now_).token;
+    fencing_token_ = scheduler_->on_heartbeat(worker, true, now_).fencing_token;
   }
 
   /// A round, and everything that the leader then wants written.
@@ -90,11 +90,11 @@
 
   /// All tasks of a job that is placed have run to their end.
   void finish(const std::string& id) {
-    std::vector<TaskReport> tasks;
+    std::vector<TaskStatus> tasks;
     for (const auto& [task, places] : scheduler_->jobs().at(id).placements)
       for (const auto& place : places)
         tasks.push_back({{id, task}, place.attempt, TaskState::Exited, ExitCause::Done});
-    report(tasks);
+    heartbeat(tasks);
   }
 
   const RecordWrite* last_write_of(const std::string& id) const {
@@ -110,8 +110,8 @@
   std::vector<RecordWrite> written_;
   Seconds now_ = 1000;
   uint64_t revision_ = 100;
-  uint64_t reports_ = 0;
-  uint64_t token_ = 0;
+  uint64_t heartbeats_ = 0;
+  uint64_t fencing_token_ = 0;
 };
 
 /// The leader's own picture of a finished task is not enough: the write may fail.
--- a/tests/encodings_test.cpp
+++ b/tests/encodings_test.cpp
@@ -58,9 +58,9 @@
   return record;
 }
 
-wire::Heartbeat heartbeat_with_every_field() {
-  wire::Heartbeat heartbeat;
-  heartbeat.part = wire::HeartbeatPart::Hints;
+wire::PeerHeartbeat heartbeat_with_every_field() {
+  wire::PeerHeartbeat heartbeat;
+  heartbeat.part = wire::PeerHeartbeatPart::Hints;
   heartbeat.node = "n0";
   heartbeat.term = 70000;
   heartbeat.leading = true;
@@ -123,7 +123,7 @@
 }
 
 TEST(Encodings, OfHeartbeatsStayTheSame) {
-  EXPECT_EQ(hex(wire::encode_heartbeat(heartbeat_with_every_field())),
+  EXPECT_EQ(hex(wire::encode_peer_heartbeat(heartbeat_with_every_field())),
             "8ba46e6f6465a26e30a47465726dce00011170a76c656164696e67c3a6736572766564c3a4706172"
             "7402a673746174757394cf112233445566778809ce0012d687cb3fe0000000000000aa64656c6567"
             "6174696f6e9309ce0012d688cb4002000000000000a6636f756e74739293a56a6f622d3103cd0190"
@@ -131,7 +131,7 @@
             "cb401e000000000000a468656c649293a36d2d31000192a36d2d3201a7626f6f74696e679295a36d"
             "2d33a5736d616c6ca465617374c3cb3ff800000000000095a36d2d34a56c61726765a477657374c2"
             "28");
-  EXPECT_EQ(hex(wire::encode_heartbeat({})),
+  EXPECT_EQ(hex(wire::encode_peer_heartbeat({})),
             "8aa46e6f6465a0a47465726d00a76c656164696e67c2a6736572766564c2a47061727400a6737461"
             "74757393000000a6636f756e747390a6696d6167657390a468656c6490a7626f6f74696e6790");
 }
@@ -146,7 +146,7 @@
 }
 
 TEST(Encodings, OfMessagesToWorkersStayTheSame) {
-  EXPECT_EQ(hex(wire::report_answer(70000, one_command_of_each_verb())),
+  EXPECT_EQ(hex(wire::heartbeat_answer(70000, one_command_of_each_verb())),
             "82a56261746f6ece00011170a66f72646572739383a476657262a57374617274a6746872656164a7"
             "6a6f622d312f30a3747279ce0001117084a476657262a46b696c6ca6746872656164a86a6f622d32"
             "2f3132a374727903a8656173696e675f73cb400400000000000083a476657262a5636c656172a674"
@@ -208,10 +208,10 @@
   EXPECT_EQ(finished_back->state, JobState::Cancelled);
   EXPECT_EQ(finished_back->done, 12u);
   const auto heartbeat =
-      wire::decode_heartbeat(wire::encode_heartbeat(heartbeat_with_every_field()));
+      wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(heartbeat_with_every_field()));
   ASSERT_TRUE(heartbeat.has_value());
-  EXPECT_EQ(wire::encode_heartbeat(*heartbeat),
-            wire::encode_heartbeat(heartbeat_with_every_field()));
+  EXPECT_EQ(wire::encode_peer_heartbeat(*heartbeat),
+            wire::encode_peer_heartbeat(heartbeat_with_every_field()));
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -12,7 +12,7 @@
 class Fleet : public ::testing::Test {
  protected:
   Fleet() {
-    settings_.report_s = 6;
+    settings_.heartbeat_period_s = 6;
     settings_.lease_s = 31;
     settings_.cancel_s = 51;
     TeamSettings team;
@@ -54,22 +54,23 @@
   template <class Silent>
   void pass(Seconds time, Silent silent) {
     constexpr int kTurns = 40;
-    for (const Seconds end = now_ + time; now_ < end; now_ += settings_.report_s / kTurns) {
+    for (const Seconds end = now_ + time; now_ < end;
+         now_ += settings_.heartbeat_period_s / kTurns) {
       ++step_;
       for (int i = step_ % kTurns; i < kMachines; i += kTurns) {
         if (silent(i) || gone_.contains(id(i))) continue;
-        WorkerReport r{id(i),
-                       "a:1",
-                       "g",
-                       zone(i),
-                       false,
-                       1,
-                       static_cast<uint64_t>(step_),
-                       uint64_t{2} << 20,
-                       std::nullopt,
-                       {}};
+        WorkerHeartbeat r{id(i),
+                          "a:1",
+                          "g",
+                          zone(i),
+                          false,
+                          1,
+                          static_cast<uint64_t>(step_),
+                          uint64_t{2} << 20,
+                          std::nullopt,
+                          {}};
         r.tasks.push_back({{job(i), 0}, 7, TaskState::Running, ExitCause::None});
-        note(scheduler_->report(r, true, now_).commands);
+        note(scheduler_->on_heartbeat(r, true, now_).commands);
       }
       for (const auto& a : scheduler_->tick(now_)) {
         if (const auto* p = std::get_if<Probe>(&a))
--- a/tests/fleetload_test.cpp
+++ b/tests/fleetload_test.cpp
@@ -127,7 +127,7 @@
   settings.controllers = 3;
   settings.zones = 3;
   settings.teams = 4;
-  settings.report_s = 0.5;
+  settings.heartbeat_period_s = 0.5;
   settings.lease_s = 6;
   settings.cancel_s = 14;
   settings.settle_s = 1;
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -7,7 +7,7 @@
 
 #include "config/settings.h"
 #include "generators.h"
-#include "peer/leader_details.h"
+#include "peer/leader_hints.h"
 #include "wire/messages.h"
 
 namespace sumacquay {
@@ -180,11 +180,11 @@
       [] {
         const auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
         wire::parse_job(bytes);
-        wire::parse_report(bytes);
+        wire::parse_worker_heartbeat(bytes);
         wire::parse_types(bytes);
         wire::parse_machines(bytes);
         wire::parse_changes(bytes);
-        wire::decode_heartbeat(bytes);
+        wire::decode_peer_heartbeat(bytes);
       },
       2000));
   EXPECT_TRUE(holds("a cut or changed record never passes for another shape", [] {
@@ -280,9 +280,9 @@
   EXPECT_NE(body("together", 1).error.find("together"), std::string::npos);
 }
 
-TEST(Peers, AHeartbeatComesBackAsItWas) {
+TEST(PeerHeartbeats, AHeartbeatComesBackAsItWas) {
   EXPECT_TRUE(holds("heartbeat", [] {
-    wire::Heartbeat p;
+    wire::PeerHeartbeat p;
     p.node = *testing::name();
     p.term = static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 30));
     p.leading = *rc::gen::arbitrary<bool>();
@@ -293,16 +293,17 @@
       p.booting.push_back({*testing::name(), "", *testing::name(), *testing::name(), i % 2 == 0,
                            ListedMachine::State::Booting, i * 1.5});
     }
-    const auto back = wire::decode_heartbeat(wire::encode_heartbeat(p));
+    const auto back = wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(p));
     RC_ASSERT(back.has_value());
-    RC_ASSERT(wire::encode_heartbeat(*back) == wire::encode_heartbeat(p));
+    RC_ASSERT(wire::encode_peer_heartbeat(*back) == wire::encode_peer_heartbeat(p));
     RC_ASSERT(back->term == p.term && back->leading == p.leading && back->served == p.served);
   }));
 }
 
 /// What the leader of a large fleet tells: of `size` jobs, images and booting machines.
-wire::Heartbeat large_heartbeat(wire::HeartbeatPart part, int size, size_t name_bytes) {
-  wire::Heartbeat heartbeat;
+wire::PeerHeartbeat large_peer_heartbeat(wire::PeerHeartbeatPart part, int size,
+                                         size_t name_bytes) {
+  wire::PeerHeartbeat heartbeat;
   heartbeat.node = "n";
   heartbeat.term = 77;
   heartbeat.leading = true;
@@ -311,7 +312,7 @@
     return std::string(name_bytes, kind) + std::to_string(100000 + i);
   };
   for (int i = 0; i < size; ++i) {
-    if (part == wire::HeartbeatPart::Counts) {
+    if (part == wire::PeerHeartbeatPart::Counts) {
       heartbeat.counts.push_back({named('j', i), 100000, 100000});
       continue;
     }
@@ -324,36 +325,36 @@
 
 constexpr size_t kBodyLimit = size_t{64} * 1024;
 
-TEST(Peers, AHeartbeatThatFitsABodyGoesInOnePieceAsBefore) {
-  const auto heartbeat = large_heartbeat(wire::HeartbeatPart::Counts, 2000, 4);
-  const auto bodies = wire::encode_heartbeat_pieces(heartbeat, 1, kBodyLimit);
+TEST(PeerHeartbeats, AHeartbeatThatFitsABodyGoesInOnePieceAsBefore) {
+  const auto heartbeat = large_peer_heartbeat(wire::PeerHeartbeatPart::Counts, 2000, 4);
+  const auto bodies = wire::encode_peer_heartbeat_fragments(heartbeat, 1, kBodyLimit);
   ASSERT_EQ(bodies.size(), 1u);
-  EXPECT_EQ(bodies[0], wire::encode_heartbeat(heartbeat));
+  EXPECT_EQ(bodies[0], wire::encode_peer_heartbeat(heartbeat));
 }
 
 // What didn't fit was left out: the jobs at the end were shown as pending while they ran, and a
 // successor rented machines anew that were booting.
-TEST(Peers, AHeartbeatOfAnyFleetGoesInPiecesThatFitBodiesAndTellAll) {
-  for (const auto part : {wire::HeartbeatPart::Counts, wire::HeartbeatPart::Hints}) {
+TEST(PeerHeartbeats, AHeartbeatOfAnyFleetGoesInPiecesThatFitBodiesAndTellAll) {
+  for (const auto part : {wire::PeerHeartbeatPart::Counts, wire::PeerHeartbeatPart::Hints}) {
     for (const size_t name_bytes : {size_t{4}, size_t{200}}) {
-      const auto whole = large_heartbeat(part, 6300, name_bytes);
-      const auto bodies = wire::encode_heartbeat_pieces(whole, 9, kBodyLimit);
-      LeaderDetails details;
+      const auto whole = large_peer_heartbeat(part, 6300, name_bytes);
+      const auto bodies = wire::encode_peer_heartbeat_fragments(whole, 9, kBodyLimit);
+      LeaderHints details;
       std::vector<size_t> order(bodies.size());
       std::iota(order.begin(), order.end(), size_t{0});
       std::reverse(order.begin(), order.end());  // connections don't keep their order
       for (const size_t index : order) {
         ASSERT_LE(bodies[index].size(), kBodyLimit);
-        const auto piece = wire::decode_heartbeat(bodies[index]);
-        ASSERT_TRUE(piece.has_value());
-        EXPECT_EQ(piece->term, 77u);
-        EXPECT_TRUE(piece->leading);
+        const auto fragment = wire::decode_peer_heartbeat(bodies[index]);
+        ASSERT_TRUE(fragment.has_value());
+        EXPECT_EQ(fragment->term, 77u);
+        EXPECT_TRUE(fragment->leading);
         const bool first = index == 0;
-        EXPECT_EQ(piece->part, first ? part : wire::HeartbeatPart::Beat)
+        EXPECT_EQ(fragment->part, first ? part : wire::PeerHeartbeatPart::StatusOnly)
             << "a version that knows no pieces takes in the first alone";
-        details.take(*piece);
+        details.take(*fragment);
       }
-      if (part == wire::HeartbeatPart::Counts) {
+      if (part == wire::PeerHeartbeatPart::Counts) {
         for (const auto& count : whole.counts)
           ASSERT_EQ(details.counts(count.job).running, count.running);
         continue;
@@ -366,58 +367,58 @@
   }
 }
 
-std::vector<wire::Heartbeat> pieces_of(const wire::Heartbeat& whole, uint64_t batch) {
-  std::vector<wire::Heartbeat> pieces;
-  for (const auto& body : wire::encode_heartbeat_pieces(whole, batch, kBodyLimit))
-    pieces.push_back(*wire::decode_heartbeat(body));
-  return pieces;
+std::vector<wire::PeerHeartbeat> fragments_of(const wire::PeerHeartbeat& whole, uint64_t batch) {
+  std::vector<wire::PeerHeartbeat> fragments;
+  for (const auto& body : wire::encode_peer_heartbeat_fragments(whole, batch, kBodyLimit))
+    fragments.push_back(*wire::decode_peer_heartbeat(body));
+  return fragments;
 }
 
-TEST(Peers, CountsStayAsTheyWereUntilAllPiecesOfTheNextHaveCome) {
-  const auto whole = large_heartbeat(wire::HeartbeatPart::Counts, 6300, 4);
-  const auto first = pieces_of(whole, 1);
-  const auto second = pieces_of(whole, 2);
+TEST(PeerHeartbeats, CountsStayAsTheyWereUntilAllPiecesOfTheNextHaveCome) {
+  const auto whole = large_peer_heartbeat(wire::PeerHeartbeatPart::Counts, 6300, 4);
+  const auto first = fragments_of(whole, 1);
+  const auto second = fragments_of(whole, 2);
   ASSERT_GT(first.size(), 2u);
-  const std::string of_first_piece = whole.counts.front().job;
-  const std::string of_last_piece = whole.counts.back().job;
-  LeaderDetails details;
-  for (const auto& piece : first) details.take(piece);
+  const std::string of_first_fragment = whole.counts.front().job;
+  const std::string of_last_fragment = whole.counts.back().job;
+  LeaderHints details;
+  for (const auto& fragment : first) details.take(fragment);
   details.take(second[0]);
-  EXPECT_EQ(details.counts(of_last_piece).running, 100000u);
+  EXPECT_EQ(details.counts(of_last_fragment).running, 100000u);
   details.take(first.back());
   details.take(second[0]);
-  EXPECT_EQ(details.counts(of_last_piece).running, 100000u)
+  EXPECT_EQ(details.counts(of_last_fragment).running, 100000u)
       << "repeats of older ones count nothing";
   // The rest of the second is lost: what came of it is shown with the third.
-  const auto third = pieces_of(whole, 3);
+  const auto third = fragments_of(whole, 3);
   details.take(third[1]);
-  EXPECT_EQ(details.counts(of_last_piece).running, 0u);
-  EXPECT_EQ(details.counts(of_first_piece).running, 100000u);
-  for (const auto& piece : third) details.take(piece);
-  EXPECT_EQ(details.counts(of_last_piece).running, 100000u);
+  EXPECT_EQ(details.counts(of_last_fragment).running, 0u);
+  EXPECT_EQ(details.counts(of_first_fragment).running, 100000u);
+  for (const auto& fragment : third) details.take(fragment);
+  EXPECT_EQ(details.counts(of_last_fragment).running, 100000u);
   details.take(third.back());
-  details.take(pieces_of(whole, 4)[0]);
-  EXPECT_EQ(details.counts(of_first_piece).running, 100000u) << "a repeat is not a batch";
+  details.take(fragments_of(whole, 4)[0]);
+  EXPECT_EQ(details.counts(of_first_fragment).running, 100000u) << "a repeat is not a batch";
   auto of_next_leader = whole;
   of_next_leader.term = 78;
-  for (const auto& piece : pieces_of(of_next_leader, 1)) details.take(piece);
-  EXPECT_EQ(details.counts(of_last_piece).running, 100000u) << "its process counts anew";
+  for (const auto& fragment : fragments_of(of_next_leader, 1)) details.take(fragment);
+  EXPECT_EQ(details.counts(of_last_fragment).running, 100000u) << "its process counts anew";
 }
 
-TEST(Peers, HostilePiecesAreIgnored) {
-  auto hostile = large_heartbeat(wire::HeartbeatPart::Counts, 3, 4);
-  LeaderDetails details;
+TEST(PeerHeartbeats, HostilePiecesAreIgnored) {
+  auto hostile = large_peer_heartbeat(wire::PeerHeartbeatPart::Counts, 3, 4);
+  LeaderHints details;
   constexpr uint64_t kMany = uint64_t{1} << 60;
-  hostile.part = wire::HeartbeatPart::Beat;
-  hostile.piece = wire::HeartbeatPiece{1, 5, kMany, wire::HeartbeatPart::Counts};
-  details.take(*wire::decode_heartbeat(wire::encode_heartbeat(hostile)));
-  hostile.piece = wire::HeartbeatPiece{1, 7, 3, wire::HeartbeatPart::Counts};
-  EXPECT_FALSE(wire::decode_heartbeat(wire::encode_heartbeat(hostile))->piece);
-  hostile.piece = wire::HeartbeatPiece{1, 0, 1, wire::HeartbeatPart::Beat};
-  details.take(*wire::decode_heartbeat(wire::encode_heartbeat(hostile)));
-  for (size_t index = 0; index <= kMostHeartbeatPieces; ++index) {
-    hostile.piece =
-        wire::HeartbeatPiece{2, index, kMostHeartbeatPieces + 1, wire::HeartbeatPart::Counts};
+  hostile.part = wire::PeerHeartbeatPart::StatusOnly;
+  hostile.fragment = wire::PeerHeartbeatFragment{1, 5, kMany, wire::PeerHeartbeatPart::Counts};
+  details.take(*wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(hostile)));
+  hostile.fragment = wire::PeerHeartbeatFragment{1, 7, 3, wire::PeerHeartbeatPart::Counts};
+  EXPECT_FALSE(wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(hostile))->fragment);
+  hostile.fragment = wire::PeerHeartbeatFragment{1, 0, 1, wire::PeerHeartbeatPart::StatusOnly};
+  details.take(*wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(hostile)));
+  for (size_t index = 0; index <= kMaxPeerHeartbeatFragments; ++index) {
+    hostile.fragment = wire::PeerHeartbeatFragment{2, index, kMaxPeerHeartbeatFragments + 1,
+                                                   wire::PeerHeartbeatPart::Counts};
     details.take(hostile);
   }
   EXPECT_EQ(details.counts(hostile.counts[0].job).running, 0u) << "more than is ever kept";
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -94,32 +94,32 @@
   return record;
 }
 
-WorkerReport report_with_every_field() {
-  WorkerReport report;
-  report.machine = "m-1";
-  report.addr = "10.0.0.7:9000";
-  report.type = "small";
-  report.zone = "east";
-  report.spot = true;
-  report.session = 3;
-  report.seq = 70000;
-  report.token = (uint64_t{9} << 20) | 5;
-  report.notice_s = 25.5;
+WorkerHeartbeat worker_heartbeat_with_every_field() {
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine = "m-1";
+  heartbeat.addr = "10.0.0.7:9000";
+  heartbeat.type = "small";
+  heartbeat.zone = "east";
+  heartbeat.spot = true;
+  heartbeat.agent_epoch = 3;
+  heartbeat.sequence_number = 70000;
+  heartbeat.fencing_token = (uint64_t{9} << 20) | 5;
+  heartbeat.preemption_notice_s = 25.5;
   uint32_t task = 0;
   for (const auto state :
        {TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving})
-    report.tasks.push_back({{"job-1", task++}, 70000, state, ExitCause::None});
+    heartbeat.tasks.push_back({{"job-1", task++}, 70000, state, ExitCause::None});
   for (const auto cause :
-       {ExitCause::Done, ExitCause::Stopped, ExitCause::Peers, ExitCause::Alone, ExitCause::Error,
-        ExitCause::NoRoom, ExitCause::Busy, ExitCause::Unknown})
-    report.tasks.push_back({{"job-2", task++}, 3, TaskState::Exited, cause});
-  return report;
+       {ExitCause::Done, ExitCause::Stopped, ExitCause::PeerHeartbeats, ExitCause::Alone,
+        ExitCause::Error, ExitCause::NoRoom, ExitCause::Busy, ExitCause::Unknown})
+    heartbeat.tasks.push_back({{"job-2", task++}, 3, TaskState::Exited, cause});
+  return heartbeat;
 }
 
-wire::Heartbeat heartbeat_with_every_field() {
-  wire::Heartbeat heartbeat;
-  heartbeat.part = wire::HeartbeatPart::Hints;
-  heartbeat.piece = wire::HeartbeatPiece{7, 0, 3, wire::HeartbeatPart::Hints};
+wire::PeerHeartbeat heartbeat_with_every_field() {
+  wire::PeerHeartbeat heartbeat;
+  heartbeat.part = wire::PeerHeartbeatPart::Hints;
+  heartbeat.fragment = wire::PeerHeartbeatFragment{7, 0, 3, wire::PeerHeartbeatPart::Hints};
   heartbeat.node = "n0";
   heartbeat.term = 70000;
   heartbeat.leading = true;
@@ -175,17 +175,18 @@
 Texts encoded_examples() {
   const std::string leader = wire::encode_leader({"n0", 0x1122334455667788, 9, 41});
   const std::string host = wire::encode_host({"m-1", "10.0.0.1:9000", "small", "east", true});
-  const uint64_t token = (uint64_t{9} << 20) | 5;
+  const uint64_t fencing_token = (uint64_t{9} << 20) | 5;
   return {
       {"record.job", hex(wire::encode_job(job_with_every_field()))},
       {"record.finished", hex(wire::encode_finished({JobState::Done, 300, 1700000002123}))},
       {"record.host", hex(host)},
       {"record.leader", hex(leader)},
-      {"heartbeat", hex(wire::encode_heartbeat(heartbeat_with_every_field()))},
-      {"worker.report", hex(standin::report_body(report_with_every_field()))},
-      {"worker.report_answer", hex(wire::report_answer(token, one_command_of_each_verb()))},
+      {"heartbeat", hex(wire::encode_peer_heartbeat(heartbeat_with_every_field()))},
+      {"worker.report", hex(standin::worker_heartbeat_body(worker_heartbeat_with_every_field()))},
+      {"worker.report_answer",
+       hex(wire::heartbeat_answer(fencing_token, one_command_of_each_verb()))},
       {"worker.redirect", hex(wire::redirect_body("n0"))},
-      {"worker.orders", hex(wire::orders_body(token, 5, one_command_of_each_verb()))},
+      {"worker.orders", hex(wire::orders_body(fencing_token, 5, one_command_of_each_verb()))},
       {"user.submission", hex(standin::submission_body(spec_with_every_field()))},
       {"user.job_answer", hex(wire::job_answer("job-1", wire::ShownState::Cancelled))},
       {"user.job_status", hex(wire::job_status("job-1", wire::ShownState::Running, 3, 400))},
@@ -242,15 +243,16 @@
     put("record.host", wire::encode_host(*host));
   if (const auto leader = wire::decode_leader(root_of(document("record.leader"))))
     put("record.leader", wire::encode_leader(*leader));
-  if (const auto heartbeat = wire::decode_heartbeat(bytes("heartbeat")))
-    put("heartbeat", wire::encode_heartbeat(*heartbeat));
-  if (const auto report = wire::parse_report(bytes("worker.report")))
-    put("worker.report", standin::report_body(*report));
+  if (const auto heartbeat = wire::decode_peer_heartbeat(bytes("heartbeat")))
+    put("heartbeat", wire::encode_peer_heartbeat(*heartbeat));
+  if (const auto heartbeat = wire::parse_worker_heartbeat(bytes("worker.report")))
+    put("worker.report", standin::worker_heartbeat_body(*heartbeat));
   if (const auto orders = standin::parse_orders(bytes("worker.report_answer")))
-    put("worker.report_answer", wire::report_answer(orders->token, orders->commands));
+    put("worker.report_answer", wire::heartbeat_answer(orders->fencing_token, orders->commands));
   put("worker.redirect", wire::redirect_body(standin::parse_redirect(bytes("worker.redirect"))));
   if (const auto orders = standin::parse_orders(bytes("worker.orders")))
-    put("worker.orders", wire::orders_body(orders->token, orders->session, orders->commands));
+    put("worker.orders",
+        wire::orders_body(orders->fencing_token, orders->agent_epoch, orders->commands));
   if (const auto job = wire::parse_job(bytes("user.submission")); job.spec)
     put("user.submission", standin::submission_body(*job.spec));
   if (const auto status = standin::parse_job_status(bytes("user.job_status")))
@@ -309,12 +311,13 @@
   for (const auto& objective : settings.objectives)
     out << "objective." << objective.kind << " " << objective.job_class << " " << objective.within_s
         << " " << objective.share << "\n";
-  out << "report_s " << settings.report_s << "\nlease_s " << settings.lease_s << "\ngang_wait_s "
-      << settings.gang_wait_s << "\ngang_peer_s " << settings.gang_peer_s << "\ncancel_s "
-      << settings.cancel_s << "\nstate_rps " << settings.state_rps << "\nstate_write_rps "
-      << settings.state_write_rps << "\nstate_value_kb " << settings.state_value_kb
-      << "\nstate_txn_ops " << settings.state_txn_ops << "\ncloud_rps " << settings.cloud_rps
-      << "\nlist_lag_s " << settings.list_lag_s << "\nmax_sockets " << settings.max_sockets << "\n";
+  out << "report_s " << settings.heartbeat_period_s << "\nlease_s " << settings.lease_s
+      << "\ngang_wait_s " << settings.gang_wait_s << "\ngang_peer_s " << settings.gang_peer_s
+      << "\ncancel_s " << settings.cancel_s << "\nstate_rps " << settings.state_rps
+      << "\nstate_write_rps " << settings.state_write_rps << "\nstate_value_kb "
+      << settings.state_value_kb << "\nstate_txn_ops " << settings.state_txn_ops << "\ncloud_rps "
+      << settings.cloud_rps << "\nlist_lag_s " << settings.list_lag_s << "\nmax_sockets "
+      << settings.max_sockets << "\n";
   return out.str();
 }
 
--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -221,7 +221,7 @@
   static constexpr Seconds kStopTakes = 3;
 
   TeamsAtWork() {
-    settings_.report_s = 1;
+    settings_.heartbeat_period_s = 1;
     settings_.lease_s = 10;
     settings_.teams = {team("a", 0, 4), team("b", 0, 2)};
     type_.name = "g";
@@ -247,13 +247,13 @@
     for (const Seconds end = now_ + time; now_ < end; now_ += kStep) {
       for (auto& [id, tasks] : machines_) {
         end_stopped(tasks);
-        carry_out(tasks, scheduler_->report(report(id), true, now_).commands);
+        carry_out(tasks, scheduler_->on_heartbeat(heartbeat(id), true, now_).commands);
       }
       for (const auto& action : scheduler_->tick(now_)) {
         if (const auto* orders = std::get_if<SendOrders>(&action)) {
           carry_out(machines_.at(orders->machine), orders->commands);
-          token_[orders->machine] = orders->token;
-          scheduler_->orders_done(orders->machine, report(orders->machine), true, now_);
+          fencing_token_[orders->machine] = orders->fencing_token;
+          scheduler_->orders_done(orders->machine, heartbeat(orders->machine), true, now_);
         }
         if (const auto* rent = std::get_if<Rent>(&action))
           scheduler_->rent_done(*rent, Scheduler::RentOutcome::Refused, {}, now_);
@@ -284,15 +284,15 @@
   };
   using Tasks = std::map<RunKey, Task>;
 
-  WorkerReport report(const std::string& id) {
-    WorkerReport r;
+  WorkerHeartbeat heartbeat(const std::string& id) {
+    WorkerHeartbeat r;
     r.machine = id;
     r.addr = "a:1";
     r.type = "g";
     r.zone = "e";
-    r.session = 1;
-    r.seq = ++seq_;
-    r.token = std::max(token_[id], uint64_t{1} << 20);
+    r.agent_epoch = 1;
+    r.sequence_number = ++seq_;
+    r.fencing_token = std::max(fencing_token_[id], uint64_t{1} << 20);
     for (const auto& [key, task] : machines_.at(id))
       r.tasks.push_back({key.task, key.attempt, task.state,
                          task.state == TaskState::Exited ? ExitCause::Stopped : ExitCause::None});
@@ -318,7 +318,7 @@
   }
 
   std::map<std::string, Tasks> machines_;
-  std::map<std::string, uint64_t> token_;
+  std::map<std::string, uint64_t> fencing_token_;
   uint64_t revision_ = 10, seq_ = 0;
 };
 
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -18,7 +18,7 @@
   double now = 1000;
 
   Fixture() {
-    settings.report_s = 1;
+    settings.heartbeat_period_s = 1;
     settings.lease_s = 10;
     TeamSettings team;
     team.name = "t";
@@ -35,16 +35,16 @@
     record.submitted_ms = 1;
   }
 
-  WorkerReport report(const std::string& id, uint64_t seq, uint64_t token,
-                      std::vector<TaskReport> tasks = {}) {
-    WorkerReport r;
+  WorkerHeartbeat heartbeat(const std::string& id, uint64_t sequence_number, uint64_t fencing_token,
+                            std::vector<TaskStatus> tasks = {}) {
+    WorkerHeartbeat r;
     r.machine = id;
     r.addr = "10.0.0.2:9";
     r.type = "g";
     r.zone = "e";
-    r.session = 1;
-    r.seq = seq;
-    r.token = token;
+    r.agent_epoch = 1;
+    r.sequence_number = sequence_number;
+    r.fencing_token = fencing_token;
     r.tasks = std::move(tasks);
     return r;
   }
@@ -75,11 +75,13 @@
 TEST_F(Fixture, NothingIsStartedBeforeItsRecordIsDurable) {
   auto scheduler = leader(1, 0);
   scheduler->job_stored(record, 5, now);
-  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
-  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+  scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   EXPECT_TRUE(orders(scheduler->tick(now + 0.2)).empty());
   EXPECT_FALSE(scheduler->jobs().at("job-1").placements.empty()) << "placed";
-  EXPECT_TRUE(scheduler->report(report("i-9", 3, token), true, now + 0.3).commands.empty());
+  EXPECT_TRUE(scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token), true, now + 0.3)
+                  .commands.empty());
   write_all(*scheduler);
   const auto sent = orders(scheduler->tick(now + 0.4));
   ASSERT_EQ(sent.size(), 1u);
@@ -90,8 +92,9 @@
   record.started = true;
   auto scheduler = leader(1, 0);
   scheduler->job_stored(record, 5, now);
-  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
-  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+  scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   scheduler->tick(now + 0.2);
   const auto writes = scheduler->wanted_writes(now + 0.2, 20);
   ASSERT_EQ(writes.size(), 1u);
@@ -113,14 +116,14 @@
   for (const char* id : {"i-8", "i-9"})
     scheduler->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
   scheduler->job_stored(record, 5, now);
-  auto show = [&](const std::string& id, uint64_t seq, std::vector<TaskReport> tasks,
+  auto show = [&](const std::string& id, uint64_t sequence_number, std::vector<TaskStatus> tasks,
                   std::optional<double> notice = std::nullopt) {
-    auto r = report(id, seq, uint64_t{1} << 20, std::move(tasks));
-    r.notice_s = notice;
-    return scheduler->report(r, true, now);
+    auto r = heartbeat(id, sequence_number, uint64_t{1} << 20, std::move(tasks));
+    r.preemption_notice_s = notice;
+    return scheduler->on_heartbeat(r, true, now);
   };
-  const TaskReport runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
-  const TaskReport ended{{"job-1", 2}, 8, TaskState::Exited, ExitCause::Done};
+  const TaskStatus runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
+  const TaskStatus ended{{"job-1", 2}, 8, TaskState::Exited, ExitCause::Done};
   show("i-8", 1, {runs, ended});
   show("i-9", 1, {}, 60);
   ASSERT_TRUE(scheduler->all_accounted());
@@ -140,16 +143,16 @@
 }
 
 TEST_F(Fixture, ASessionThatAProbeShowsLastsForALeaseFromThen) {
-  // The last answer to a report is of the session before: counted from that, tasks of the new one
-  // were taken for gone while they ran, and started once more.
+  // The last answer to a heartbeat is of the agent epoch before: counted from that, tasks of the
+  // new one were taken for gone while they ran, and started once more.
   record.started = true;
   auto scheduler = leader(1, 0);
   scheduler->host_stored(host, now);
   scheduler->job_stored(record, 5, now);
-  scheduler->report(report("i-1", 1, uint64_t{1} << 20), true, now);
+  scheduler->on_heartbeat(heartbeat("i-1", 1, uint64_t{1} << 20), true, now);
   now += settings.lease_s - 1;
-  auto next = report("i-1", 2, uint64_t{1} << 20);
-  next.session = 2;
+  auto next = heartbeat("i-1", 2, uint64_t{1} << 20);
+  next.agent_epoch = 2;
   scheduler->probed("i-1", next, now);
   now += 2;
   scheduler->tick(now);
@@ -163,29 +166,29 @@
   for (int i = 1; i < 5; ++i)
     scheduler->host_stored({"i-" + std::to_string(i), "10.0.0.2:9", "g", "e", false}, now);
   scheduler->job_stored(record, 5, now);
-  const TaskReport runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
+  const TaskStatus runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
   size_t probes = 0;
   size_t released = 0;
   bool sockets = true;
-  std::optional<WorkerReport> answer;
+  std::optional<WorkerHeartbeat> answer;
   auto pass = [&](Seconds time, bool others) {
     for (const Seconds end = now + time; now < end; now += 0.1) {
       for (int i = 2; i < 5 && others; ++i)
-        scheduler->report(
-            report("i-" + std::to_string(i), static_cast<uint64_t>(now * 10), uint64_t{1} << 20),
+        scheduler->on_heartbeat(
+            heartbeat("i-" + std::to_string(i), static_cast<uint64_t>(now * 10), uint64_t{1} << 20),
             true, now);
       for (const auto& a : scheduler->tick(now)) {
         if (const auto* p = std::get_if<Probe>(&a)) {
           ++probes;
-          if (answer) answer->seq = static_cast<uint64_t>(now * 10);
+          if (answer) answer->sequence_number = static_cast<uint64_t>(now * 10);
           sockets ? scheduler->probed(p->machine, answer, now) : scheduler->not_probed(p->machine);
         }
         if (std::holds_alternative<Release>(a)) ++released;
       }
     }
   };
-  auto first = report("i-1", 1, uint64_t{1} << 20, {runs});
-  scheduler->report(first, true, now);
+  auto first = heartbeat("i-1", 1, uint64_t{1} << 20, {runs});
+  scheduler->on_heartbeat(first, true, now);
   answer = first;
   pass(5, true);
   EXPECT_GE(probes, 2u);
@@ -210,15 +213,16 @@
   for (int i = 1; i < 5; ++i)
     scheduler->host_stored({"i-" + std::to_string(i), "10.0.0.2:9", "g", "e", false}, now);
   scheduler->job_stored(record, 5, now);
-  const TaskReport runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
-  scheduler->report(report("i-1", 1, uint64_t{1} << 20, {runs}), true, now);
+  const TaskStatus runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
+  scheduler->on_heartbeat(heartbeat("i-1", 1, uint64_t{1} << 20, {runs}), true, now);
   const Seconds silent_since = now;
   std::optional<Seconds> released_at;
   constexpr Seconds kBetweenTicks = 2;
   constexpr uint64_t kStepsBetweenTicks = 20;
   for (uint64_t step = 0; now < silent_since + settings.lease_s * 0.8; ++step, now += 0.1) {
     for (int i = 2; i < 5; ++i)
-      scheduler->report(report("i-" + std::to_string(i), 10 + step, uint64_t{1} << 20), true, now);
+      scheduler->on_heartbeat(heartbeat("i-" + std::to_string(i), 10 + step, uint64_t{1} << 20),
+                              true, now);
     if (step % kStepsBetweenTicks != 0) continue;
     for (const auto& action : scheduler->tick(now)) {
       if (const auto* probe = std::get_if<Probe>(&action))
@@ -239,9 +243,9 @@
   for (const char* id : {"i-7", "i-9"})
     scheduler->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
   scheduler->job_stored(record, 5, now);
-  uint64_t seq = 0;
+  uint64_t sequence_number = 0;
   for (const Seconds end = now + settings.lease_s * 0.7; now < end; now += 0.2) {
-    scheduler->report(report("i-9", ++seq, uint64_t{2} << 20), true, now);
+    scheduler->on_heartbeat(heartbeat("i-9", ++sequence_number, uint64_t{2} << 20), true, now);
     for (const auto& a : scheduler->tick(now))
       if (const auto* r = std::get_if<Release>(&a)) scheduler->release_done(*r, true, now);
   }
@@ -264,7 +268,7 @@
   for (const char* id : {"i-7", "i-9"})
     scheduler->host_stored({id, "10.0.0.2:9", "g", "e", false}, now);
   for (const auto* r : {&record, &other, &anywhere}) scheduler->job_stored(*r, 5, now);
-  scheduler->report(report("i-9", 1, uint64_t{1} << 20), true, now);
+  scheduler->on_heartbeat(heartbeat("i-9", 1, uint64_t{1} << 20), true, now);
   scheduler->tick(now);
   EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
   EXPECT_EQ(scheduler->jobs().at("job-2").placements.size(), 2u);
@@ -275,8 +279,9 @@
   record.started = true;
   auto scheduler = leader(1, 0);
   scheduler->job_stored(record, 5, now);
-  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
-  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+  scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   scheduler->tick(now + 0.2);
   write_all(*scheduler);
   ASSERT_EQ(orders(scheduler->tick(now + 0.3)).size(), 1u);
@@ -291,7 +296,7 @@
 /// A dozen machines in three zones, each with a replica.
 struct Zones : Fixture {
   std::unique_ptr<Scheduler> scheduler;
-  uint64_t seq = 0;
+  uint64_t sequence_number = 0;
   std::set<std::string> released;
 
   Zones() {
@@ -311,13 +316,13 @@
   /// Lets time pass while some machines say nothing.
   void pass(Seconds time, const std::set<int>& silent) {
     for (Seconds end = now + time; now < end; now += 0.1) {
-      if (++seq % 10 == 0)
+      if (++sequence_number % 10 == 0)
         for (int i = 0; i < 12; ++i) {
           if (silent.contains(i)) continue;
-          auto r = report(id(i), seq, uint64_t{1} << 20,
-                          {{{"job-1", static_cast<uint32_t>(i)}, 7, TaskState::Running, {}}});
+          auto r = heartbeat(id(i), sequence_number, uint64_t{1} << 20,
+                             {{{"job-1", static_cast<uint32_t>(i)}, 7, TaskState::Running, {}}});
           r.zone = zone(i);
-          scheduler->report(r, true, now);
+          scheduler->on_heartbeat(r, true, now);
         }
       for (const auto& a : scheduler->tick(now))
         if (const auto* r = std::get_if<Release>(&a)) {
@@ -381,7 +386,7 @@
                     now);
   now += 2 * type.boot_s;
   EXPECT_TRUE(given_up().empty());
-  scheduler->report(report("i-2", 1, 0), true, now);
+  scheduler->on_heartbeat(heartbeat("i-2", 1, 0), true, now);
   now += 1;
   EXPECT_EQ(given_up(), std::vector<std::string>{"i-1"});
 }
@@ -391,9 +396,10 @@
 TEST_F(Fixture, ALeaderThatNoWorkerReachesKnowsIt) {
   auto scheduler = leader(1, 0);
   const double began = now;
-  for (const char* id : {"i-1", "i-2", "i-3"}) scheduler->report(report(id, 1, 0), true, now);
+  for (const char* id : {"i-1", "i-2", "i-3"})
+    scheduler->on_heartbeat(heartbeat(id, 1, 0), true, now);
   now = began + 5;
-  scheduler->report(report("i-2", 2, 0), true, now);
+  scheduler->on_heartbeat(heartbeat("i-2", 2, 0), true, now);
   now += 2.5;
   EXPECT_FALSE(scheduler->no_worker_reaches_us(now)) << "two are silent, one is not";
   now += 1;
@@ -421,8 +427,8 @@
   array.submitted_ms -= 5000;
   scheduler->job_stored(array, ++revision, now);
   auto comes_up = [&](const std::string& id) {
-    scheduler->report(report(id, 1, 0), true, now);
-    scheduler->report(report(id, 2, 1 << 20), true, now);
+    scheduler->on_heartbeat(heartbeat(id, 1, 0), true, now);
+    scheduler->on_heartbeat(heartbeat(id, 2, 1 << 20), true, now);
     now += 1;
     scheduler->tick(now);
     return scheduler->machines().at(id).runs;
@@ -441,9 +447,10 @@
   auto scheduler = leader(2, 10);
   scheduler->host_stored(host, now);
   scheduler->job_stored(record, 5, now);
-  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
-  auto step = [&, seq = uint64_t{1}](double at) mutable {
-    scheduler->report(report("i-9", ++seq, token), true, at);
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+  auto step = [&, sequence_number = uint64_t{1}](double at) mutable {
+    scheduler->on_heartbeat(heartbeat("i-9", ++sequence_number, fencing_token), true, at);
     scheduler->tick(at);
     return scheduler->jobs().at("job-1").placements.size();
   };
@@ -475,8 +482,9 @@
   other.spec.id = "job-2";
   other.started = false;
   scheduler->job_stored(other, 6, now);
-  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
-  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+  scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   scheduler->tick(now + 0.2);
   EXPECT_EQ(scheduler->jobs().at("job-2").placements.size(), 1u) << "three of four may be taken";
 }
@@ -484,39 +492,44 @@
 TEST_F(Fixture, AnAnswerToOrdersIsNoProofThatAStartInAReportsAnswerCameToNothing) {
   auto scheduler = leader(1, 0);
   scheduler->job_stored(record, 5, now);
-  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
-  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+  scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   scheduler->tick(now + 0.2);
   write_all(*scheduler);
-  ASSERT_EQ(scheduler->report(report("i-9", 3, token), true, now + 0.3).commands.size(), 2u);
+  ASSERT_EQ(
+      scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token), true, now + 0.3).commands.size(),
+      2u);
   record.state = JobState::Cancelled;
   record.started = true;
   scheduler->job_stored(record, 500, now + 0.3);
-  scheduler->orders_done("i-9", report("i-9", 4, token), true, now + 0.4);
+  scheduler->orders_done("i-9", heartbeat("i-9", 4, fencing_token), true, now + 0.4);
   EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u)
       << "the start may still be on its way";
-  scheduler->report(report("i-9", 5, token), true, now + 1);
+  scheduler->on_heartbeat(heartbeat("i-9", 5, fencing_token), true, now + 1);
   EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
 }
 
 TEST_F(Fixture, WhileAnOrderIsOutAReportProvesNothingAndGetsNoCommands) {
   auto scheduler = leader(1, 0);
   scheduler->job_stored(record, 5, now);
-  auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
-  scheduler->report(report("i-9", 2, token), true, now + 0.1);
+  auto fencing_token = scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+  scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   scheduler->tick(now + 0.2);
   write_all(*scheduler);
   ASSERT_EQ(orders(scheduler->tick(now + 0.3)).size(), 1u);
   record.state = JobState::Cancelled;
   record.started = true;
   scheduler->job_stored(record, 500, now + 0.3);
-  EXPECT_TRUE(scheduler->report(report("i-9", 3, token), true, now + 0.5).commands.empty());
+  EXPECT_TRUE(scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token), true, now + 0.5)
+                  .commands.empty());
   EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u);
   scheduler->orders_done("i-9", std::nullopt, false, now + 2);
-  const auto raised = scheduler->report(report("i-9", 4, token), true, now + 2.1).token;
-  EXPECT_GT(raised, token) << "the order may be executed minutes late: the token ends that";
+  const auto raised =
+      scheduler->on_heartbeat(heartbeat("i-9", 4, fencing_token), true, now + 2.1).fencing_token;
+  EXPECT_GT(raised, fencing_token) << "the order may be executed minutes late: the token ends that";
   EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u);
-  scheduler->report(report("i-9", 5, raised), true, now + 3);
+  scheduler->on_heartbeat(heartbeat("i-9", 5, raised), true, now + 3);
   EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
 }
 
@@ -524,11 +537,11 @@
 /// mistake and on machines that are sick; others are done after a while.
 struct FailingJobs : Fixture {
   struct Task {
-    TaskReport report;
+    TaskStatus heartbeat;
     Seconds started = 0;
   };
   struct Worker {
-    uint64_t seq = 0, token = 0;
+    uint64_t sequence_number = 0, fencing_token = 0;
     std::map<std::pair<TaskKey, uint64_t>, Task> tasks;
   };
   static constexpr Seconds kFailsAfter = 0.6, kDoneAfter = 3;
@@ -553,16 +566,17 @@
     scheduler->job_stored(record, ++revision, now);
   }
 
-  WorkerReport report_of(const std::string& id) {
+  WorkerHeartbeat heartbeat_of(const std::string& id) {
     Worker& worker = workers.at(id);
-    std::vector<TaskReport> tasks;
-    for (const auto& [key, task] : worker.tasks) tasks.push_back(task.report);
-    return report(id, ++worker.seq, worker.token, tasks);
+    std::vector<TaskStatus> tasks;
+    for (const auto& [key, task] : worker.tasks) tasks.push_back(task.heartbeat);
+    return heartbeat(id, ++worker.sequence_number, worker.fencing_token, tasks);
   }
 
-  void carry_out(const std::string& id, uint64_t token, const std::vector<Command>& commands) {
+  void carry_out(const std::string& id, uint64_t fencing_token,
+                 const std::vector<Command>& commands) {
     Worker& worker = workers.at(id);
-    worker.token = std::max(worker.token, token);
+    worker.fencing_token = std::max(worker.fencing_token, fencing_token);
     for (const Command& command : commands) {
       const std::pair key{command.key, command.attempt};
       if (command.verb == Verb::Start)
@@ -576,15 +590,15 @@
   }
 
   static void end(Task& task, ExitCause cause) {
-    if (task.report.state == TaskState::Exited) return;
-    task.report.state = TaskState::Exited;
-    task.report.cause = cause;
+    if (task.heartbeat.state == TaskState::Exited) return;
+    task.heartbeat.state = TaskState::Exited;
+    task.heartbeat.cause = cause;
   }
 
   void run_tasks(const std::string& id) {
     for (auto& [key, task] : workers.at(id).tasks) {
-      if (task.report.state == TaskState::Exited) continue;
-      const std::string& job = task.report.key.job;
+      if (task.heartbeat.state == TaskState::Exited) continue;
+      const std::string& job = task.heartbeat.key.job;
       const bool fails = mistaken.contains(job) || sick.contains(id);
       if (now - task.started < (fails ? kFailsAfter : kDoneAfter)) continue;
       end(task, fails ? ExitCause::Error : ExitCause::Done);
@@ -594,8 +608,8 @@
 
   void carry_out(const Action& action) {
     if (const auto* order = std::get_if<SendOrders>(&action)) {
-      carry_out(order->machine, order->token, order->commands);
-      scheduler->orders_done(order->machine, report_of(order->machine), true, now);
+      carry_out(order->machine, order->fencing_token, order->commands);
+      scheduler->orders_done(order->machine, heartbeat_of(order->machine), true, now);
     } else if (const auto* release = std::get_if<Release>(&action)) {
       for (const auto& id : release->machines) workers.erase(id);
       scheduler->release_done(*release, true, now);
@@ -611,8 +625,8 @@
       for (auto& [id, worker] : workers) {
         run_tasks(id);
         if (step % 5 != 0) continue;
-        const auto answer = scheduler->report(report_of(id), true, now);
-        carry_out(id, answer.token, answer.commands);
+        const auto answer = scheduler->on_heartbeat(heartbeat_of(id), true, now);
+        carry_out(id, answer.fencing_token, answer.commands);
       }
       for (const auto& action : scheduler->tick(now)) carry_out(action);
       write_all(*scheduler);
@@ -683,28 +697,30 @@
 /// A task of job-1 runs on i-9; the leader hears of the cancellation only when told to.
 struct Cancelled : Fixture {
   std::unique_ptr<Scheduler> scheduler = leader(1, 0);
-  uint64_t token = 0, attempt = 0;
+  uint64_t fencing_token = 0, attempt = 0;
 
   Cancelled() {
     record.spec.tasks = 1;
     scheduler->job_stored(record, 5, now);
-    token = scheduler->report(report("i-9", 1, 0), true, now).token;
-    scheduler->report(report("i-9", 2, token), true, now + 0.1);
+    fencing_token = scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+    scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
     scheduler->tick(now + 0.2);
     write_all(*scheduler);
-    for (const auto& c : scheduler->report(report("i-9", 3, token), true, now + 0.3).commands)
+    for (const auto& c :
+         scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token), true, now + 0.3).commands)
       if (c.verb == Verb::Start) attempt = c.attempt;
-    scheduler->report(running(4), true, now + 1);
+    scheduler->on_heartbeat(running(4), true, now + 1);
   }
-  WorkerReport running(uint64_t seq) {
-    return report("i-9", seq, token, {{{"job-1", 0}, attempt, TaskState::Running}});
+  WorkerHeartbeat running(uint64_t sequence_number) {
+    return heartbeat("i-9", sequence_number, fencing_token,
+                     {{{"job-1", 0}, attempt, TaskState::Running}});
   }
   void cancel() {
     record.state = JobState::Cancelled;
     record.started = true;
     scheduler->job_stored(record, 500, now + 1);
   }
-  bool stops(const Scheduler::ReportAnswer& answer) const {
+  bool stops(const Scheduler::HeartbeatAnswer& answer) const {
     return answer.fresh && std::count(answer.commands.begin(), answer.commands.end(),
                                       Command{Verb::Stop, {"job-1", 0}, attempt, 0}) == 1;
   }
@@ -713,29 +729,30 @@
 // Each answer renews the worker's lease: without the stop a cancelled task whose first stop was
 // lost would go on for as long as that is renewed.
 TEST_F(Cancelled, ALeaderWhoseLeaseHasExpiredStopsWhatItKnowsToBeCancelled) {
-  EXPECT_TRUE(scheduler->report(running(5), false, now + 2).commands.empty()) << "and nothing else";
+  EXPECT_TRUE(scheduler->on_heartbeat(running(5), false, now + 2).commands.empty())
+      << "and nothing else";
   cancel();
-  EXPECT_TRUE(stops(scheduler->report(running(6), false, now + 3)));
+  EXPECT_TRUE(stops(scheduler->on_heartbeat(running(6), false, now + 3)));
 }
 
 TEST_F(Cancelled, AMachineThatHasNotShownTheTokenIsToldToStop) {
   cancel();
   ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
   scheduler->orders_done("i-9", std::nullopt, false, now + 3);
-  EXPECT_TRUE(stops(scheduler->report(running(5), true, now + 3.1)))
+  EXPECT_TRUE(stops(scheduler->on_heartbeat(running(5), true, now + 3.1)))
       << "the token is raised only now";
 }
 
 TEST_F(Cancelled, AMachineThatAnOrderIsOnItsWayToIsToldToStop) {
   cancel();
   ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
-  EXPECT_TRUE(stops(scheduler->report(running(5), true, now + 2.5)));
+  EXPECT_TRUE(stops(scheduler->on_heartbeat(running(5), true, now + 2.5)));
 }
 
 TEST_F(Cancelled, AReportThatAnOrdersAnswerHasOvertakenIsAnsweredWithStops) {
   cancel();
   scheduler->orders_done("i-9", running(7), true, now + 2);
-  EXPECT_TRUE(stops(scheduler->report(running(6), true, now + 2.1)));
+  EXPECT_TRUE(stops(scheduler->on_heartbeat(running(6), true, now + 2.1)));
 }
 
 TEST_F(Cancelled, AStopThatWasNotCarriedOutIsOrderedAgain) {
@@ -743,8 +760,8 @@
   ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
   scheduler->orders_done("i-9", std::nullopt, false, now + 3);
   auto shown = running(5);
-  shown.token = scheduler->report(running(5), true, now + 3.1).token;
-  shown.seq = 6;
+  shown.fencing_token = scheduler->on_heartbeat(running(5), true, now + 3.1).fencing_token;
+  shown.sequence_number = 6;
   scheduler->probed("i-9", shown, now + 4);
   EXPECT_EQ(orders(scheduler->tick(now + 5)).size(), 1u);
 }
@@ -762,17 +779,17 @@
   crowd.spec.need = {1, 0, 1};
   crowd.spec.tasks = 500;
   scheduler->job_stored(crowd, 6, now + 1);
-  scheduler->report(running(5), true, now + 1.1);
+  scheduler->on_heartbeat(running(5), true, now + 1.1);
   scheduler->tick(now + 2);
   scheduler->orders_done("i-9", running(6), true, now + 2.1);
   write_all(*scheduler);
-  const auto answer = scheduler->report(running(7), true, now + 3);
+  const auto answer = scheduler->on_heartbeat(running(7), true, now + 3);
   EXPECT_GT(answer.commands.size(), 200u);
   EXPECT_TRUE(stops(answer));
   EXPECT_EQ(answer.commands[0].verb, Verb::Stop);
 }
 
-// An old report comes to a new leader first: what it shows was started again elsewhere since.
+// An old heartbeat comes to a new leader first: what it shows was started again elsewhere since.
 TEST_F(Fixture, AnOldReportDoesNotStopTheNewerStartOfItsTask) {
   record.spec.tasks = 1;
   record.started = true;
@@ -781,10 +798,10 @@
     scheduler->host_stored(host, now);
     scheduler->host_stored({"i-2", "10.0.0.3:9", "g", "e", false}, now);
     scheduler->job_stored(record, 5, now);
-    const auto old_one = report("i-1", 4, 1 << 20, {{{"job-1", 0}, 7, TaskState::Running}});
-    const auto real = report("i-2", 9, 2 << 20, {{{"job-1", 0}, 8, TaskState::Running}});
-    scheduler->report(old_first ? old_one : real, true, now + 0.1);
-    scheduler->report(old_first ? real : old_one, true, now + 0.2);
+    const auto old_one = heartbeat("i-1", 4, 1 << 20, {{{"job-1", 0}, 7, TaskState::Running}});
+    const auto real = heartbeat("i-2", 9, 2 << 20, {{{"job-1", 0}, 8, TaskState::Running}});
+    scheduler->on_heartbeat(old_first ? old_one : real, true, now + 0.1);
+    scheduler->on_heartbeat(old_first ? real : old_one, true, now + 0.2);
     EXPECT_TRUE(scheduler->machines().at("i-2").runs.begin()->second.wanted);
     EXPECT_FALSE(scheduler->machines().at("i-1").runs.begin()->second.wanted);
     EXPECT_EQ(scheduler->jobs().at("job-1").placements.at(0).size(), 2u)
@@ -794,14 +811,16 @@
 
 TEST_F(Fixture, AMachineThatReportsToNobodyGetsNothingNewThoughItAnswersOrders) {
   auto scheduler = leader(1, 0);
-  const auto token = scheduler->report(report("i-9", 1, 0), true, now).token;
-  scheduler->report(report("i-9", 2, token), true, now + 0.1);
-  for (int i = 1; i <= 8; ++i) scheduler->probed("i-9", report("i-9", 2 + i, token), now + i);
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
+  scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
+  for (int i = 1; i <= 8; ++i)
+    scheduler->probed("i-9", heartbeat("i-9", 2 + i, fencing_token), now + i);
   scheduler->job_stored(record, 5, now + 8);
   scheduler->tick(now + 8.1);
   EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty())
       << "what it runs ends with its lease";
-  scheduler->report(report("i-9", 20, token), true, now + 8.2);
+  scheduler->on_heartbeat(heartbeat("i-9", 20, fencing_token), true, now + 8.2);
   scheduler->request_round();
   scheduler->tick(now + 8.3);
   EXPECT_FALSE(scheduler->jobs().at("job-1").placements.empty());
@@ -809,10 +828,11 @@
 
 TEST_F(Fixture, ALateCopyOfAReportIsNotAnswered) {
   auto scheduler = leader(1, 0);
-  const auto token = scheduler->report(report("i-9", 5, 0), true, now).token;
-  EXPECT_FALSE(scheduler->report(report("i-9", 5, 0), true, now + 1).fresh);
-  EXPECT_FALSE(scheduler->report(report("i-9", 4, 0), true, now + 1).fresh);
-  EXPECT_TRUE(scheduler->report(report("i-9", 6, token), true, now + 1).fresh);
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 5, 0), true, now).fencing_token;
+  EXPECT_FALSE(scheduler->on_heartbeat(heartbeat("i-9", 5, 0), true, now + 1).fresh);
+  EXPECT_FALSE(scheduler->on_heartbeat(heartbeat("i-9", 4, 0), true, now + 1).fresh);
+  EXPECT_TRUE(scheduler->on_heartbeat(heartbeat("i-9", 6, fencing_token), true, now + 1).fresh);
 }
 
 TEST_F(Fixture, AResultIsClearedOnlyOnceItIsDurable) {
@@ -820,12 +840,15 @@
   record.started = true;
   auto scheduler = leader(2, 0);
   scheduler->job_stored(record, 5, now);
-  const TaskReport done{{"job-1", 0}, 7, TaskState::Exited, ExitCause::Done};
-  const auto token = scheduler->report(report("i-9", 1, 0, {done}), true, now).token;
-  EXPECT_TRUE(scheduler->report(report("i-9", 2, token, {done}), true, now + 0.1).commands.empty());
+  const TaskStatus done{{"job-1", 0}, 7, TaskState::Exited, ExitCause::Done};
+  const auto fencing_token =
+      scheduler->on_heartbeat(heartbeat("i-9", 1, 0, {done}), true, now).fencing_token;
+  EXPECT_TRUE(scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token, {done}), true, now + 0.1)
+                  .commands.empty());
   now += 5;
   write_all(*scheduler);
-  const auto answer = scheduler->report(report("i-9", 3, token, {done}), true, now);
+  const auto answer =
+      scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token, {done}), true, now);
   ASSERT_EQ(answer.commands.size(), 1u);
   EXPECT_EQ(answer.commands[0].verb, Verb::Forget);
 }
@@ -836,10 +859,10 @@
   record.started = true;
   auto scheduler = leader(2, 0);
   scheduler->job_stored(record, 5, now);
-  std::vector<TaskReport> done;
+  std::vector<TaskStatus> done;
   for (uint32_t t = 0; t < 100000; t += 20)
     done.push_back({{"job-1", t}, 7, TaskState::Exited, ExitCause::Done});
-  scheduler->report(report("i-9", 1, 0, done), true, now);
+  scheduler->on_heartbeat(heartbeat("i-9", 1, 0, done), true, now);
   now += 5;
   const auto writes = scheduler->wanted_writes(now, 20);
   ASSERT_EQ(writes.size(), 1u);
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -12,7 +12,7 @@
 using simulation::WorldOptions;
 
 struct Sums {
-  size_t starts = 0, jobs = 0, delegated = 0, terms = 0, late_reports = 0, late_writes = 0;
+  size_t starts = 0, jobs = 0, delegated = 0, terms = 0, late_heartbeats = 0, late_writes = 0;
   size_t pipelines_done = 0, pipelines_cancelled = 0, starts_of_dependents = 0;
   size_t inherited_cancellations = 0, answers_after_cancel = 0;
 };
@@ -35,7 +35,7 @@
     sums.delegated += world.workers().delegated();
     sums.jobs += world.submitted();
     sums.terms += world.checker().terms();
-    sums.late_reports += world.workers().copies_heard_by_new_leader();
+    sums.late_heartbeats += world.workers().copies_heard_by_new_leader();
     sums.late_writes += world.state().late_writes_tried();
     sums.pipelines_done += world.pipelines().done();
     sums.pipelines_cancelled += world.pipelines().cancelled_in_the_middle();
@@ -54,7 +54,7 @@
   EXPECT_GT(sums.starts, 3000u);
   EXPECT_GT(sums.delegated, 150u);
   EXPECT_GT(sums.terms, 600u);
-  EXPECT_GT(sums.late_reports, 150u);
+  EXPECT_GT(sums.late_heartbeats, 150u);
   EXPECT_GT(sums.late_writes, 150u);
   EXPECT_GT(sums.pipelines_done, 100u);
   EXPECT_GT(sums.pipelines_cancelled, 50u);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -27,18 +27,18 @@
   static std::string machine(int i) { return "i-" + std::to_string(100000 + i); }
   static std::string job_id(int i) { return "job-" + std::to_string(100000 + i); }
 
-  WorkerReport next_report(int i, uint64_t shown, std::vector<TaskReport> tasks = {}) {
-    return report(machine(i), ++reports, shown, std::move(tasks));
+  WorkerHeartbeat next_heartbeat(int i, uint64_t shown, std::vector<TaskStatus> tasks = {}) {
+    return heartbeat(machine(i), ++heartbeats, shown, std::move(tasks));
   }
 
   void add_machines(int count) {
     for (int i = 0; i < count; ++i) add_machine(machine(i));
-    reports += 2;
+    heartbeats += 2;
   }
 
   size_t placed(int i) const { return scheduler->jobs().at(job_id(i)).placements.size(); }
 
-  uint64_t reports = 0;
+  uint64_t heartbeats = 0;
 };
 
 TEST_F(LargeFleet, AJobOfAnySizeIsPlacedInOneRoundAsFarAsThereIsRoom) {
@@ -87,9 +87,10 @@
   std::set<std::string> returned;
   double now = kNow;
   for (int step = 0; step < 40 && returned.size() < kIdle; ++step) {
-    now += settings.report_s;
+    now += settings.heartbeat_period_s;
     for (int i = 0; i < kIdle; ++i)
-      if (!returned.contains(machine(i))) scheduler->report(next_report(i, token), true, now);
+      if (!returned.contains(machine(i)))
+        scheduler->on_heartbeat(next_heartbeat(i, fencing_token), true, now);
     for (const auto& action : scheduler->tick(now)) {
       const auto* release = std::get_if<Release>(&action);
       if (!release) continue;
@@ -130,16 +131,17 @@
         std::vector<int> order(kMachines);
         std::iota(order.begin(), order.end(), 0);
         std::shuffle(order.begin(), order.end(), random);
-        constexpr uint64_t kOldToken = (kTerm - 1) << kTokenCounterBits;
+        constexpr uint64_t kOldFencingToken = (kTerm - 1) << kFencingTokenCounterBits;
         for (const int i : order) {
-          const TaskReport task{{job_id(i), 0}, kOldToken | 1, TaskState::Running};
-          const auto answer = scheduler->report(next_report(i, kOldToken, {task}), true, kNow);
-          RC_ASSERT(answer.fresh && answer.token >= token);
+          const TaskStatus task{{job_id(i), 0}, kOldFencingToken | 1, TaskState::Running};
+          const auto answer =
+              scheduler->on_heartbeat(next_heartbeat(i, kOldFencingToken, {task}), true, kNow);
+          RC_ASSERT(answer.fresh && answer.fencing_token >= fencing_token);
           const bool stops =
               std::any_of(answer.commands.begin(), answer.commands.end(),
                           [](const Command& command) { return command.verb == Verb::Stop; });
           RC_ASSERT(stops == (i < cancelled));
-          scheduler->report(next_report(i, token, {task}), true, kNow);
+          scheduler->on_heartbeat(next_heartbeat(i, fencing_token, {task}), true, kNow);
         }
         RC_ASSERT(scheduler->all_accounted());
         scheduler->tick(kNow);
@@ -152,13 +154,16 @@
 
 TEST_F(LargeFleet, ATermWhoseTokensRunOutIsGivenUpInTime) {
   add_machines(1);
-  constexpr uint64_t kFewLeft = kTokenCounterEnd * 95 / 100;
+  constexpr uint64_t kFewLeft = kFencingTokenCounterEnd * 95 / 100;
   for (uint64_t i = 0; i < kFewLeft; ++i) {
-    ASSERT_TRUE(i >= kTokenCounterEnd / 2 || !scheduler->term_nearly_exhausted());
+    ASSERT_TRUE(i >= kFencingTokenCounterEnd / 2 || !scheduler->term_nearly_exhausted());
     scheduler->orders_done(machine(0), std::nullopt, false, kNow);
   }
   EXPECT_TRUE(scheduler->term_nearly_exhausted());
-  EXPECT_EQ(term_of_token(scheduler->report(next_report(0, token), true, kNow).token), kTerm);
+  EXPECT_EQ(
+      term_of_fencing_token(
+          scheduler->on_heartbeat(next_heartbeat(0, fencing_token), true, kNow).fencing_token),
+      kTerm);
 }
 
 // Beyond the last number an attempt would be one of the next leader's.
@@ -170,12 +175,12 @@
   while (numbers.attempts_left() > 0) {
     const uint64_t attempt = numbers.new_attempt();
     ASSERT_GT(attempt, last);
-    ASSERT_EQ(term_of_token(attempt), kTerm);
+    ASSERT_EQ(term_of_fencing_token(attempt), kTerm);
     last = attempt;
     ++handed_out;
     if (numbers.nearly_exhausted() && left_when_told == 0) left_when_told = numbers.attempts_left();
   }
-  EXPECT_EQ(handed_out, kTokenCounterEnd - 1);
+  EXPECT_EQ(handed_out, kFencingTokenCounterEnd - 1);
   EXPECT_GT(left_when_told, size_t{100000}) << "an array of the protocol's largest size";
 }
 
