--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -179,13 +179,13 @@
   });
 }
 
-// ---- late reports
+// ---- late heartbeats
 
 TEST(Meetings, AReportIsHeldBackUntilANewLeaderHasActed) {
   meet_in_both(
       [](World& world) {
         settle(world);
-        world.faults().late_reports(0.7, 12);
+        world.faults().late_heartbeats(0.7, 12);
         world.run_for(4);
         cancel_running(world, 2);
         world.faults().end_process(world.leader_or_first(), 3);
@@ -200,7 +200,7 @@
       [](World& world) {
         settle(world);
         for (int i = 0; i < 3; ++i) {
-          world.faults().late_reports(1, 6, CopyDelivery::ToNextLeaderOnce);
+          world.faults().late_heartbeats(1, 6, CopyDelivery::ToNextLeaderOnce);
           world.run_for(5);
           cancel_running(world, 1);
           submit_services(world, 2);
@@ -216,7 +216,7 @@
   meet_in_both(
       [](World& world) {
         settle(world);
-        world.faults().late_reports(0.6, 40);
+        world.faults().late_heartbeats(0.6, 40);
         for (int i = 0; i < 3; ++i) {
           for (const auto& m : world.machines())
             if (world.chance(0.5)) world.faults().cut(m, world.between(11, 16));
@@ -239,7 +239,7 @@
       [](World& world) {
         settle(world, 4, 20);
         const size_t before = world.checker().starts();
-        world.faults().slow_reports(70);
+        world.faults().slow_heartbeats(70);
         for (int i = 0; i < 20; ++i) {
           JobSpec s = world.users().any_spec();
           s.kind = JobKind::Array;
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -4,7 +4,7 @@
 
 #include "node/action_executor.h"
 #include "node/active_scheduler.h"
-#include "node/heartbeat_details.h"
+#include "node/leader_hints_source.h"
 #include "node/worker_clients.h"
 #include "node/write_pacing.h"
 
@@ -85,7 +85,7 @@
 
 Settings with_state_limits(int transaction_changes, double changes_per_second) {
   Settings settings;
-  settings.report_s = 2;
+  settings.heartbeat_period_s = 2;
   settings.state_txn_ops = transaction_changes;
   settings.state_write_rps = changes_per_second;
   return settings;
@@ -131,11 +131,11 @@
   EXPECT_EQ(read_rent_answer(none).outcome, Outcome::Unknown) << "it may still be carried out";
 }
 
-TEST(HeartbeatDetails, TellOfImagesAndOfMachinesThatBoot) {
+TEST(LeaderHintsSource, TellOfImagesAndOfMachinesThatBoot) {
   const Settings settings;
   const auto scheduler = new_scheduler(settings);
   scheduler->host_stored({"i-1", "10.0.0.1:9", "g", "east", false}, 1000);
-  scheduler->image_held("i-1", "img", 7);
+  scheduler->on_cached_image("i-1", "img", 7);
   ListedMachine booting;
   booting.id = "i-2";
   booting.type = "g";
@@ -144,7 +144,7 @@
   booting.age_s = 3;
   scheduler->listed({booting}, 1000);
 
-  wire::Heartbeat heartbeat;
+  wire::PeerHeartbeat heartbeat;
   add_hints(*scheduler, 1005, heartbeat);
   ASSERT_EQ(heartbeat.images.size(), 1u);
   EXPECT_EQ(heartbeat.images[0].machine, "i-1");
@@ -157,7 +157,7 @@
   EXPECT_EQ(heartbeat.booting[0].age_s, 8) << "as of now";
 }
 
-TEST(HeartbeatDetails, CountWhatRunsOfJobsThatAreKnown) {
+TEST(LeaderHintsSource, CountWhatRunsOfJobsThatAreKnown) {
   const Settings settings;
   const auto scheduler = new_scheduler(settings);
   JobRecord record;
@@ -166,21 +166,21 @@
   record.started = true;
   record.done.add(0);
   scheduler->job_stored(record, 1, 1000);
-  WorkerReport report;
-  report.machine = "i-1";
-  report.type = "g";
-  report.zone = "east";
-  report.session = report.seq = 1;
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine = "i-1";
+  heartbeat.type = "g";
+  heartbeat.zone = "east";
+  heartbeat.agent_epoch = heartbeat.sequence_number = 1;
   for (const std::string job : {"job-1", "unknown"})
-    report.tasks.push_back({{job, 1}, 5, TaskState::Running, ExitCause::None});
-  scheduler->report(report, true, 1000);
-
-  wire::Heartbeat heartbeat;
-  add_counts(*scheduler, heartbeat);
-  ASSERT_EQ(heartbeat.counts.size(), 1u);
-  EXPECT_EQ(heartbeat.counts[0].job, "job-1");
-  EXPECT_EQ(heartbeat.counts[0].done, 1u);
-  EXPECT_EQ(heartbeat.counts[0].running, 1u);
+    heartbeat.tasks.push_back({{job, 1}, 5, TaskState::Running, ExitCause::None});
+  scheduler->on_heartbeat(heartbeat, true, 1000);
+
+  wire::PeerHeartbeat peer_heartbeat;
+  add_counts(*scheduler, peer_heartbeat);
+  ASSERT_EQ(peer_heartbeat.counts.size(), 1u);
+  EXPECT_EQ(peer_heartbeat.counts[0].job, "job-1");
+  EXPECT_EQ(peer_heartbeat.counts[0].done, 1u);
+  EXPECT_EQ(peer_heartbeat.counts[0].running, 1u);
 }
 
 }  // namespace
--- a/tests/prompt_dispatch_test.cpp
+++ b/tests/prompt_dispatch_test.cpp
@@ -70,7 +70,7 @@
 // ---------------------------------------------------------------- the leader
 
 constexpr uint64_t kTerm = 1;
-constexpr uint64_t kToken = kTerm << kTokenCounterBits;
+constexpr uint64_t kFencingToken = kTerm << kFencingTokenCounterBits;
 
 struct PromptLeader : testing::LeaderFixture {
   PromptLeader() : LeaderFixture(kTerm, 1, 10) { settings.tuning.prompt_dispatch = true; }
@@ -158,10 +158,10 @@
   EXPECT_TRUE(dispatched().empty()) << "one order at a time";
   scheduler->orders_done("i-1", std::nullopt, false, kNow);
   EXPECT_TRUE(dispatched().empty()) << "the token has been raised and was not shown yet";
-  const double later = kNow + 2 * settings.report_s;
+  const double later = kNow + 2 * settings.heartbeat_period_s;
   for (const auto& action : scheduler->tick(later))
     EXPECT_FALSE(std::holds_alternative<SendOrders>(action)) << "nor later, by a round";
-  scheduler->report(report("i-1", 3, kToken + 1), true, later);
+  scheduler->on_heartbeat(heartbeat("i-1", 3, kFencingToken + 1), true, later);
   EXPECT_EQ(scheduler->dispatch(later).size(), 0u) << "the answer to the report carried the start";
 }
 
@@ -173,10 +173,10 @@
   const auto started = dispatched();
   ASSERT_EQ(started.size(), 1u);
   const auto attempt = started[0].commands[0].attempt;
-  scheduler->orders_done(
-      "i-1",
-      report("i-1", 3, kToken, {{{"job-1", 0}, attempt, TaskState::Running, ExitCause::None}}),
-      true, kNow);
+  scheduler->orders_done("i-1",
+                         heartbeat("i-1", 3, kFencingToken,
+                                   {{{"job-1", 0}, attempt, TaskState::Running, ExitCause::None}}),
+                         true, kNow);
   dispatched();
   JobRecord cancelled = scheduler->jobs().at("job-1").stored;
   cancelled.state = JobState::Cancelled;
@@ -194,14 +194,14 @@
   const auto orders = dispatched();
   ASSERT_EQ(orders.size(), 1u);
   ASSERT_EQ(orders[0].commands.size(), 2u);
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
   for (const auto& command : orders[0].commands)
     tasks.push_back({command.key, command.attempt, TaskState::Running, ExitCause::None});
   tasks[0].state = TaskState::Exited;
   tasks[0].cause = ExitCause::Done;
-  scheduler->orders_done("i-1", report("i-1", 3, kToken, tasks), true, kNow);
+  scheduler->orders_done("i-1", heartbeat("i-1", 3, kFencingToken, tasks), true, kNow);
   EXPECT_TRUE(writes().empty()) << "progress is written in batches";
-  const double later = kNow + 1.1 * settings.report_s;
+  const double later = kNow + 1.1 * settings.heartbeat_period_s;
   scheduler->tick(later);
   const auto progress = scheduler->wanted_writes(later, 20);
   ASSERT_EQ(progress.size(), 1u);
--- a/tests/record_room_test.cpp
+++ b/tests/record_room_test.cpp
@@ -119,7 +119,7 @@
 
 struct LoweredLimits : ::testing::Test {
   static constexpr size_t kMostBytes = 2048;
-  static constexpr uint64_t kToken = uint64_t{2} << 20;
+  static constexpr uint64_t kFencingToken = uint64_t{2} << 20;
   Settings settings;
   JobRecord record;
   double now = 1000;
@@ -157,20 +157,20 @@
     scheduler->job_stored(record, ++revision, now);
   }
 
-  void report(uint64_t seq, std::vector<TaskReport> tasks) const {
-    WorkerReport r;
+  void heartbeat(uint64_t sequence_number, std::vector<TaskStatus> tasks) const {
+    WorkerHeartbeat r;
     r.machine = "i-9";
     r.addr = "10.0.0.1:9";
     r.type = "g";
     r.zone = "e";
-    r.session = 1;
-    r.seq = seq;
-    r.token = kToken;
+    r.agent_epoch = 1;
+    r.sequence_number = sequence_number;
+    r.fencing_token = kFencingToken;
     r.tasks = std::move(tasks);
-    scheduler->report(r, true, now);
+    scheduler->on_heartbeat(r, true, now);
   }
 
-  static TaskReport done(uint32_t task) {
+  static TaskStatus done(uint32_t task) {
     return {{"job-1", task}, 7, TaskState::Exited, ExitCause::Done};
   }
 
@@ -196,16 +196,16 @@
 
 TEST_F(LoweredLimits, ARecordThatIsTooLargeIsNotRewrittenForNothing) {
   store_oversized();
-  report(1, {done(1)});
+  heartbeat(1, {done(1)});
   EXPECT_EQ(writes_within(5), 0) << "it would lose more than it gains";
   EXPECT_EQ(job().stored.done.count(), 1000u);
 }
 
 TEST_F(LoweredLimits, ARecordThatIsTooLargeFitsOnceItIsWritten) {
   store_oversized();
-  std::vector<TaskReport> most;
+  std::vector<TaskStatus> most;
   for (uint32_t task = 0; task < 3800; ++task) most.push_back(done(task));
-  report(1, most);
+  heartbeat(1, most);
   EXPECT_EQ(writes_within(20), 1);
   EXPECT_LE(size_of(job().stored), kMostBytes);
   EXPECT_GE(job().stored.done.count(), 3800u);
@@ -218,7 +218,7 @@
   record.hosts.emplace();
   for (int i = 100; i < 400; ++i) record.hosts->push_back("i-" + std::to_string(i));
   scheduler->job_stored(record, ++revision, now);
-  report(1, {done(0)});
+  heartbeat(1, {done(0)});
   EXPECT_EQ(writes_within(2), 1) << "all of them are still unaccounted for";
   EXPECT_FALSE(job().stored.hosts) << "its tasks may be anywhere";
 }
@@ -226,7 +226,7 @@
 TEST_F(LoweredLimits, AJobThatIsOverIsFinishedWithAllItsDoneNumbers) {
   record.state = JobState::Cancelled;
   store_oversized();
-  report(1, {});
+  heartbeat(1, {});
   const auto writes = scheduler->wanted_writes(now, 20);
   ASSERT_EQ(writes.size(), 1u);
   EXPECT_TRUE(writes[0].finished);
@@ -235,17 +235,17 @@
 
 TEST_F(LoweredLimits, WhatIsStoredStaysStoredAsTheGapsFill) {
   scheduler->job_stored(record, ++revision, now);
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
   for (uint32_t task = 3999; task > 1000; task -= 7) tasks.push_back(done(task));
-  report(1, tasks);
+  heartbeat(1, tasks);
   EXPECT_EQ(writes_within(5), 1);
   const Ranges stored = job().stored.done;
   ASSERT_LT(stored.count(), tasks.size()) << "there is no room for all";
   for (uint32_t task = 0; task < 1000; task += 3) tasks.push_back(done(task));
-  report(2, tasks);
+  heartbeat(2, tasks);
   EXPECT_EQ(writes_within(5), 0) << "the room is taken";
   for (uint32_t task = 1; task < 4000; ++task) tasks.push_back(done(task));
-  report(3, tasks);
+  heartbeat(3, tasks);
   EXPECT_EQ(writes_within(5), 1);
   EXPECT_EQ(job().stored.done.count(), 4000u);
 }
@@ -258,7 +258,7 @@
   record.spec.types.reset();
   record.spec.id = "job-2";
   scheduler->job_stored(record, ++revision, now);
-  report(1, {});
+  heartbeat(1, {});
   EXPECT_GT(writes_within(3), 0);
   EXPECT_TRUE(scheduler->jobs().at("job-2").stored.started);
   EXPECT_FALSE(job().stored.started);
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -15,9 +15,9 @@
 struct LeaderFixture : ::testing::Test {
   static constexpr double kNow = 1000;
 
-  LeaderFixture(uint64_t leaders_term, Seconds report_s, Seconds lease_s)
-      : term(leaders_term), token(leaders_term << kTokenCounterBits) {
-    settings.report_s = report_s;
+  LeaderFixture(uint64_t leaders_term, Seconds heartbeat_period_s, Seconds lease_s)
+      : term(leaders_term), fencing_token(leaders_term << kFencingTokenCounterBits) {
+    settings.heartbeat_period_s = heartbeat_period_s;
     settings.lease_s = lease_s;
     TeamSettings team;
     team.name = "t";
@@ -43,24 +43,24 @@
     return record;
   }
 
-  static WorkerReport report(const std::string& machine, uint64_t seq, uint64_t token,
-                             std::vector<TaskReport> tasks = {}) {
-    WorkerReport r;
+  static WorkerHeartbeat heartbeat(const std::string& machine, uint64_t sequence_number,
+                                   uint64_t fencing_token, std::vector<TaskStatus> tasks = {}) {
+    WorkerHeartbeat r;
     r.machine = machine;
     r.addr = "10.0.0.2:9";
     r.type = "g";
     r.zone = "e";
-    r.session = 1;
-    r.seq = seq;
-    r.token = token;
+    r.agent_epoch = 1;
+    r.sequence_number = sequence_number;
+    r.fencing_token = fencing_token;
     r.tasks = std::move(tasks);
     return r;
   }
 
-  /// A machine that is up and has shown the leader's token.
+  /// A machine that is up and has shown the leader's fencing token.
   void add_machine(const std::string& id) const {
-    scheduler->report(report(id, 1, 0), true, kNow);
-    scheduler->report(report(id, 2, token), true, kNow);
+    scheduler->on_heartbeat(heartbeat(id, 1, 0), true, kNow);
+    scheduler->on_heartbeat(heartbeat(id, 2, fencing_token), true, kNow);
   }
 
   /// How many machines each request among the actions asks the cloud for.
@@ -72,7 +72,7 @@
   }
 
   uint64_t term;
-  uint64_t token;  ///< of a machine whose orders were all answered
+  uint64_t fencing_token;  ///< of a machine whose orders were all answered
   Settings settings;
   MachineType type;
   std::unique_ptr<Scheduler> scheduler;
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -26,25 +26,25 @@
 
 TEST(StandInMessages, AreReadByTheControllersAsTheyWereSent) {
   EXPECT_TRUE(holds("reports", [] {
-    WorkerReport sent;
+    WorkerHeartbeat sent;
     sent.machine = "i-" + std::to_string(*rc::gen::inRange(0, 1000));
     sent.addr = "127.0.0.1:9000";
     sent.type = *testing::name();
     sent.zone = *testing::name();
     sent.spot = *rc::gen::arbitrary<bool>();
-    sent.session = *rc::gen::arbitrary<uint64_t>();
-    sent.seq = *rc::gen::arbitrary<uint64_t>();
-    sent.token = *rc::gen::arbitrary<uint64_t>();
-    if (*rc::gen::arbitrary<bool>()) sent.notice_s = *rc::gen::inRange(0, 100) * 0.5;
+    sent.agent_epoch = *rc::gen::arbitrary<uint64_t>();
+    sent.sequence_number = *rc::gen::arbitrary<uint64_t>();
+    sent.fencing_token = *rc::gen::arbitrary<uint64_t>();
+    if (*rc::gen::arbitrary<bool>()) sent.preemption_notice_s = *rc::gen::inRange(0, 100) * 0.5;
     for (int i = *rc::gen::inRange(0, 5); i > 0; --i)
       sent.tasks.push_back({any_key(), *rc::gen::arbitrary<uint64_t>(),
                             *rc::gen::element(TaskState::Fetching, TaskState::Running),
                             ExitCause::None});
     sent.tasks.push_back({any_key(), 1, TaskState::Exited,
                           *rc::gen::element(ExitCause::Done, ExitCause::Error, ExitCause::Alone)});
-    const auto read = wire::parse_report(report_body(sent));
+    const auto read = wire::parse_worker_heartbeat(worker_heartbeat_body(sent));
     RC_ASSERT(read.has_value());
-    RC_ASSERT(report_body(*read) == report_body(sent));
+    RC_ASSERT(worker_heartbeat_body(*read) == worker_heartbeat_body(sent));
   }));
   EXPECT_TRUE(holds("submissions", [] {
     const JobSpec sent = *testing::job_spec();
@@ -60,12 +60,13 @@
       commands.push_back({verb, any_key(), *rc::gen::arbitrary<uint64_t>(),
                           verb == Verb::Stop ? *rc::gen::inRange(0, 10) * 0.5 : 0});
     }
-    const auto token = *rc::gen::arbitrary<uint64_t>();
-    const auto session = *rc::gen::arbitrary<uint64_t>();
-    const auto orders = parse_orders(wire::orders_body(token, session, commands));
-    RC_ASSERT(orders && orders->token == token && orders->session == session);
+    const auto fencing_token = *rc::gen::arbitrary<uint64_t>();
+    const auto agent_epoch = *rc::gen::arbitrary<uint64_t>();
+    const auto orders = parse_orders(wire::orders_body(fencing_token, agent_epoch, commands));
+    RC_ASSERT(orders && orders->fencing_token == fencing_token &&
+              orders->agent_epoch == agent_epoch);
     RC_ASSERT(orders->commands == commands);
-    const auto answer = parse_orders(wire::report_answer(token, commands));
+    const auto answer = parse_orders(wire::heartbeat_answer(fencing_token, commands));
     RC_ASSERT(answer && answer->commands == commands);
   }));
   EXPECT_FALSE(parse_orders("").has_value());
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -294,7 +294,7 @@
         s.settings, kMostInProgress, *s.store, *s.mirror,
         Frontend::Sources{[&s]() -> const std::vector<MachineType>& { return s.types; },
                           [](const std::string& id) {
-                            return wire::RunningCount{id, 0, 0};
+                            return wire::JobProgress{id, 0, 0};
                           },
                           [] { return uint64_t{1}; }});
   }
@@ -1035,7 +1035,7 @@
   std::vector<std::string> ids;
   for (int i = 1; i <= kJobs; ++i) ids.push_back("job-" + std::to_string(i));
   ActiveScheduler active;
-  a.settings.report_s = 0.4;
+  a.settings.heartbeat_period_s = 0.4;
   active.begin(std::make_unique<Scheduler>(a.settings, 1, 0, 0));
   for (const auto& id : ids) {
     JobRecord record;
@@ -1057,7 +1057,7 @@
   until(all_finished);
   const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
   EXPECT_EQ(state.transactions, 1 + kJobs) << "one refusal, then a job at a time";
-  EXPECT_GE(took.count(), a.settings.report_s) << "paused after the refusal";
+  EXPECT_GE(took.count(), a.settings.heartbeat_period_s) << "paused after the refusal";
 }
 
 // Nothing stays stuck.
--- a/tests/world/controller_heartbeats.cpp
+++ b/tests/world/controller_peer_heartbeats.cpp
@@ -8,21 +8,21 @@
 constexpr double kAnswerDeadline = 2;
 }  // namespace
 
-wire::Heartbeat ControllerProcess::own_heartbeat() const {
-  wire::Heartbeat heartbeat;
+wire::PeerHeartbeat ControllerProcess::own_peer_heartbeat() const {
+  wire::PeerHeartbeat heartbeat;
   heartbeat.node = node_name(controller_);
   heartbeat.term = election_->highest_term();
   heartbeat.leading = may_answer();
-  heartbeat.status = delegate_->status(env_.now());
+  heartbeat.status = delegated_responder_->status(env_.now());
   return heartbeat;
 }
 
-void ControllerProcess::send_heartbeats() {
+void ControllerProcess::send_peer_heartbeats() {
   for (size_t peer = 0; peer < env_.controllers.size(); ++peer)
-    if (peer != controller_) send_heartbeat(peer);
+    if (peer != controller_) send_peer_heartbeat(peer);
 }
 
-void ControllerProcess::send_heartbeat(size_t peer) {
+void ControllerProcess::send_peer_heartbeat(size_t peer) {
   Random& random = env_.random;
   Seconds delay = random.chance(0.02) ? random.between(0.1, 2) : random.between(0.001, 0.05);
   const Seconds apart_until = env_.network.peers_apart_until(controller_, peer);
@@ -33,35 +33,36 @@
   Environment& env = env_;
   env.controllers.schedule_at(
       peer, delay,
-      [&env, from = controller_, sender = weak_from_this(), heartbeat = own_heartbeat(),
+      [&env, from = controller_, sender = weak_from_this(), heartbeat = own_peer_heartbeat(),
        asked_at = env.now()](ControllerProcess& receiver) {
-        const wire::Heartbeat answer = receiver.answer_heartbeat(from, heartbeat);
+        const wire::PeerHeartbeat answer = receiver.answer_peer_heartbeat(from, heartbeat);
         const size_t to = receiver.controller();
         if (env.now() < env.network.peers_apart_until(from, to)) return;
         const Seconds longest = env.random.chance(0.1) ? 2 : 0.1;
         env.controllers.schedule_in(from, sender, env.random.between(0.001, longest),
                                     [to, answer, asked_at](ControllerProcess& me) {
-                                      me.heartbeat_answered(to, answer, asked_at);
+                                      me.peer_heartbeat_answered(to, answer, asked_at);
                                     });
       });
 }
 
 /// Delegations go out with answers only: they count from when they were asked for.
-wire::Heartbeat ControllerProcess::answer_heartbeat(size_t from, const wire::Heartbeat& heartbeat) {
+wire::PeerHeartbeat ControllerProcess::answer_peer_heartbeat(size_t from,
+                                                             const wire::PeerHeartbeat& heartbeat) {
   hear(heartbeat);
-  wire::Heartbeat answer = own_heartbeat();
+  wire::PeerHeartbeat answer = own_peer_heartbeat();
   const std::string& zone = env_.controllers[from].settings.zone;
-  if (leads() && settings().finds_delegate(zone))
+  if (leads() && settings().finds_delegated_responder(zone))
     answer.delegation = scheduler_->delegations().delegate(heartbeat.node, zone,
                                                            election_->answers_until(), env_.now());
   return answer;
 }
 
-void ControllerProcess::heartbeat_answered(size_t peer, const wire::Heartbeat& answer,
-                                           Seconds asked_at) {
+void ControllerProcess::peer_heartbeat_answered(size_t peer, const wire::PeerHeartbeat& answer,
+                                                Seconds asked_at) {
   if (env_.now() - asked_at > kAnswerDeadline * settings().renew_s()) return;
   hear(answer);
-  if (answer.delegation) delegate_->delegated(*answer.delegation, asked_at, env_.now());
+  if (answer.delegation) delegated_responder_->delegated(*answer.delegation, asked_at, env_.now());
   if (!scheduler_ || answer.leading || answer.term < election_->term()) return;
   // The peer follows this term: it answers no worker under an older one. Once all do, nobody else
   // can renew a worker's lease.
@@ -70,7 +71,7 @@
     scheduler_->on_previous_leader_fenced(env_.now());
 }
 
-void ControllerProcess::hear(const wire::Heartbeat& heartbeat) {
+void ControllerProcess::hear(const wire::PeerHeartbeat& heartbeat) {
   const auto peer = env_.controllers.index_of(heartbeat.node);
   const bool newer = !known_leader_ || heartbeat.term >= known_leader_->term;
   if (peer && heartbeat.leading && newer)
--- a/tests/world/controller_process.cpp
+++ b/tests/world/controller_process.cpp
@@ -29,8 +29,8 @@
       controller_(controller),
       nonce_(nonce),
       served_at_(environment.now()) {
-  delegate_ =
-      std::make_unique<Delegate>(nonce, settings().delegation_after_s(), settings().answers_s());
+  delegated_responder_ = std::make_unique<DelegatedResponder>(
+      nonce, settings().delegation_after_s(), settings().answers_s());
   LeaderElection::Config config;
   config.lease = settings().leader_lease_s();
   config.renew = settings().renew_s();
@@ -66,9 +66,9 @@
     for (const auto& action : scheduler_->tick(env_.now())) perform(action);
     write_records();
   }
-  if (env_.now() >= next_heartbeat_) {
-    next_heartbeat_ = env_.now() + settings().renew_s();
-    send_heartbeats();
+  if (env_.now() >= next_peer_heartbeat_) {
+    next_peer_heartbeat_ = env_.now() + settings().renew_s();
+    send_peer_heartbeats();
   }
 }
 
@@ -196,7 +196,7 @@
   for (const auto& [id, machine] : records_.hosts()) scheduler_->host_stored(machine.value, now);
   for (const auto& [id, job] : records_.live()) scheduler_->job_stored(job.value, job.version, now);
   tell_finished_dependencies();
-  send_heartbeats();
+  send_peer_heartbeats();
   links_.workers.send_kept_copies();
 }
 
@@ -210,17 +210,20 @@
 // ---------------------------------------------------------------- answers to the leader
 
 void ControllerProcess::orders_done(uint64_t generation, const std::string& machine,
-                                    const std::optional<WorkerReport>& report, bool executed) {
+                                    const std::optional<WorkerHeartbeat>& heartbeat,
+                                    bool executed) {
   if (!current(generation)) return;
-  if (report) election_->observe_term(env_.now(), term_of_token(report->token));
-  if (scheduler_) scheduler_->orders_done(machine, report, executed, env_.now());
+  if (heartbeat)
+    election_->observe_term(env_.now(), term_of_fencing_token(heartbeat->fencing_token));
+  if (scheduler_) scheduler_->orders_done(machine, heartbeat, executed, env_.now());
 }
 
 void ControllerProcess::probed(uint64_t generation, const std::string& machine,
-                               const std::optional<WorkerReport>& report) {
+                               const std::optional<WorkerHeartbeat>& heartbeat) {
   if (!current(generation)) return;
-  if (report) election_->observe_term(env_.now(), term_of_token(report->token));
-  if (scheduler_) scheduler_->probed(machine, report, env_.now());
+  if (heartbeat)
+    election_->observe_term(env_.now(), term_of_fencing_token(heartbeat->fencing_token));
+  if (scheduler_) scheduler_->probed(machine, heartbeat, env_.now());
 }
 
 void ControllerProcess::rent_done(uint64_t generation, const Rent& rent,
--- a/tests/world/controller_process.h
+++ b/tests/world/controller_process.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "dispatch/scheduler.h"
-#include "leadership/delegation.h"
 #include "leadership/leader_election.h"
+#include "leadership/lease_delegation.h"
 #include "world/environment.h"
 #include "world/record_copy.h"
 #include "world/state_channel.h"
@@ -27,15 +27,15 @@
   Workers& workers;
 };
 
-enum class ReportStatus {
+enum class HeartbeatReplyStatus {
   Answered,    ///< by the leader or in its place
   NotLeading,  ///< the worker is to ask another controller
-  Late,        ///< a late copy of a report
+  Late,        ///< a late copy of a heartbeat
 };
-struct ReportReply {
-  ReportStatus status = ReportStatus::NotLeading;
+struct HeartbeatReply {
+  HeartbeatReplyStatus status = HeartbeatReplyStatus::NotLeading;
   std::optional<size_t> leader;  ///< another controller that is thought to lead
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
   std::vector<Command> commands;
 };
 
@@ -70,15 +70,15 @@
   void served_by_state() { served_at_ = env_.now(); }
 
   /// The answer to a worker that asked this controller itself: also as the leader's delegate.
-  ReportReply answer_report(const WorkerReport& report);
+  HeartbeatReply answer_worker_heartbeat(const WorkerHeartbeat& heartbeat);
   /// The answer to a late copy, which nobody waits for.
-  ReportReply answer_copy(const WorkerReport& report);
+  HeartbeatReply answer_copy(const WorkerHeartbeat& heartbeat);
 
   // Answers to what the leader ordered. Dropped if it has ceased to lead since.
   void orders_done(uint64_t generation, const std::string& machine,
-                   const std::optional<WorkerReport>& report, bool executed);
+                   const std::optional<WorkerHeartbeat>& heartbeat, bool executed);
   void probed(uint64_t generation, const std::string& machine,
-              const std::optional<WorkerReport>& report);
+              const std::optional<WorkerHeartbeat>& heartbeat);
   void rent_done(uint64_t generation, const Rent& rent, const std::vector<std::string>& machines);
   void release_done(uint64_t generation, const Release& release, bool ok);
 
@@ -127,19 +127,19 @@
   void apply_written(const RecordWrite& write, uint64_t revision);
 
   // Heartbeats.
-  wire::Heartbeat own_heartbeat() const;
-  void send_heartbeats();
-  void send_heartbeat(size_t peer);
-  wire::Heartbeat answer_heartbeat(size_t from, const wire::Heartbeat& heartbeat);
-  void heartbeat_answered(size_t peer, const wire::Heartbeat& answer, Seconds asked_at);
-  void hear(const wire::Heartbeat& heartbeat);
+  wire::PeerHeartbeat own_peer_heartbeat() const;
+  void send_peer_heartbeats();
+  void send_peer_heartbeat(size_t peer);
+  wire::PeerHeartbeat answer_peer_heartbeat(size_t from, const wire::PeerHeartbeat& heartbeat);
+  void peer_heartbeat_answered(size_t peer, const wire::PeerHeartbeat& answer, Seconds asked_at);
+  void hear(const wire::PeerHeartbeat& heartbeat);
 
   // Reports.
-  std::optional<ReportReply> answer_as_delegate(const WorkerReport& report);
-  ReportReply answer_as_leader(const WorkerReport& report);
-  ReportReply redirect() const;
+  std::optional<HeartbeatReply> answer_as_delegate(const WorkerHeartbeat& heartbeat);
+  HeartbeatReply answer_as_leader(const WorkerHeartbeat& heartbeat);
+  HeartbeatReply redirect() const;
   /// Adds the answer to the digest of decisions.
-  ReportReply digested(const WorkerReport& report, ReportReply reply);
+  HeartbeatReply digested(const WorkerHeartbeat& heartbeat, HeartbeatReply reply);
 
   Environment& env_;
   ControllerLinks links_;
@@ -148,7 +148,7 @@
   RecordCopy records_;
   std::unique_ptr<LeaderElection> election_;
   std::unique_ptr<Scheduler> scheduler_;  ///< while this process leads
-  std::unique_ptr<Delegate> delegate_;
+  std::unique_ptr<DelegatedResponder> delegated_responder_;
   uint64_t generation_ = 0;
   std::map<size_t, uint64_t> peer_terms_;  ///< the terms that the others follow
   bool writing_ = false;                   ///< a transaction of the leader is under way
@@ -156,11 +156,11 @@
   bool reading_dependency_ = false;
   std::string dependency_read_;  ///< the last one: they are read in turn
   bool revoked_ = false;         ///< the lease of an earlier process on this host was revoked
-  Seconds next_read_ = 0, next_heartbeat_ = 0, served_at_ = 0;
+  Seconds next_read_ = 0, next_peer_heartbeat_ = 0, served_at_ = 0;
   std::optional<KnownLeader> known_leader_;
 };
 
-/// The term of the leader that gave out a token.
-uint64_t term_of_token(uint64_t token);
+/// The term of the leader that gave out a fencing token.
+uint64_t term_of_fencing_token(uint64_t fencing_token);
 
 }  // namespace sumacquay::simulation
--- a/tests/world/decision_digest.cpp
+++ b/tests/world/decision_digest.cpp
@@ -43,11 +43,11 @@
   if (const auto* orders = std::get_if<SendOrders>(&action)) {
     text(orders->machine);
     text(orders->addr);
-    text(wire::orders_body(orders->token, orders->session, orders->commands));
+    text(wire::orders_body(orders->fencing_token, orders->agent_epoch, orders->commands));
   } else if (const auto* probe = std::get_if<Probe>(&action)) {
     text(probe->machine);
     text(probe->addr);
-    text(wire::orders_body(probe->token, probe->session, {}));
+    text(wire::orders_body(probe->fencing_token, probe->agent_epoch, {}));
   } else if (const auto* rent = std::get_if<Rent>(&action)) {
     text(rent->request);
     text(rent->type);
@@ -73,13 +73,13 @@
 }
 
 void DecisionDigest::add_worker_answer(Seconds now, size_t controller, const std::string& machine,
-                                       int status, int redirect, uint64_t token,
+                                       int status, int redirect, uint64_t fencing_token,
                                        const std::vector<Command>& commands) {
   begin(kWorkerAnswer, now, controller);
   text(machine);
   number(static_cast<uint64_t>(status));
   number(static_cast<uint64_t>(redirect));
-  text(wire::report_answer(token, commands));
+  text(wire::heartbeat_answer(fencing_token, commands));
 }
 
 void DecisionDigest::add_user_answer(Seconds now, const std::string& job, int state) {
--- a/tests/world/decision_digest.h
+++ b/tests/world/decision_digest.h
@@ -25,7 +25,8 @@
   void add(Seconds now, size_t controller, const RecordTransaction& transaction);
   /// `status`: the number of the kind of answer; `redirect`: the controller that it names, if any.
   void add_worker_answer(Seconds now, size_t controller, const std::string& machine, int status,
-                         int redirect, uint64_t token, const std::vector<Command>& commands);
+                         int redirect, uint64_t fencing_token,
+                         const std::vector<Command>& commands);
   /// `state`: as the user is told it, -1: no such job.
   void add_user_answer(Seconds now, const std::string& job, int state);
 
--- a/tests/world/faults.cpp
+++ b/tests/world/faults.cpp
@@ -50,8 +50,8 @@
   if (SimulatedMachine* known = env_.fleet.find(machine)) known->sick = true;
 }
 
-void Faults::late_reports(double share, Seconds span, CopyDelivery delivery) {
-  workers_.copy_reports(share, span, delivery);
+void Faults::late_heartbeats(double share, Seconds span, CopyDelivery delivery) {
+  workers_.copy_heartbeats(share, span, delivery);
 }
 
 void Faults::end_all() {
--- a/tests/world/faults.h
+++ b/tests/world/faults.h
@@ -50,10 +50,10 @@
   /// The machine fails all tasks from now on.
   void sicken(const std::string& machine);
   void lose_machine(const std::string& machine) { env_.fleet.remove(machine); }
-  /// Copies of a share of the reports arrive late.
-  void late_reports(double share, Seconds span, CopyDelivery delivery = CopyDelivery::Later);
-  /// Half of the reports are overtaken by orders, their answers and probes.
-  void slow_reports(Seconds span) { workers_.slow_reports(span); }
+  /// Copies of a share of the heartbeats arrive late.
+  void late_heartbeats(double share, Seconds span, CopyDelivery delivery = CopyDelivery::Later);
+  /// Half of the heartbeats are overtaken by orders, their answers and probes.
+  void slow_heartbeats(Seconds span) { workers_.slow_heartbeats(span); }
 
   /// Ends all of them. Machines that are lost or sick stay so.
   void end_all();
--- a/tests/world/machine.h
+++ b/tests/world/machine.h
@@ -16,7 +16,7 @@
   Fault hung;         ///< does nothing
   Fault cut;          ///< exchanges nothing with any controller
   Fault deaf;         ///< nothing reaches it
-  Fault mute;         ///< its reports reach nobody
+  Fault mute;         ///< its heartbeats reach nobody
   Fault orders_held;  ///< orders to it, or their answers, are held up
 };
 
@@ -27,8 +27,8 @@
   Seconds up_at = 0;
 
   size_t controller = 0;  ///< the one that it reports to
-  Seconds next_report = 0;
-  std::optional<Seconds> report_sent;  ///< of the report that waits for its answer
+  Seconds next_heartbeat = 0;
+  std::optional<Seconds> heartbeat_sent;  ///< of the heartbeat that waits for its answer
 
   bool up(Seconds now) const { return now >= up_at; }
 };
--- a/tests/world/options.cpp
+++ b/tests/world/options.cpp
@@ -19,7 +19,7 @@
 
 Settings controller_settings(const WorldOptions& options, size_t controller) {
   Settings settings;
-  settings.report_s = 1;
+  settings.heartbeat_period_s = 1;
   settings.lease_s = options.lease_s;
   settings.cancel_s = options.cancel_s;
   settings.list_lag_s = 2;
--- a/tests/world/options.h
+++ b/tests/world/options.h
@@ -3,7 +3,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "fleet/report.h"
+#include "fleet/worker_heartbeat.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/order_channel.cpp
+++ b/tests/world/order_channel.cpp
@@ -53,13 +53,13 @@
                                                const std::string& machine) {
   return [this, controller = sender.controller(), process = sender.weak_from_this(),
           generation = sender.generation(), machine, settled = std::make_shared<bool>(false)](
-             Seconds delay, const std::optional<WorkerReport>& report, bool executed) {
+             Seconds delay, const std::optional<WorkerHeartbeat>& heartbeat, bool executed) {
     env_.controllers.schedule_in(
         controller, process, delay,
-        [settled, machine, generation, report, executed](ControllerProcess& me) {
+        [settled, machine, generation, heartbeat, executed](ControllerProcess& me) {
           if (*settled) return;
           *settled = true;
-          me.orders_done(generation, machine, report, executed);
+          me.orders_done(generation, machine, heartbeat, executed);
         });
   };
 }
@@ -75,17 +75,18 @@
   if (!machine || !machine->up(now)) return;
   const Fault& hung = machine->faults.hung;
   if (hung.active(now)) return deliver(delivery, hung.end() - now);
-  const bool executed = orders.token >= machine->token && orders.session == machine->session;
+  const bool executed =
+      orders.fencing_token >= machine->fencing_token && orders.agent_epoch == machine->agent_epoch;
   const bool late = now - delivery.sent_at > kLateOrder;
   late_orders_ += late;
   if (executed) {
-    machine->token = orders.token;
+    machine->fencing_token = orders.fencing_token;
     late_orders_done_ += late;
     workers_.execute(*machine, orders.commands, delivery.sent_at);
   }
-  const WorkerReport report = machine->report();
+  const WorkerHeartbeat heartbeat = machine->heartbeat();
   if (!delivery.answer_lost && !machine->faults.deaf.active(now))
-    delivery.answer(env_.random.between(kTravelLeast, kTravelMost), report, executed);
+    delivery.answer(env_.random.between(kTravelLeast, kTravelMost), heartbeat, executed);
 }
 
 void OrderChannel::send(ControllerProcess& sender, const Probe& probe) {
@@ -93,18 +94,18 @@
   SimulatedMachine* machine = env_.fleet.find(probe.machine);
   const bool reached = reaches(sender.controller(), machine);
   if (!reached || random.chance(0.05)) arrive_late(probe);
-  std::optional<WorkerReport> report;
+  std::optional<WorkerHeartbeat> heartbeat;
   if (reached) {
-    if (probe.session == machine->session) machine->raise_token(probe.token);
-    report = machine->report();
+    if (probe.agent_epoch == machine->agent_epoch)
+      machine->advance_fencing_token(probe.fencing_token);
+    heartbeat = machine->heartbeat();
   }
   const Seconds answered_in = reached ? random.between(kTravelLeast, kTravelMost)
                                       : env_.options.lease_s * kProbeDeadlineShare;
   env_.controllers.schedule_in(
       sender.controller(), sender.weak_from_this(), answered_in,
-      [machine = probe.machine, report, generation = sender.generation()](ControllerProcess& me) {
-        me.probed(generation, machine, report);
-      });
+      [machine = probe.machine, heartbeat, generation = sender.generation()](
+          ControllerProcess& me) { me.probed(generation, machine, heartbeat); });
 }
 
 bool OrderChannel::reaches(size_t controller, const SimulatedMachine* machine) {
@@ -120,7 +121,8 @@
 void OrderChannel::arrive_late(const Probe& probe) {
   env_.loop.schedule(env_.random.between(kHeldUpLeast, kHeldUpMost), [this, probe] {
     SimulatedMachine* machine = env_.fleet.find(probe.machine);
-    if (machine && machine->session == probe.session) machine->raise_token(probe.token);
+    if (machine && machine->agent_epoch == probe.agent_epoch)
+      machine->advance_fencing_token(probe.fencing_token);
   });
 }
 
--- a/tests/world/order_channel.h
+++ b/tests/world/order_channel.h
@@ -22,7 +22,7 @@
 
  private:
   using Answer =
-      std::function<void(Seconds delay, std::optional<WorkerReport> report, bool executed)>;
+      std::function<void(Seconds delay, std::optional<WorkerHeartbeat> heartbeat, bool executed)>;
   /// Orders on their way to a machine.
   struct Delivery {
     SendOrders orders;
--- a/tests/world/random_faults.cpp
+++ b/tests/world/random_faults.cpp
@@ -61,7 +61,7 @@
 void RandomFaults::disturb_network_and_cloud() {
   if (chance(0.0006)) {
     const auto delivery = chance(0.5) ? CopyDelivery::ToNextLeaderOnce : CopyDelivery::Later;
-    faults_.late_reports(0.3, between(2, 20), delivery);
+    faults_.late_heartbeats(0.3, between(2, 20), delivery);
   }
   if (chance(0.0005)) {
     const Seconds span = between(5, 40);
--- a/tests/world/workers.cpp
+++ b/tests/world/workers.cpp
@@ -5,13 +5,13 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// How long a worker waits for the answer to a report.
-constexpr Seconds kReportTimeout = 4;
-constexpr Seconds kReportIntervalLeast = 0.75, kReportIntervalMost = 1.25;
+/// How long a worker waits for the answer to a heartbeat.
+constexpr Seconds kHeartbeatTimeout = 4;
+constexpr Seconds kHeartbeatIntervalMin = 0.75, kHeartbeatIntervalMax = 1.25;
 /// When a worker reports to the next controller after one did not answer.
 constexpr Seconds kNextControllerDelay = 1;
 /// When a worker reports at the latest after it was told a new token or another controller.
-constexpr Seconds kPromptReport = 0.5;
+constexpr Seconds kPromptHeartbeat = 0.5;
 constexpr double kCopiedByChance = 0.01;
 constexpr double kReplyLost = 0.01;
 }  // namespace
@@ -24,11 +24,12 @@
   const Seconds now = env_.now();
   if (!machine.up(now)) return;
   // A hung machine goes on within its lease at the latest: past it nothing of its tasks is left.
-  machine.expire_session(env_.options.lease_s, now);
+  machine.expire_agent_epoch(env_.options.lease_s, now);
   if (machine.faults.hung.active(now)) return;
   for (auto& [key, task] : machine.tasks) run_task(machine, key, task);
-  if (machine.report_sent && now - *machine.report_sent > kReportTimeout) turn_to_next(machine);
-  if (!machine.report_sent && now >= machine.next_report) send_report(machine);
+  if (machine.heartbeat_sent && now - *machine.heartbeat_sent > kHeartbeatTimeout)
+    turn_to_next(machine);
+  if (!machine.heartbeat_sent && now >= machine.next_heartbeat) send_heartbeat(machine);
 }
 
 // ---------------------------------------------------------------- tasks
@@ -84,13 +85,13 @@
 
 // ---------------------------------------------------------------- reports
 
-void Workers::send_report(SimulatedMachine& machine) {
+void Workers::send_heartbeat(SimulatedMachine& machine) {
   Random& random = env_.random;
   const Seconds now = env_.now();
-  machine.report_sent = now;
-  machine.next_report = now + random.between(kReportIntervalLeast, kReportIntervalMost);
-  const WorkerReport report = machine.report();
-  maybe_copy(report);
+  machine.heartbeat_sent = now;
+  machine.next_heartbeat = now + random.between(kHeartbeatIntervalMin, kHeartbeatIntervalMax);
+  const WorkerHeartbeat heartbeat = machine.heartbeat();
+  maybe_copy(heartbeat);
   if (machine.faults.mute.active(now)) return;  // no connection comes about
   const Seconds apart_until = env_.network.machine_apart_until(machine.controller, machine);
   Seconds delay = random.between(0.001, 0.05);
@@ -101,43 +102,46 @@
   if (slow_.active(now) && random.chance(0.5)) delay += random.between(0.2, 3.5);
   if (!env_.controllers[machine.controller].process) return turn_to_next(machine);
   env_.controllers.schedule_at(machine.controller, delay,
-                               [this, report, sent_at = now](ControllerProcess& process) {
-                                 answer(process, report, sent_at);
+                               [this, heartbeat, sent_at = now](ControllerProcess& process) {
+                                 answer(process, heartbeat, sent_at);
                                });
 }
 
-void Workers::answer(ControllerProcess& process, const WorkerReport& report, Seconds sent_at) {
-  const ReportReply reply = process.answer_report(report);
-  const SimulatedMachine* machine = env_.fleet.find(report.machine);
+void Workers::answer(ControllerProcess& process, const WorkerHeartbeat& heartbeat,
+                     Seconds sent_at) {
+  const HeartbeatReply reply = process.answer_worker_heartbeat(heartbeat);
+  const SimulatedMachine* machine = env_.fleet.find(heartbeat.machine);
   if (!machine || env_.random.chance(kReplyLost)) return;
   const size_t controller = process.controller();
   if (env_.now() < env_.network.machine_apart_until(controller, *machine)) return;
   const Seconds longest = env_.random.chance(0.03) ? 3.9 : 0.05;
   env_.loop.schedule(env_.random.between(0.001, longest),
-                     [this, delivery = ReplyDelivery{controller, report, reply, sent_at,
+                     [this, delivery = ReplyDelivery{controller, heartbeat, reply, sent_at,
                                                      env_.now()}] { hear_reply(delivery); });
 }
 
 void Workers::hear_reply(const ReplyDelivery& delivery) {
   const Seconds now = env_.now();
-  SimulatedMachine* machine = env_.fleet.find(delivery.report.machine);
+  SimulatedMachine* machine = env_.fleet.find(delivery.heartbeat.machine);
   if (!machine || machine->faults.deaf.active(now)) return;
-  if (machine->report_sent != delivery.sent_at) return;
+  if (machine->heartbeat_sent != delivery.sent_at) return;
   const Fault& hung = machine->faults.hung;
   if (hung.active(now)) {
-    if (hung.end() - delivery.sent_at < kReportTimeout)
+    if (hung.end() - delivery.sent_at < kHeartbeatTimeout)
       env_.loop.schedule(hung.end() - now + 0.001, [this, delivery] { hear_reply(delivery); });
     return;
   }
-  if (now - delivery.sent_at > kReportTimeout) return;
-  const ReportReply& reply = delivery.reply;
-  if (reply.status != ReportStatus::Answered) return turn_to(*machine, delivery);
-  machine->report_sent.reset();
-  if (machine->session != delivery.report.session || reply.token < machine->token) return;
-  machine->answered_report = delivery.sent_at;
-  if (reply.token > machine->token)
-    machine->next_report = std::min(machine->next_report, now + kPromptReport);
-  machine->token = reply.token;
+  if (now - delivery.sent_at > kHeartbeatTimeout) return;
+  const HeartbeatReply& reply = delivery.reply;
+  if (reply.status != HeartbeatReplyStatus::Answered) return turn_to(*machine, delivery);
+  machine->heartbeat_sent.reset();
+  if (machine->agent_epoch != delivery.heartbeat.agent_epoch ||
+      reply.fencing_token < machine->fencing_token)
+    return;
+  machine->answered_heartbeat = delivery.sent_at;
+  if (reply.fencing_token > machine->fencing_token)
+    machine->next_heartbeat = std::min(machine->next_heartbeat, now + kPromptHeartbeat);
+  machine->fencing_token = reply.fencing_token;
   execute(*machine, reply.commands, delivery.replied_at);
 }
 
@@ -145,30 +149,30 @@
 void Workers::turn_to(SimulatedMachine& machine, const ReplyDelivery& delivery) {
   const auto& named = delivery.reply.leader;
   if (!named || *named == delivery.controller) return turn_to_next(machine);
-  machine.report_sent.reset();
+  machine.heartbeat_sent.reset();
   machine.controller = *named;
-  machine.next_report = env_.now() + env_.random.between(0, kPromptReport);
+  machine.next_heartbeat = env_.now() + env_.random.between(0, kPromptHeartbeat);
 }
 
 void Workers::turn_to_next(SimulatedMachine& machine) {
-  machine.report_sent.reset();
+  machine.heartbeat_sent.reset();
   machine.controller = (machine.controller + 1) % env_.controllers.size();
-  machine.next_report = env_.now() + kNextControllerDelay;
+  machine.next_heartbeat = env_.now() + kNextControllerDelay;
 }
 
-// ---------------------------------------------------------------- late copies of reports
+// ---------------------------------------------------------------- late copies of heartbeats
 
-void Workers::copy_reports(double share, Seconds span, CopyDelivery delivery) {
+void Workers::copy_heartbeats(double share, Seconds span, CopyDelivery delivery) {
   copy_share_ = share;
   copying_.last_until(env_.now() + span);
   copy_delivery_ = delivery;
 }
 
-void Workers::maybe_copy(const WorkerReport& report) {
+void Workers::maybe_copy(const WorkerHeartbeat& heartbeat) {
   Random& random = env_.random;
   const bool copying = copying_.active(env_.now());
   if (!random.chance(kCopiedByChance) && !(copying && random.chance(copy_share_))) return;
-  const ReportCopy copy{report, env_.checker.highest_term()};
+  const HeartbeatCopy copy{heartbeat, env_.checker.highest_term()};
   if (copying && copy_delivery_ == CopyDelivery::ToNextLeaderOnce)
     return kept_copies_.push_back(copy);
   env_.loop.schedule(random.between(2, 2.5 * env_.options.lease_s),
@@ -180,17 +184,17 @@
   kept_copies_.clear();
 }
 
-void Workers::send_copy(const ReportCopy& copy) {
+void Workers::send_copy(const HeartbeatCopy& copy) {
   for (size_t controller = 0; controller < env_.controllers.size(); ++controller)
     env_.controllers.schedule_at(
         controller, env_.random.between(0.001, 0.1),
         [this, copy](ControllerProcess& process) { hear_copy(process, copy); });
 }
 
-void Workers::hear_copy(ControllerProcess& process, const ReportCopy& copy) {
+void Workers::hear_copy(ControllerProcess& process, const HeartbeatCopy& copy) {
   ++copies_heard_;
   if (process.may_answer() && process.term() > copy.term_at_sending) ++copies_heard_by_new_leader_;
-  process.answer_copy(copy.report);
+  process.answer_copy(copy.heartbeat);
 }
 
 void Workers::end_faults() {
--- a/tests/world/workers.h
+++ b/tests/world/workers.h
@@ -7,7 +7,7 @@
 
 namespace sumacquay::simulation {
 
-/// What becomes of the late copies of reports.
+/// What becomes of the late copies of heartbeats.
 enum class CopyDelivery {
   Later,             ///< they come to all controllers some time later
   ToNextLeaderOnce,  ///< they are kept until a new leader begins
@@ -21,13 +21,13 @@
   void step();
   /// Carries commands out; `ordered_at`: when the controller gave them.
   void execute(SimulatedMachine& machine, const std::vector<Command>& commands, Seconds ordered_at);
-  /// A leader has begun: the reports kept for it arrive.
+  /// A leader has begun: the heartbeats kept for it arrive.
   void send_kept_copies();
   void answered_by_delegate() { ++delegated_; }
 
-  void copy_reports(double share, Seconds span, CopyDelivery delivery);
-  /// Half of the reports are overtaken by orders, their answers and probes.
-  void slow_reports(Seconds span) { slow_.last_until(env_.now() + span); }
+  void copy_heartbeats(double share, Seconds span, CopyDelivery delivery);
+  /// Half of the heartbeats are overtaken by orders, their answers and probes.
+  void slow_heartbeats(Seconds span) { slow_.last_until(env_.now() + span); }
   void end_faults();
 
   size_t delegated() const { return delegated_; }
@@ -36,16 +36,16 @@
   size_t copies_heard_by_new_leader() const { return copies_heard_by_new_leader_; }
 
  private:
-  struct ReportCopy {
-    WorkerReport report;
+  struct HeartbeatCopy {
+    WorkerHeartbeat heartbeat;
     uint64_t term_at_sending = 0;
   };
   /// An answer on its way to a worker.
   struct ReplyDelivery {
     size_t controller = 0;
-    WorkerReport report;
-    ReportReply reply;
-    Seconds sent_at = 0;     ///< of the report
+    WorkerHeartbeat heartbeat;
+    HeartbeatReply reply;
+    Seconds sent_at = 0;     ///< of the heartbeat
     Seconds replied_at = 0;  ///< of the answer
   };
 
@@ -53,11 +53,11 @@
   void run_task(SimulatedMachine& machine, const TaskKey& key, MachineTask& task);
   void finish_task(const TaskKey& key, MachineTask& task);
   void start_task(SimulatedMachine& machine, const Command& command, Seconds ordered_at);
-  void send_report(SimulatedMachine& machine);
-  void maybe_copy(const WorkerReport& report);
-  void send_copy(const ReportCopy& copy);
-  void hear_copy(ControllerProcess& process, const ReportCopy& copy);
-  void answer(ControllerProcess& process, const WorkerReport& report, Seconds sent_at);
+  void send_heartbeat(SimulatedMachine& machine);
+  void maybe_copy(const WorkerHeartbeat& heartbeat);
+  void send_copy(const HeartbeatCopy& copy);
+  void hear_copy(ControllerProcess& process, const HeartbeatCopy& copy);
+  void answer(ControllerProcess& process, const WorkerHeartbeat& heartbeat, Seconds sent_at);
   void hear_reply(const ReplyDelivery& delivery);
   void turn_to(SimulatedMachine& machine, const ReplyDelivery& delivery);
   void turn_to_next(SimulatedMachine& machine);
@@ -66,7 +66,7 @@
   Fault copying_, slow_;
   double copy_share_ = 0;
   CopyDelivery copy_delivery_ = CopyDelivery::Later;
-  std::vector<ReportCopy> kept_copies_;
+  std::vector<HeartbeatCopy> kept_copies_;
   size_t delegated_ = 0, copies_heard_ = 0, copies_heard_by_new_leader_ = 0;
 };
 
