--- a/src/backlog/dispatch_backlog.h
+++ b/src/backlog/dispatch_backlog.h
@@ -8,7 +8,7 @@
 /// judges anew what may be sent or written, and each round looks at everything and puts in what was
 /// missed. So a name too many costs a look, and one too few a round's pause.
 struct DispatchBacklog {
-  PendingQueue orders;           ///< machines that may have commands to be sent
+  PendingQueue worker_commands;  ///< machines that may have commands to be sent
   PendingQueue machine_records;  ///< machines whose records are to be written
   PendingQueue job_records;      ///< jobs whose records are to be written, by urgency
 };
--- a/src/config/socket_budget.cpp
+++ b/src/config/socket_budget.cpp
@@ -7,8 +7,8 @@
 namespace sumacquay {
 namespace {
 
-/// The part of all sockets that orders to workers may keep.
-constexpr double kOrderShare = 0.2;
+/// The part of all sockets that commands to workers may keep.
+constexpr double kCommandShare = 0.2;
 /// The part of the served connections that is left for those that come and go.
 constexpr double kTurnoverShare = 0.1;
 /// The part of the connections that only tells peers to come back.
@@ -19,7 +19,7 @@
 
 /// A handful of workers, and orders to some of them at once.
 constexpr size_t kFewestServed = 16;
-constexpr size_t kFewestOrders = 4;
+constexpr size_t kMinCommandConnections = 4;
 constexpr size_t kFewestTurnover = 4;
 constexpr size_t kFewestRefusals = 2;
 
@@ -44,10 +44,10 @@
   return static_cast<size_t>(settings.max_sockets);
 }
 
-/// What is left beside the fixed sockets and the orders, and no more than the operators' share.
+/// What is left beside the fixed sockets and the commands, and no more than the operators' share.
 size_t sockets_to_serve(const Settings& settings, const SocketBudget& budget) {
   const size_t sockets = all_sockets(settings);
-  const size_t left = remaining(sockets, budget.fixed + budget.orders);
+  const size_t left = remaining(sockets, budget.fixed + budget.worker_commands);
   return std::min(left, share_of(sockets, settings.tuning.sockets, kFewestServed));
 }
 
@@ -56,7 +56,7 @@
 SocketBudget socket_budget(const Settings& settings) {
   SocketBudget budget;
   budget.fixed = fixed_for(settings.peers.size());
-  budget.orders = share_of(all_sockets(settings), kOrderShare, kFewestOrders);
+  budget.worker_commands = share_of(all_sockets(settings), kCommandShare, kMinCommandConnections);
   budget.served_and_refused = sockets_to_serve(settings, budget);
   budget.refusals = share_of(budget.served_and_refused, kRefusalShare, kFewestRefusals);
   const size_t served = remaining(budget.served_and_refused, budget.refusals);
@@ -71,8 +71,9 @@
   refuse_setting(source, kField,
                  "too few: " + std::to_string(settings.peers.size()) +
                      " peers, the state service and the cloud take " +
-                     std::to_string(budget.fixed) + " and orders " + std::to_string(budget.orders) +
-                     ", which leaves less than " + std::to_string(kFewestServed) + " for workers");
+                     std::to_string(budget.fixed) + " and orders " +
+                     std::to_string(budget.worker_commands) + ", which leaves less than " +
+                     std::to_string(kFewestServed) + " for workers");
 }
 
 std::optional<std::string> cost_of_few_sockets(const Settings& settings) {
--- a/src/config/socket_budget.h
+++ b/src/config/socket_budget.h
@@ -30,7 +30,7 @@
   size_t refusals = 0;            ///< of these, for those that are only refused
   size_t kept_open = 0;           ///< of these, between requests
   size_t users_in_progress = 0;   ///< users' requests that are being handled
-  size_t orders = 0;              ///< connections to workers
+  size_t worker_commands = 0;     ///< connections to workers
 };
 
 /// Shares out `settings.max_sockets`.
--- a/src/dispatch/actions.h
+++ b/src/dispatch/actions.h
@@ -9,7 +9,7 @@
 namespace sumacquay {
 
 /// Commands for a worker. Refused there if the fencing token or the agent epoch is not the newest.
-struct SendOrders {
+struct SendCommands {
   std::string machine, addr;
   uint64_t fencing_token = 0, agent_epoch = 0;
   std::vector<Command> commands;
@@ -34,6 +34,6 @@
   std::vector<std::string> machines;
 };
 /// What the node is to do. It reports the outcome of each action back to the leader's scheduler.
-using Action = std::variant<SendOrders, Probe, Rent, Release>;
+using Action = std::variant<SendCommands, Probe, Rent, Release>;
 
 }  // namespace sumacquay
--- a/src/dispatch/backlog.cpp
+++ b/src/dispatch/backlog.cpp
@@ -4,18 +4,20 @@
 
 namespace sumacquay {
 
-void Scheduler::note_orders(const Machine& m) {
-  backlog_.orders.put(m.info.id);
+void Scheduler::enqueue_commands(const Machine& machine) {
+  backlog_.worker_commands.put(machine.info.id);
 }
 
 /// The job's tasks may be started now wherever they were placed.
-void Scheduler::note_orders_of(const Job& job) {
-  for (const auto& [task, places] : job.placements)
-    for (const auto& [machine, attempt] : places) backlog_.orders.put(machine);
+void Scheduler::enqueue_commands_of(const Job& job) {
+  for (const auto& [task, places] : job.possible_placements)
+    for (const auto& [machine_id, attempt_number] : places)
+      backlog_.worker_commands.put(machine_id);
 }
 
-void Scheduler::note_machine_record(const Machine& m) {
-  if (prompt() && m.record == Machine::Record::Wanted) backlog_.machine_records.put(m.info.id);
+void Scheduler::note_machine_record(const Machine& machine) {
+  if (prompt() && machine.record == Machine::Record::Wanted)
+    backlog_.machine_records.put(machine.info.id);
 }
 
 void Scheduler::note_job_record(const Job& job, Seconds now) {
@@ -27,10 +29,10 @@
 
 /// With each round: whatever came up without a note, by the passing of time above all.
 void Scheduler::fill_backlog(Seconds now) {
-  for (const auto& [id, m] : machines_)
-    if (has_orders(m)) note_orders(m);
+  for (const auto& [id, machine] : machines_)
+    if (has_commands(machine)) enqueue_commands(machine);
   if (!prompt()) return;
-  for (const auto& [id, m] : machines_) note_machine_record(m);
+  for (const auto& [id, machine] : machines_) note_machine_record(machine);
   for (const auto& [id, job] : jobs_) note_job_record(job, now);
 }
 
@@ -38,7 +40,7 @@
   std::vector<Action> out;
   if (!prompt()) return out;
   record_progress(now);
-  order_starts(now, out);
+  dispatch_starts(now, out);
   return out;
 }
 
--- a/src/dispatch/commands.cpp
+++ b/src/dispatch/commands.cpp
@@ -1,4 +1,4 @@
-// What workers are told, in answers to their heartbeats and in orders.
+// What workers are told, in answers to their heartbeats and in commands.
 #include <algorithm>
 
 #include "dispatch/scheduler.h"
@@ -11,31 +11,35 @@
 
 }  // namespace
 
-bool Scheduler::startable(const Machine& m, const RunKey& key, const Run& run) const {
-  if (!run.wanted || run.phase != Run::Phase::Ordered || m.record != Machine::Record::Durable)
+bool Scheduler::startable(const Machine& machine, const TaskAttemptId& key,
+                          const TaskAttempt& attempt) const {
+  if (!attempt.desired_running || attempt.state != TaskAttemptState::Scheduled ||
+      machine.record != Machine::Record::Durable)
     return false;
   const Job* job = find_job(key.task.job);
-  return job && job->runnable() && job->next_leader_knows(m.info.id);
+  return job && job->runnable() && job->next_leader_knows(machine.info.id);
 }
 
 /// Stops come first and are never cut: they take no more than their tasks did in the heartbeat.
-std::vector<Command> Scheduler::commands_for(Machine& m, bool forget) {
+std::vector<Command> Scheduler::commands_for(Machine& machine, bool forget) {
   std::vector<Command> out;
-  for (auto& [key, run] : m.runs) {
-    if (run.wanted || !run.present() || run.phase == Run::Phase::Ordered) continue;
+  for (auto& [key, attempt] : machine.attempts) {
+    if (attempt.desired_running || !attempt.possibly_present() ||
+        attempt.state == TaskAttemptState::Scheduled)
+      continue;
     const Job* job = find_job(key.task.job);
-    const bool save = run.graceful && job && job->spec().saves();
-    if (save && run.phase == Run::Phase::Saving) continue;
+    const bool save = attempt.graceful && job && job->spec().saves();
+    if (save && attempt.state == TaskAttemptState::Checkpointing) continue;
     out.push_back({Verb::Stop, key.task, key.attempt, save ? job->spec().save_s * 1.5 + 1 : 0});
   }
-  for (auto& [key, run] : m.runs) {
+  for (auto& [key, attempt] : machine.attempts) {
     if (out.size() >= kMostCommands) break;
-    if (startable(m, key, run)) {
-      run.sent = true;
+    if (startable(machine, key, attempt)) {
+      attempt.start_sent = true;
       out.push_back({Verb::Start, key.task, key.attempt, 0});
-    } else if (run.phase == Run::Phase::Exited) {
+    } else if (attempt.state == TaskAttemptState::Exited) {
       const Job* job = find_job(key.task.job);
-      const bool durable = run.cause != ExitCause::Done || !job ||
+      const bool durable = attempt.cause != ExitCause::Done || !job ||
                            job->spec().kind == JobKind::Service ||
                            job->stored.done.contains(key.task.task);
       if (forget && durable) out.push_back({Verb::Forget, key.task, key.attempt, 0});
@@ -49,32 +53,39 @@
   return !job || job->stored.state != JobState::Pending;
 }
 
-/// Whether there is something to tell the machine that no order has told it yet.
-bool Scheduler::has_orders(const Machine& m) const {
-  return std::any_of(m.runs.begin(), m.runs.end(), [this, &m](const auto& r) {
-    const auto& [key, run] = r;
-    if (run.wanted) return !run.sent && startable(m, key, run);
-    return run.present() && run.phase != Run::Phase::Ordered && !run.stop_sent;
-  });
+/// Whether there is something to tell the machine that no command has told it yet.
+bool Scheduler::has_commands(const Machine& machine) const {
+  return std::any_of(machine.attempts.begin(), machine.attempts.end(),
+                     [this, &machine](const auto& r) {
+                       const auto& [key, attempt] = r;
+                       if (attempt.desired_running)
+                         return !attempt.start_sent && startable(machine, key, attempt);
+                       return attempt.possibly_present() &&
+                              attempt.state != TaskAttemptState::Scheduled && !attempt.stop_sent;
+                     });
 }
 
-void Scheduler::order_starts_of(const std::string& id, Machine& m, Seconds now,
-                                std::vector<Action>& out) {
+void Scheduler::dispatch_starts_to(const std::string& id, Machine& machine, Seconds now,
+                                   std::vector<Action>& out) {
   ++work_.dispatch_checks;
-  if (m.stage != Machine::Stage::Up || m.order_in_flight || now < m.next_order) return;
-  if (m.info.addr.empty() || !m.fencing_token_acknowledged || !has_orders(m)) return;
-  SendOrders order{id, m.info.addr, fencing_token(m), std::max<uint64_t>(m.latest.agent_epoch, 1),
-                   commands_for(m, false)};
-  for (auto& [key, run] : m.runs)
-    if (!run.wanted && run.present()) run.stop_sent = true;
-  m.order_in_flight = true;
-  out.emplace_back(std::move(order));
+  if (machine.stage != Machine::Stage::Up || machine.commands_in_flight ||
+      now < machine.next_commands_at)
+    return;
+  if (machine.info.addr.empty() || !machine.fencing_token_acknowledged || !has_commands(machine))
+    return;
+  SendCommands batch{id, machine.info.addr, fencing_token(machine),
+                     std::max<uint64_t>(machine.latest.agent_epoch, 1),
+                     commands_for(machine, false)};
+  for (auto& [key, attempt] : machine.attempts)
+    if (!attempt.desired_running && attempt.possibly_present()) attempt.stop_sent = true;
+  machine.commands_in_flight = true;
+  out.emplace_back(std::move(batch));
 }
 
-void Scheduler::order_starts(Seconds now, std::vector<Action>& out) {
-  while (const auto id = backlog_.orders.pop()) {
-    const auto m = machines_.find(*id);
-    if (m != machines_.end()) order_starts_of(*id, m->second, now, out);
+void Scheduler::dispatch_starts(Seconds now, std::vector<Action>& out) {
+  while (const auto id = backlog_.worker_commands.pop()) {
+    const auto machine = machines_.find(*id);
+    if (machine != machines_.end()) dispatch_starts_to(*id, machine->second, now, out);
   }
 }
 
--- a/src/dispatch/dependents.cpp
+++ b/src/dispatch/dependents.cpp
@@ -12,7 +12,7 @@
 
 /// A job that is over stays among the live ones until nothing of it is left anywhere, and the graph
 /// keeps it only for those that it knows to depend on it.
-void Scheduler::note_dependencies(const JobRecord& record) {
+void Scheduler::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies)
     if (const Job* dependency = find_job(id)) dependencies_.update(dependency->stored);
--- a/src/dispatch/failures.cpp
+++ b/src/dispatch/failures.cpp
@@ -30,18 +30,18 @@
 
 /// One job that fails on several machines is at fault itself; several jobs that fail on one machine
 /// put the blame on the machine.
-void Scheduler::count_failure(Machine& m, Job& job, Seconds now) {
+void Scheduler::count_failure(Machine& machine, Job& job, Seconds now) {
   if (job.failed_on.size() >= kMostMachinesAvoided) job.failed_on.clear();
-  job.failed_on.insert(m.info.id);
+  job.failed_on.insert(machine.info.id);
   const bool was_at_fault = at_fault(job);
-  job.failed_since_success.insert(m.info.id);
+  job.failed_since_success.insert(machine.info.id);
   if (!at_fault(job)) {
-    blame(m, job, now);
+    blame(machine, job, now);
     return;
   }
   if (!was_at_fault) {
-    if (runs_well(job, now)) {
-      blame(m, job, now);
+    if (runs_steadily(job, now)) {
+      blame(machine, job, now);
       count_success(job, now);
       return;
     }
@@ -60,50 +60,53 @@
   if (job.failed_since_success.empty()) return;
   const bool blame_was_withdrawn = at_fault(job);
   for (const auto& id : std::exchange(job.failed_since_success, {})) {
-    const auto m = machines_.find(id);
-    if (m == machines_.end()) continue;
-    if (blame_was_withdrawn) blame(m->second, job, now);
-    if (m->second.error_jobs.contains(job.spec().id)) m->second.others_succeed = true;
+    const auto machine = machines_.find(id);
+    if (machine == machines_.end()) continue;
+    if (blame_was_withdrawn) blame(machine->second, job, now);
+    if (machine->second.error_jobs.contains(job.spec().id)) machine->second.others_succeed = true;
   }
   job.trials_failed = 0;
   job.retry_at = std::min(job.retry_at, now + settings_.heartbeat_period_s);
 }
 
-void Scheduler::blame(Machine& m, const Job& job, Seconds now) {
-  m.error_jobs.insert(job.spec().id);
-  if (m.error_jobs.size() < kJobsThatShowSickness || m.sick()) return;
-  m.sick_since = now;
-  spdlog::info("{} fails what it starts: drained", m.info.id);
+void Scheduler::blame(Machine& machine, const Job& job, Seconds now) {
+  machine.error_jobs.insert(job.spec().id);
+  if (machine.error_jobs.size() < kJobsThatShowSickness || machine.sick()) return;
+  machine.sick_since = now;
+  spdlog::info("{} fails what it starts: drained", machine.info.id);
 }
 
 void Scheduler::withdraw_blame(const Job& job) {
   for (const auto& id : job.failed_since_success) {
-    const auto m = machines_.find(id);
-    if (m == machines_.end()) continue;
-    m->second.error_jobs.erase(job.spec().id);
-    if (m->second.error_jobs.size() >= kJobsThatShowSickness || !m->second.sick()) continue;
-    m->second.sick_since.reset();
+    const auto machine = machines_.find(id);
+    if (machine == machines_.end()) continue;
+    machine->second.error_jobs.erase(job.spec().id);
+    if (machine->second.error_jobs.size() >= kJobsThatShowSickness || !machine->second.sick())
+      continue;
+    machine->second.sick_since.reset();
     spdlog::info("{} is used again: the jobs that failed there fail everywhere", id);
   }
 }
 
 /// Whether a task of the job has run for a while: replicas never end by themselves.
-bool Scheduler::runs_well(const Job& job, Seconds now) const {
-  for (const auto& [task, places] : job.placements)
-    for (const auto& [machine, attempt] : places) {
-      const auto m = machines_.find(machine);
-      if (m == machines_.end()) continue;
-      const auto run = m->second.runs.find({{job.spec().id, task}, attempt});
-      if (run == m->second.runs.end() || run->second.phase != Run::Phase::Running) continue;
-      if (now - run->second.running_since.value_or(now) > settings_.lease_s) return true;
+bool Scheduler::runs_steadily(const Job& job, Seconds now) const {
+  for (const auto& [task, places] : job.possible_placements)
+    for (const auto& [machine_id, attempt_number] : places) {
+      const auto machine = machines_.find(machine_id);
+      if (machine == machines_.end()) continue;
+      const auto attempt = machine->second.attempts.find({{job.spec().id, task}, attempt_number});
+      if (attempt == machine->second.attempts.end() ||
+          attempt->second.state != TaskAttemptState::Running)
+        continue;
+      if (now - attempt->second.running_since.value_or(now) > settings_.lease_s) return true;
     }
   return false;
 }
 
 /// Jobs that fail everywhere show it on other machines after a while, and then the blame is taken
 /// back.
-bool Scheduler::sick_for_certain(const Machine& m, Seconds now) const {
-  return m.others_succeed || now - *m.sick_since > kSicknessShown * settings_.lease_s;
+bool Scheduler::sick_for_certain(const Machine& machine, Seconds now) const {
+  return machine.others_succeed || now - *machine.sick_since > kSicknessShown * settings_.lease_s;
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/fleet_summary.cpp
+++ b/src/dispatch/fleet_summary.cpp
@@ -17,17 +17,18 @@
     Amounts fetching;
     Amounts used;
     Amounts room;
-    for (const auto& [id, m] : machines_) {
-      if (m.info.type != t.name) continue;
-      if (m.stage == Machine::Stage::Booting) ++booting;
-      if (m.stage == Machine::Stage::Returning || m.stage == Machine::Stage::Expired) ++leaving;
-      if (m.stage != Machine::Stage::Up) continue;
+    for (const auto& [id, machine] : machines_) {
+      if (machine.info.type != t.name) continue;
+      if (machine.stage == Machine::Stage::Booting) ++booting;
+      if (machine.stage == Machine::Stage::Returning || machine.stage == Machine::Stage::Expired)
+        ++leaving;
+      if (machine.stage != Machine::Stage::Up) continue;
       ++up;
-      if (!m.has_presence()) ++idle;
+      if (!machine.has_possible_attempts()) ++idle;
       room += t.room;
-      for (const auto& [key, run] : m.runs) {
-        if (!run.present()) continue;
-        (run.phase == Run::Phase::Running ? used : fetching) += run.need;
+      for (const auto& [key, attempt] : machine.attempts) {
+        if (!attempt.possibly_present()) continue;
+        (attempt.state == TaskAttemptState::Running ? used : fetching) += attempt.need;
       }
     }
     spdlog::info(
--- a/src/dispatch/job_state.h
+++ b/src/dispatch/job_state.h
@@ -21,19 +21,20 @@
 
 /// A job as the leader sees it: its record, what is to be written of it, and where its tasks are.
 struct Job {
-  JobRecord stored;           ///< what the state service holds
-  wire::RecordRoom room;      ///< what the record may hold beside the job's description
-  uint64_t version = 0;       ///< of the stored record; guards the next write
-  bool writing = false;       ///< a write of the record is under way
-  bool want_started = false;  ///< tasks were placed: the record must say so before they start
-  bool want_hosts = false;    ///< placed where its record does not say that it may be
+  JobRecord stored;       ///< what the state service holds
+  wire::RecordRoom room;  ///< what the record may hold beside the job's description
+  uint64_t version = 0;   ///< of the stored record; guards the next write
+  bool writing = false;   ///< a write of the record is under way
+  bool start_record_requested =
+      false;  ///< tasks were placed: the record must say so before they start
+  bool hosts_record_requested = false;  ///< placed where its record does not say that it may be
   /// What every write of this version of the record leaves of its hosts. One without an answer may
   /// be applied minutes later, and what was started on a host that it drops would be forgotten.
-  std::optional<std::vector<std::string>> hosts_of_all_writes;
+  std::optional<std::vector<std::string>> hosts_in_all_writes;
   Ranges done;                            ///< at least stored.done
   std::optional<Seconds> progress_since;  ///< when `done` came to hold numbers that aren't stored
   /// Where each task is or may be; doubt counts as presence.
-  std::map<uint32_t, std::set<TaskPlacement>> placements;
+  std::map<uint32_t, std::set<TaskPlacement>> possible_placements;
   /// Its own, or the highest of those that depend on it.
   Priority priority = Priority::Low;
   bool counted_as_arrival = false;  ///< by the forecast: once it is ready
@@ -48,8 +49,8 @@
   /// Whether the next leader will know that a task may be on the machine.
   bool next_leader_knows(const std::string& machine) const {
     return stored.may_be_on(machine) &&
-           (!hosts_of_all_writes ||
-            std::binary_search(hosts_of_all_writes->begin(), hosts_of_all_writes->end(), machine));
+           (!hosts_in_all_writes ||
+            std::binary_search(hosts_in_all_writes->begin(), hosts_in_all_writes->end(), machine));
   }
   /// Whether all tasks are done, stored or not.
   bool complete() const { return done.count() == stored.spec.tasks; }
--- a/src/dispatch/machine_lifecycle.cpp
+++ b/src/dispatch/machine_lifecycle.cpp
@@ -28,10 +28,10 @@
 
 }  // namespace
 
-void Scheduler::set_stage(Machine& m, Machine::Stage next) {
-  if (m.stage == next) return;
-  spdlog::debug("{}: stage {} -> {}", m.info.id, name(m.stage), name(next));
-  m.stage = next;
+void Scheduler::set_stage(Machine& machine, Machine::Stage next) {
+  if (machine.stage == next) return;
+  spdlog::debug("{}: stage {} -> {}", machine.info.id, name(machine.stage), name(next));
+  machine.stage = next;
 }
 
 void Scheduler::listed(const std::vector<ListedMachine>& machines, Seconds now) {
@@ -43,17 +43,17 @@
       continue;
     }
     auto [it, added] = machines_.try_emplace(l.id);
-    Machine& m = it->second;
+    Machine& machine = it->second;
     if (added) {
-      m.info.id = l.id;
-      m.first_seen = now - l.age_s;
-      m.accounted = true;  // it has no record: no start was ever ordered there
+      machine.info.id = l.id;
+      machine.first_seen = now - l.age_s;
+      machine.accounted = true;  // it has no record: no start was ever ordered there
     }
-    m.info.type = l.type;
-    m.info.zone = l.zone;
-    m.info.spot = l.spot;
-    if (m.info.addr.empty()) m.info.addr = l.addr;
-    if (l.state == ListedMachine::State::Failed) m.listed_failed = true;
+    machine.info.type = l.type;
+    machine.info.zone = l.zone;
+    machine.info.spot = l.spot;
+    if (machine.info.addr.empty()) machine.info.addr = l.addr;
+    if (l.state == ListedMachine::State::Failed) machine.listed_failed = true;
   }
 }
 
@@ -65,65 +65,65 @@
   if (now - latest_heartbeat_ <= patience) return false;
   size_t up = 0;
   Seconds newest = failover_at_ + kFindLeader * settings_.lease_s;
-  for (const auto& [id, m] : machines_) {
-    if (m.stage != Machine::Stage::Up) continue;
+  for (const auto& [id, machine] : machines_) {
+    if (machine.stage != Machine::Stage::Up) continue;
     ++up;
-    newest = std::max(newest, m.last_heartbeat);
+    newest = std::max(newest, machine.last_heartbeat);
   }
   return up >= kTooManyForChance && now - newest > patience;
 }
 
 /// When the worker's lease has ended for certain, counted from the last answer that anybody could
 /// have given it.
-Seconds Scheduler::latest_lease_end(const Machine& m, Seconds now) const {
-  Seconds last = std::max(m.last_answered, delegations_.last_answer(m.info.zone, now));
-  if (m.earlier_leader_may_answer) last = std::max(last, previous_leader_fenced_at_);
+Seconds Scheduler::latest_lease_end(const Machine& machine, Seconds now) const {
+  Seconds last = std::max(machine.last_answered, delegations_.last_answer(machine.info.zone, now));
+  if (machine.earlier_leader_may_answer) last = std::max(last, previous_leader_fenced_at_);
   return last + settings_.lease_s * (1 + kDrift) + 0.1;
 }
 
 void Scheduler::expire(Seconds now) {
-  for (auto& [id, m] : machines_) {
+  for (auto& [id, machine] : machines_) {
     // One that was given up expires as well: the cloud may be in trouble for longer than a lease.
-    const bool returning = m.stage == Machine::Stage::Returning && m.may_hold_tasks();
-    if (!returning && m.stage != Machine::Stage::Up) continue;
-    if (now <= latest_lease_end(m, now)) continue;
-    spdlog::info("{} expired with {} tasks", id, m.runs.size());
-    if (!returning) set_stage(m, Machine::Stage::Expired);
-    m.fencing_token_acknowledged = false;
-    remove_all_runs(m);
-    mark_accounted(m);
+    const bool returning = machine.stage == Machine::Stage::Returning && machine.may_hold_tasks();
+    if (!returning && machine.stage != Machine::Stage::Up) continue;
+    if (now <= latest_lease_end(machine, now)) continue;
+    spdlog::info("{} expired with {} tasks", id, machine.attempts.size());
+    if (!returning) set_stage(machine, Machine::Stage::Expired);
+    machine.fencing_token_acknowledged = false;
+    remove_all_attempts(machine);
+    mark_accounted(machine);
   }
 }
 
 /// A zone that was cut off comes back within a heartbeat period or more, not at once: those that
 /// are still silent when most are heard again are as alive as the others.
 void Scheduler::zone_reachable_again(const std::string& zone, Seconds now) {
-  for (auto& [id, m] : machines_)
-    if (m.info.zone == zone) m.zone_back = now;
+  for (auto& [id, machine] : machines_)
+    if (machine.info.zone == zone) machine.zone_back = now;
 }
 
 void Scheduler::find_cut_zones(Seconds now) {
   std::map<std::string, ZoneReachability::Count> zones;
   const Seconds suspect = settings_.tuning.suspect * settings_.lease_s;
-  for (const auto& [id, m] : machines_) {
-    if (m.stage != Machine::Stage::Up) continue;
-    ZoneReachability::Count& count = zones[m.info.zone];
+  for (const auto& [id, machine] : machines_) {
+    if (machine.stage != Machine::Stage::Up) continue;
+    ZoneReachability::Count& count = zones[machine.info.zone];
     ++count.up;
-    if (silence(m, now) > suspect * kSilentEarly) ++count.silent;
-    if (silence(m, now) < kRecently * settings_.heartbeat_period_s) ++count.heard_recently;
+    if (silence(machine, now) > suspect * kSilentEarly) ++count.silent;
+    if (silence(machine, now) < kRecently * settings_.heartbeat_period_s) ++count.heard_recently;
   }
   for (const auto& zone : zone_reachability_.update(zones, now, settings_.lease_s))
     zone_reachable_again(zone, now);
 }
 
 /// Whether a machine that boots will never come up.
-bool Scheduler::boot_failed(const Machine& m, Seconds now) const {
-  if (m.listed_failed) return true;
-  if (zone_reachability_.cut_off(m.info.zone)) return false;
-  const MachineType* t = type(m.info.type);
-  const auto newest = newest_booted_.find(m.info.type);
-  const bool overtaken = newest != newest_booted_.end() && newest->second > m.first_seen;
-  return now - m.first_seen >
+bool Scheduler::boot_failed(const Machine& machine, Seconds now) const {
+  if (machine.listed_failed) return true;
+  if (zone_reachability_.cut_off(machine.info.zone)) return false;
+  const MachineType* t = type(machine.info.type);
+  const auto newest = newest_booted_.find(machine.info.type);
+  const bool overtaken = newest != newest_booted_.end() && newest->second > machine.first_seen;
+  return now - machine.first_seen >
          (overtaken ? kOverdue : kAllSlow) * (t ? t->boot_s : kUnknownTypeBoot);
 }
 
@@ -131,50 +131,54 @@
 /// dead more often than cut off; so is one that is late and does not answer while many others of
 /// its zone are heard. An order that went unanswered is no reason to wait for the lease: nothing of
 /// the machine is left once the cloud has taken it back.
-bool Scheduler::seems_dead(const Machine& m, Seconds now) const {
-  if (zone_reachability_.cut_off(m.info.zone) || !m.may_hold_tasks()) return false;
-  if (silence(m, now) > settings_.tuning.suspect * settings_.lease_s) return true;
-  return m.probe_unanswered && heartbeat_overdue(m, now) &&
-         zone_reachability_.reachable(m.info.zone);
+bool Scheduler::seems_dead(const Machine& machine, Seconds now) const {
+  if (zone_reachability_.cut_off(machine.info.zone) || !machine.may_hold_tasks()) return false;
+  if (silence(machine, now) > settings_.tuning.suspect * settings_.lease_s) return true;
+  return machine.probe_unanswered && heartbeat_overdue(machine, now) &&
+         zone_reachability_.reachable(machine.info.zone);
 }
 
 /// Whether a machine is to be returned although it isn't idle.
-bool Scheduler::should_give_up(const Machine& m, Seconds now) const {
-  switch (m.stage) {
+bool Scheduler::should_give_up(const Machine& machine, Seconds now) const {
+  switch (machine.stage) {
     case Machine::Stage::Booting:
-      return boot_failed(m, now);
+      return boot_failed(machine, now);
     case Machine::Stage::Expired:
-      return now - m.last_heard > settings_.lease_s;
+      return now - machine.last_heard > settings_.lease_s;
     case Machine::Stage::Up:
-      return m.listed_failed || (m.sick() && !m.has_presence() && sick_for_certain(m, now)) ||
-             seems_dead(m, now);
+      return machine.listed_failed ||
+             (machine.sick() && !machine.has_possible_attempts() &&
+              sick_for_certain(machine, now)) ||
+             seems_dead(machine, now);
     case Machine::Stage::Returning:
       return false;
   }
   return false;
 }
 
-Seconds Scheduler::silence(const Machine& m, Seconds now) const {
-  return now - std::max({m.last_heard, m.zone_back, listening_since_});
+Seconds Scheduler::silence(const Machine& machine, Seconds now) const {
+  return now - std::max({machine.last_heard, machine.zone_back, listening_since_});
 }
 
 /// Reports come up to a quarter late.
-bool Scheduler::heartbeat_overdue(const Machine& m, Seconds now) const {
-  return silence(m, now) > 1.25 * settings_.heartbeat_period_s + 0.5;
+bool Scheduler::heartbeat_overdue(const Machine& machine, Seconds now) const {
+  return silence(machine, now) > 1.25 * settings_.heartbeat_period_s + 0.5;
 }
 
 /// Machines that this leader has not met yet, and those that are late with a heartbeat.
 void Scheduler::probe(Seconds now, std::vector<Action>& out) {
-  for (auto& [id, m] : machines_) {
-    if (m.stage != Machine::Stage::Up || m.probe_in_flight || m.info.addr.empty()) continue;
-    const bool greet = !m.fencing_token_acknowledged && m.earlier_leader_may_answer &&
-                       !m.accounted && now >= m.next_greeting;
-    const bool late = !m.probe_unanswered && heartbeat_overdue(m, now) && m.may_hold_tasks();
+  for (auto& [id, machine] : machines_) {
+    if (machine.stage != Machine::Stage::Up || machine.probe_in_flight || machine.info.addr.empty())
+      continue;
+    const bool greet = !machine.fencing_token_acknowledged && machine.earlier_leader_may_answer &&
+                       !machine.accounted && now >= machine.next_greeting_probe_at;
+    const bool late =
+        !machine.probe_unanswered && heartbeat_overdue(machine, now) && machine.may_hold_tasks();
     if (!greet && !late) continue;
-    if (greet) m.next_greeting = now + settings_.heartbeat_period_s;
-    m.probe_in_flight = true;
-    out.emplace_back(
-        Probe{id, m.info.addr, fencing_token(m), std::max<uint64_t>(m.latest.agent_epoch, 1)});
+    if (greet) machine.next_greeting_probe_at = now + settings_.heartbeat_period_s;
+    machine.probe_in_flight = true;
+    out.emplace_back(Probe{id, machine.info.addr, fencing_token(machine),
+                           std::max<uint64_t>(machine.latest.agent_epoch, 1)});
   }
 }
 
--- a/src/dispatch/moves.cpp
+++ b/src/dispatch/moves.cpp
@@ -35,20 +35,21 @@
 
 /// Whether every task on the machine is a settled replica that fits on another machine with its
 /// image.
-bool Scheduler::movable(const Machine& m, Trial& elsewhere, Seconds now) {
-  for (const auto& [key, run] : m.runs) {
-    if (!run.present()) continue;
+bool Scheduler::movable(const Machine& machine, Trial& elsewhere, Seconds now) {
+  for (const auto& [key, attempt] : machine.attempts) {
+    if (!attempt.possibly_present()) continue;
     Job* job = find_job(key.task.job);
-    if (!job || job->spec().kind != JobKind::Service || !run.wanted) return false;
-    if (run.phase != Run::Phase::Running || now - run.running_since.value_or(now) < kSettled)
+    if (!job || job->spec().kind != JobKind::Service || !attempt.desired_running) return false;
+    if (attempt.state != TaskAttemptState::Running ||
+        now - attempt.running_since.value_or(now) < kSettled)
       return false;
     Demand d;
     d.spec = &job->spec();
     d.tasks = {key.task.task};
     if (d.spec->counts_zones())
-      for (const auto& [task, places] : job->placements)
-        for (const auto& [machine, attempt] : places)
-          if (task != key.task.task) ++d.zones[machines_.at(machine).info.zone];
+      for (const auto& [task, places] : job->possible_placements)
+        for (const auto& [machine_id, attempt_number] : places)
+          if (task != key.task.task) ++d.zones[machines_.at(machine_id).info.zone];
     // Nothing is moved to an empty machine: that would only go back and forth.
     d.avoid = [job](const Slot& s) {
       return empty(s) || !s.of->images.has(job->spec().image) || job->failed_on.contains(s.machine);
@@ -58,24 +59,24 @@
   return true;
 }
 
-void Scheduler::drain(Machine& m, const char* why, Seconds now) {
-  spdlog::info("moves what runs on {}: {}", m.info.id, why);
-  m.draining = true;
-  for (auto& [key, run] : m.runs)
-    if (run.present()) request_stop(run, false, now);
+void Scheduler::drain(Machine& machine, const char* why, Seconds now) {
+  spdlog::info("moves what runs on {}: {}", machine.info.id, why);
+  machine.draining = true;
+  for (auto& [key, attempt] : machine.attempts)
+    if (attempt.possibly_present()) request_stop(attempt, false, now);
 }
 
 /// How many machines are being emptied.
 size_t Scheduler::finish_moves(Seconds now) {
   size_t draining = 0;
-  for (auto& [id, m] : machines_) {
-    if (!m.draining || m.stage != Machine::Stage::Up) continue;
-    if (m.has_presence()) {
+  for (auto& [id, machine] : machines_) {
+    if (!machine.draining || machine.stage != Machine::Stage::Up) continue;
+    if (machine.has_possible_attempts()) {
       ++draining;
       continue;
     }
-    m.draining = false;
-    m.idle_since = now;
+    machine.draining = false;
+    machine.idle_since = now;
   }
   return draining;
 }
@@ -114,12 +115,12 @@
       alone[0].free = alone[0].room;
       if (place(*gang, alone).empty()) continue;
     }
-    Machine& m = machines_.at(slots[i].machine);
+    Machine& machine = machines_.at(slots[i].machine);
     slots[i].usable = false;
     Trial elsewhere(slots);
-    if (movable(m, elsewhere, now) && (gang || spare_room(elsewhere, now))) {
+    if (movable(machine, elsewhere, now) && (gang || spare_room(elsewhere, now))) {
       for (size_t slot : elsewhere.keep()) taken.insert(slot);
-      drain(m, gang ? "a gang needs the whole machine" : "it can be returned", now);
+      drain(machine, gang ? "a gang needs the whole machine" : "it can be returned", now);
       if (++draining >= most) return;
     } else {
       slots[i].usable = true;
--- a/src/dispatch/preemption.cpp
+++ b/src/dispatch/preemption.cpp
@@ -15,10 +15,10 @@
 
 /// What stopping a task throws away: progress that was not saved, or the time it has waited for its
 /// image. A gang loses that on all its machines.
-Seconds Scheduler::loss_of(const Job& job, const Run& run, Seconds now) const {
-  const Seconds spent = now - run.running_since.value_or(run.placed_at);
+Seconds Scheduler::loss_of(const Job& job, const TaskAttempt& attempt, Seconds now) const {
+  const Seconds spent = now - attempt.running_since.value_or(attempt.placed_at);
   const Seconds lost =
-      run.running_since && job.spec().saves() ? std::min(spent, job.spec().save_s) : spent;
+      attempt.running_since && job.spec().saves() ? std::min(spent, job.spec().save_s) : spent;
   return job.spec().kind == JobKind::Gang ? lost * job.spec().tasks : lost;
 }
 
@@ -26,9 +26,9 @@
   std::vector<Victim> out;
   for (size_t i = 0; i < slots.size(); ++i) {
     if (!slots[i].of) continue;
-    const Job* job = nullptr;  // runs are in the order of their jobs: one look a job
-    for (const auto& [key, run] : slots[i].of->runs) {
-      if (!run.present() || !run.wanted) continue;
+    const Job* job = nullptr;  // attempts are in the order of their jobs: one look a job
+    for (const auto& [key, attempt] : slots[i].of->attempts) {
+      if (!attempt.possibly_present() || !attempt.desired_running) continue;
       if (!job || job->spec().id != key.task.job) job = find_job(key.task.job);
       if (!job) continue;
       const bool gang = job->spec().kind == JobKind::Gang && job->spec().tasks > 1;
@@ -37,12 +37,12 @@
       victim.team = job->spec().team;
       victim.task = key.task.task;
       victim.slot = i;
-      victim.need = run.need;
+      victim.need = attempt.need;
       victim.priority = job->priority;
-      victim.loss_s = loss_of(*job, run, now);
+      victim.loss_s = loss_of(*job, attempt, now);
       victim.gang = gang;
       victim.beyond_guarantee = !guaranteed_.contains(victim.job);
-      victim.stops = gang ? run.need.times(job->spec().tasks) : run.need;
+      victim.stops = gang ? attempt.need.times(job->spec().tasks) : attempt.need;
       out.push_back(victim);
     }
   }
@@ -52,7 +52,7 @@
 /// It is being stopped, with its gang if it has one: nobody else in this round gets its place.
 void Scheduler::forget_victim(const Victim& gone) {
   if (!victims_) return;
-  running_work_.remove(gone.team, gone.stops);
+  running_resources_.remove(gone.team, gone.stops);
   std::for_each(victims_->begin(), victims_->end(), [&gone](Victim& v) {
     if (v.job == gone.job && (gone.gang || v.task == gone.task)) v.stopped = true;
   });
@@ -64,8 +64,8 @@
                                                        Seconds now) {
   if (!victims_) {
     victims_ = victims(slots, now);
-    running_work_ = RunningWork(settings_.teams);
-    for (const auto& victim : *victims_) running_work_.add(victim.team, victim.need);
+    running_resources_ = RunningResources(settings_.teams);
+    for (const auto& victim : *victims_) running_resources_.add(victim.team, victim.need);
     ++work_.victim_lists;
   }
   return *victims_;
@@ -95,7 +95,7 @@
 /// Whether all tasks would find room if tasks of lower priority gave way.
 bool Scheduler::preemptible(Demand d, std::vector<Slot> slots,
                             const std::vector<Victim>& candidates) const {
-  RunningWork running = running_work_;
+  RunningResources running = running_resources_;
   for (; !d.tasks.empty(); d.tasks.pop_back()) {
     const auto p = preempt(d, slots, candidates, running);
     if (!p) return false;
@@ -140,7 +140,7 @@
 void Scheduler::make_room(Job& job, Demand& d, std::vector<Slot>& slots,
                           const std::vector<Victim>& candidates, Seconds now) {
   while (!d.tasks.empty()) {
-    const auto p = preempt(d, slots, candidates, running_work_);
+    const auto p = preempt(d, slots, candidates, running_resources_);
     if (!p) return;
     Slot& slot = slots[p->slot];
     for (size_t v : p->victims) {
@@ -151,9 +151,10 @@
       if (loser->spec().kind == JobKind::Gang) {
         stop_job(*loser, true, now);
       } else {
-        for (auto& [key, run] : machines_.at(slot.machine).runs)
-          if (key.task.job == victim.job && key.task.task == victim.task && run.present())
-            request_stop(run, true, now);
+        for (auto& [key, attempt] : machines_.at(slot.machine).attempts)
+          if (key.task.job == victim.job && key.task.task == victim.task &&
+              attempt.possibly_present())
+            request_stop(attempt, true, now);
       }
       slot.coming += victim.need;
       forget_victim(victim);
--- a/src/dispatch/record_writes.cpp
+++ b/src/dispatch/record_writes.cpp
@@ -18,20 +18,20 @@
 
 void keep_common_hosts(Job& job, const std::optional<std::vector<std::string>>& hosts) {
   if (!hosts) return;
-  if (!job.hosts_of_all_writes) {
-    job.hosts_of_all_writes = hosts;
+  if (!job.hosts_in_all_writes) {
+    job.hosts_in_all_writes = hosts;
     return;
   }
-  std::erase_if(*job.hosts_of_all_writes, [&](const std::string& id) {
+  std::erase_if(*job.hosts_in_all_writes, [&](const std::string& id) {
     return !std::binary_search(hosts->begin(), hosts->end(), id);
   });
 }
 
 /// Whether the record tells the next leader every place where a task of the job may be.
 bool next_leader_knows_all(const Job& job) {
-  for (const auto& [task, places] : job.placements)
-    for (const auto& [machine, attempt] : places)
-      if (!job.next_leader_knows(machine)) return false;
+  for (const auto& [task, places] : job.possible_placements)
+    for (const auto& [machine_id, attempt_number] : places)
+      if (!job.next_leader_knows(machine_id)) return false;
   return true;
 }
 
@@ -67,9 +67,9 @@
       record.started && (!job.stored.started || job.stored.hosts != record.hosts);
   job.stored = record;
   job.version = version;
-  job.hosts_of_all_writes.reset();
-  job.want_hosts = job.want_hosts && !next_leader_knows_all(job);
-  note_dependencies(record);
+  job.hosts_in_all_writes.reset();
+  job.hosts_record_requested = job.hosts_record_requested && !next_leader_knows_all(job);
+  track_dependencies(record);
   if (added) {
     job.done = record.done;
     inherit_priority(job);
@@ -80,28 +80,30 @@
     spdlog::debug("{} arrives: {} tasks of {}", record.spec.id, record.spec.tasks,
                   record.spec.job_class);
     // A report may have brought tasks of this job before its record was read.
-    for (auto& [id, m] : machines_)
-      for (auto run = m.runs.lower_bound({{record.spec.id, 0}, 0});
-           run != m.runs.end() && run->first.task.job == record.spec.id; ++run) {
+    for (auto& [id, machine] : machines_)
+      for (auto attempt = machine.attempts.lower_bound({{record.spec.id, 0}, 0});
+           attempt != machine.attempts.end() && attempt->first.task.job == record.spec.id;
+           ++attempt) {
         ++work_.adoption_checks;
-        if (run->second.present()) adopt(m, run->first, run->second, job, now);
+        if (attempt->second.possibly_present())
+          adopt_attempt(machine, attempt->first, attempt->second, job, now);
       }
   }
   if (record.state != JobState::Pending) stop_job(job, false, now);
   if (record.state == JobState::Cancelled) withdraw_blame(job);
-  if (starts_released) note_orders_of(job);
+  if (starts_released) enqueue_commands_of(job);
   note_job_record(job, now);
 }
 
 void Scheduler::job_finished(const std::string& id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
-  for (auto& [task, places] : it->second.placements)
-    for (const auto& [machine, attempt] : places) {
-      auto m = machines_.find(machine);
-      if (m == machines_.end()) continue;
-      auto run = m->second.runs.find({{id, task}, attempt});
-      if (run != m->second.runs.end()) run->second.wanted = false;
+  for (auto& [task, places] : it->second.possible_placements)
+    for (const auto& [machine_id, attempt_number] : places) {
+      auto machine = machines_.find(machine_id);
+      if (machine == machines_.end()) continue;
+      auto attempt = machine->second.attempts.find({{id, task}, attempt_number});
+      if (attempt != machine->second.attempts.end()) attempt->second.desired_running = false;
     }
   if (!it->second.complete()) withdraw_blame(it->second);
   jobs_.erase(it);
@@ -109,11 +111,11 @@
 }
 
 void Scheduler::host_stored(const HostRecord& host, Seconds now) {
-  Machine& m = machines_[host.id];
-  m.info = host;
-  set_stage(m, Machine::Stage::Up);
-  m.record = Machine::Record::Durable;
-  m.first_seen = m.last_heartbeat = now;  // until its worker has found this leader
+  Machine& machine = machines_[host.id];
+  machine.info = host;
+  set_stage(machine, Machine::Stage::Up);
+  machine.record = Machine::Record::Durable;
+  machine.first_seen = machine.last_heartbeat = now;  // until its worker has found this leader
   ++unaccounted_;
 }
 
@@ -122,12 +124,14 @@
   if (job.writing || job.version == 0) return WriteUrgency::None;
   const bool over = job.stored.state != JobState::Pending || job.complete();
   // A record of a version before these limits: the job can still be moved to the finished ones.
-  if (!job.room.any() && !(over && gone_everywhere(job))) return WriteUrgency::None;
-  if ((job.want_started && !job.stored.started) || job.want_hosts) return WriteUrgency::Start;
+  if (!job.room.any() && !(over && absent_everywhere(job))) return WriteUrgency::None;
+  if ((job.start_record_requested && !job.stored.started) || job.hosts_record_requested)
+    return WriteUrgency::Start;
   if (job.stored.state == JobState::Pending && job.complete()) return WriteUrgency::Done;
   // It stays among the live records until nothing of it is left anywhere: the next leader must
   // know what may still take room and count against a limit.
-  if (job.stored.state != JobState::Pending && gone_everywhere(job)) return WriteUrgency::Finished;
+  if (job.stored.state != JobState::Pending && absent_everywhere(job))
+    return WriteUrgency::Finished;
   if (cancelled_by_dependency(job)) return WriteUrgency::Finished;
   // Progress of an array is written in batches, as far as its record has room for it. Only more
   // than is stored is progress: a record of larger limits isn't rewritten for what it would lose.
@@ -147,15 +151,15 @@
 /// Where the job's tasks may be, for the next leader: what that one can't account for then holds
 /// back this job only if it is among them. None if that would take too much of a record.
 std::optional<std::vector<std::string>> Scheduler::possible_hosts(const Job& job) const {
-  if (missing_in_doubt(job) && !job.stored.hosts) return std::nullopt;
+  if (placement_unknown(job) && !job.stored.hosts) return std::nullopt;
   // An array has tens of thousands of places on a few hundred machines.
   std::unordered_set<std::string_view> machines;
-  for (const auto& [task, places] : job.placements)
-    for (const auto& [machine, attempt] : places) machines.insert(machine);
+  for (const auto& [task, places] : job.possible_placements)
+    for (const auto& [machine_id, attempt_number] : places) machines.insert(machine_id);
   std::set<std::string> hosts(machines.begin(), machines.end());
   for (const auto& id : job.stored.hosts.value_or(std::vector<std::string>{})) {
-    const auto m = machines_.find(id);
-    if (m != machines_.end() && !m->second.accounted) hosts.insert(id);
+    const auto machine = machines_.find(id);
+    if (machine != machines_.end() && !machine->second.accounted) hosts.insert(id);
   }
   std::vector<std::string> sorted(hosts.begin(), hosts.end());
   if (!job.room.holds(sorted)) return std::nullopt;
@@ -172,14 +176,14 @@
     w.record->ended_ms = static_cast<uint64_t>((now + wall_offset_) * 1000);
   }
   if (cancelled_by_dependency(job)) w.record->state = JobState::Cancelled;
-  w.record->started = job.stored.started || job.want_started;
+  w.record->started = job.stored.started || job.start_record_requested;
   if (w.record->started && !w.record->spec.dependencies.empty()) {
     // All of them are done: from here on only the time counts.
     w.record->ready_ms = arrival_ms(job);
     w.record->spec.dependencies.clear();
   }
   if (w.record->started) w.record->hosts = possible_hosts(job);
-  w.finished = w.record->state != JobState::Pending && gone_everywhere(job);
+  w.finished = w.record->state != JobState::Pending && absent_everywhere(job);
   // Of a job that is over only their number is kept.
   w.record->done = w.finished ? job.done : done_for_record(job);
   return w;
@@ -195,26 +199,26 @@
 /// Machines that are to get their first start: it waits for their records.
 void Scheduler::add_host_writes(WriteBatch& batch) {
   if (!prompt()) {
-    for (const auto& [id, m] : machines_) {
+    for (const auto& [id, machine] : machines_) {
       if (!batch.fits(1)) return;
-      add_host_write(batch, id, m);
+      add_host_write(batch, id, machine);
     }
     return;
   }
   while (batch.fits(1)) {
     const auto id = backlog_.machine_records.pop();
     if (!id) return;
-    const auto m = machines_.find(*id);
-    if (m != machines_.end()) add_host_write(batch, *id, m->second);
+    const auto machine = machines_.find(*id);
+    if (machine != machines_.end()) add_host_write(batch, *id, machine->second);
   }
 }
 
-void Scheduler::add_host_write(WriteBatch& batch, const std::string& id, const Machine& m) {
+void Scheduler::add_host_write(WriteBatch& batch, const std::string& id, const Machine& machine) {
   ++work_.dispatch_checks;
-  if (m.record != Machine::Record::Wanted || !host_record_writes_.begin(id)) return;
+  if (machine.record != Machine::Record::Wanted || !host_record_writes_.begin(id)) return;
   RecordWrite write;
   write.host = id;
-  write.host_record = m.info;
+  write.host_record = machine.info;
   batch.add(std::move(write), kHostBytes);
 }
 
@@ -274,11 +278,11 @@
   if (!w.host.empty()) {
     host_record_writes_.end(w.host);
     if (committed && !w.host_record) host_record_writes_.deleted(w.host);
-    const auto m = machines_.find(w.host);
-    if (m == machines_.end()) return;
-    if (committed && w.host_record) m->second.record = Machine::Record::Durable;
-    note_machine_record(m->second);
-    return note_orders(m->second);
+    const auto machine = machines_.find(w.host);
+    if (machine == machines_.end()) return;
+    if (committed && w.host_record) machine->second.record = Machine::Record::Durable;
+    note_machine_record(machine->second);
+    return enqueue_commands(machine->second);
   }
   const auto it = jobs_.find(w.job);
   if (it == jobs_.end()) return;
--- a/src/dispatch/releases.cpp
+++ b/src/dispatch/releases.cpp
@@ -23,22 +23,23 @@
 
 void Scheduler::return_idle(Seconds now) {
   if (!picture_settled(now) || rental_requests_.any_open()) return;
-  for (auto& [id, m] : machines_) {
-    const bool idle = m.stage == Machine::Stage::Up && !m.has_presence();
+  for (auto& [id, machine] : machines_) {
+    const bool idle = machine.stage == Machine::Stage::Up && !machine.has_possible_attempts();
     if (!idle)
-      m.idle_since.reset();
-    else if (!m.idle_since)
-      m.idle_since = now;
+      machine.idle_since.reset();
+    else if (!machine.idle_since)
+      machine.idle_since = now;
   }
   auto others = picture(now, false);
   for (auto& s : others) {
-    Machine& m = machines_.at(s.machine);
-    const MachineType* t = type(m.info.type);
-    if (!m.idle_since || !t || now - *m.idle_since < settings_.tuning.idle * t->boot_s) continue;
+    Machine& machine = machines_.at(s.machine);
+    const MachineType* t = type(machine.info.type);
+    if (!machine.idle_since || !t || now - *machine.idle_since < settings_.tuning.idle * t->boot_s)
+      continue;
     const bool usable = std::exchange(s.usable, false);
     Trial without(others);
-    if (m.sick() || m.reclaim_at || spare_room(without, now))
-      set_stage(m, Machine::Stage::Returning);
+    if (machine.sick() || machine.reclaim_at || spare_room(without, now))
+      set_stage(machine, Machine::Stage::Returning);
     else
       s.usable = usable;
   }
@@ -48,16 +49,16 @@
   if (releasing_ || now < next_release_) return;
   next_release_ = now + settings_.heartbeat_period_s * 0.5;
   find_cut_zones(now);
-  for (auto& [id, m] : machines_)
-    if (should_give_up(m, now)) {
-      spdlog::info("gives {} back: stage {}, silent {:.1f} s", id, name(m.stage),
-                   now - m.last_heard);
-      set_stage(m, Machine::Stage::Returning);
+  for (auto& [id, machine] : machines_)
+    if (should_give_up(machine, now)) {
+      spdlog::info("gives {} back: stage {}, silent {:.1f} s", id, name(machine.stage),
+                   now - machine.last_heard);
+      set_stage(machine, Machine::Stage::Returning);
     }
   return_idle(now);
   Release release;
-  for (const auto& [id, m] : machines_)
-    if (m.stage == Machine::Stage::Returning && release.machines.size() < kMostReleased)
+  for (const auto& [id, machine] : machines_)
+    if (machine.stage == Machine::Stage::Returning && release.machines.size() < kMostReleased)
       release.machines.push_back(id);
   if (release.machines.empty()) return;
   releasing_ = true;
@@ -71,10 +72,10 @@
   for (const auto& id : release.machines) {
     const auto it = machines_.find(id);
     if (it == machines_.end()) continue;
-    Machine& m = it->second;
-    remove_all_runs(m);
-    mark_accounted(m);
-    if (m.record != Machine::Record::None) host_record_writes_.want_deletion(id);
+    Machine& machine = it->second;
+    remove_all_attempts(machine);
+    mark_accounted(machine);
+    if (machine.record != Machine::Record::None) host_record_writes_.want_deletion(id);
     returned_[id] = now;
     machines_.erase(it);
   }
--- a/src/dispatch/renting.cpp
+++ b/src/dispatch/renting.cpp
@@ -72,10 +72,10 @@
   for (const auto& id : machines) {
     auto [it, added] = machines_.try_emplace(id);
     if (!added) continue;
-    Machine& m = it->second;
-    m.info = {id, "", rent.type, rent.zone, rent.spot};
-    m.first_seen = now;
-    m.accounted = true;
+    Machine& machine = it->second;
+    machine.info = {id, "", rent.type, rent.zone, rent.spot};
+    machine.first_seen = now;
+    machine.accounted = true;
   }
 }
 
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -19,32 +19,32 @@
 
 }  // namespace
 
-bool Scheduler::usable(const Machine& m, Seconds now) const {
-  return m.stage == Machine::Stage::Up && m.fencing_token_acknowledged && !m.sick() &&
-         !m.draining && !m.reclaim_at &&
-         now - m.last_heartbeat < kSilence * settings_.heartbeat_period_s + 0.5;
+bool Scheduler::usable(const Machine& machine, Seconds now) const {
+  return machine.stage == Machine::Stage::Up && machine.fencing_token_acknowledged &&
+         !machine.sick() && !machine.draining && !machine.reclaim_at &&
+         now - machine.last_heartbeat < kSilence * settings_.heartbeat_period_s + 0.5;
 }
 
 std::vector<Slot> Scheduler::picture(Seconds now, bool booting) const {
   std::vector<Slot> out;
-  for (const auto& [id, m] : machines_) {
-    const MachineType* t = type(m.info.type);
+  for (const auto& [id, machine] : machines_) {
+    const MachineType* t = type(machine.info.type);
     if (!t) continue;
-    const bool on_its_way = m.stage == Machine::Stage::Booting;
+    const bool on_its_way = machine.stage == Machine::Stage::Booting;
     if (booting != on_its_way) continue;
-    if (!booting && m.stage != Machine::Stage::Up) continue;
+    if (!booting && machine.stage != Machine::Stage::Up) continue;
     Slot s;
     s.machine = id;
-    s.of = &m;
-    s.type = m.info.type;
-    s.zone = m.info.zone;
-    s.spot = m.info.spot;
+    s.of = &machine;
+    s.type = machine.info.type;
+    s.zone = machine.info.zone;
+    s.spot = machine.info.spot;
     s.room = s.free = t->room;
-    s.usable = booting || usable(m, now);
-    for (const auto& [key, run] : m.runs) {
-      if (!run.present()) continue;
-      s.free -= run.need;
-      if (!run.wanted) s.coming += run.need;
+    s.usable = booting || usable(machine, now);
+    for (const auto& [key, attempt] : machine.attempts) {
+      if (!attempt.possibly_present()) continue;
+      s.free -= attempt.need;
+      if (!attempt.desired_running) s.coming += attempt.need;
     }
     out.push_back(std::move(s));
   }
@@ -105,18 +105,18 @@
   if (gang && most < job.spec().tasks) return std::nullopt;
   if (!gang && at_fault(job)) most = std::min<size_t>(most, 1);
   const size_t limit = gang ? job.spec().tasks : std::min(most, tasks_a_round());
-  auto there = job.placements.begin();  // both in order: one pass over what is somewhere
+  auto there = job.possible_placements.begin();  // both in order: one pass over what is somewhere
   for (uint32_t t = job.done.next_missing(0); t < job.spec().tasks && d.tasks.size() < limit;
        t = job.done.next_missing(t + 1)) {
-    while (there != job.placements.end() && there->first < t) ++there;
-    if (there == job.placements.end() || there->first != t) d.tasks.push_back(t);
+    while (there != job.possible_placements.end() && there->first < t) ++there;
+    if (there == job.possible_placements.end() || there->first != t) d.tasks.push_back(t);
   }
   if (d.tasks.empty()) return std::nullopt;
   if (d.spec->counts_zones())
-    for (const auto& [task, places] : job.placements)
-      for (const auto& [machine, attempt] : places) {
-        const auto m = machines_.find(machine);
-        if (m != machines_.end()) ++d.zones[m->second.info.zone];
+    for (const auto& [task, places] : job.possible_placements)
+      for (const auto& [machine_id, attempt_number] : places) {
+        const auto machine = machines_.find(machine_id);
+        if (machine != machines_.end()) ++d.zones[machine->second.info.zone];
       }
   if (job.priority > d.spec->priority) d.inherited_priority = job.priority;
   d.image_first = fetch_hurts(job);
@@ -160,23 +160,24 @@
   if (placed.empty()) return;
   const bool gang = job.spec().kind == JobKind::Gang;
   if (gang) job.gang_attempt = token_allocator_.new_attempt();
-  job.want_started = true;
+  job.start_record_requested = true;
   for (const auto& p : placed) {
-    Machine& m = machines_.at(slots[p.slot].machine);
-    const RunKey key{{job.spec().id, p.task},
-                     gang ? job.gang_attempt : token_allocator_.new_attempt()};
-    spdlog::debug("{}/{} try {} placed on {}", key.task.job, key.task.task, key.attempt, m.info.id);
-    Run& run = m.runs[key];
-    run.placed_at = now;
-    run.need = job.spec().need;
-    run.image = job.spec().image;
-    run.image_gb = job.spec().image_gb;
-    m.want_record();
-    if (!job.next_leader_knows(m.info.id)) job.want_hosts = true;
-    add_presence(m, key);
-    used_[job.spec().team] += run.need;
-    note_machine_record(m);
-    note_orders(m);
+    Machine& machine = machines_.at(slots[p.slot].machine);
+    const TaskAttemptId key{{job.spec().id, p.task},
+                            gang ? job.gang_attempt : token_allocator_.new_attempt()};
+    spdlog::debug("{}/{} try {} placed on {}", key.task.job, key.task.task, key.attempt,
+                  machine.info.id);
+    TaskAttempt& attempt = machine.attempts[key];
+    attempt.placed_at = now;
+    attempt.need = job.spec().need;
+    attempt.image = job.spec().image;
+    attempt.image_gb = job.spec().image_gb;
+    machine.request_host_record();
+    if (!job.next_leader_knows(machine.info.id)) job.hosts_record_requested = true;
+    add_possible_placement(machine, key);
+    used_[job.spec().team] += attempt.need;
+    note_machine_record(machine);
+    enqueue_commands(machine);
   }
   note_job_record(job, now);
 }
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -25,10 +25,10 @@
       rental_requests_(term) {}
 
 /// Ends whatever was ordered under the fencing token before, however late it arrives.
-void Scheduler::advance_fencing_token(Machine& m) {
-  ++m.counter;
-  m.fencing_token_acknowledged = false;
-  token_allocator_.record_use(m.counter);
+void Scheduler::advance_fencing_token(Machine& machine) {
+  ++machine.counter;
+  machine.fencing_token_acknowledged = false;
+  token_allocator_.record_use(machine.counter);
 }
 
 const Job* Scheduler::find_job(const std::string& id) const {
@@ -49,11 +49,11 @@
 
 std::unordered_map<std::string, uint32_t> Scheduler::running_counts() const {
   std::unordered_map<std::string, uint32_t> out;
-  for (const auto& [id, m] : machines_) {
-    const std::string* job = nullptr;  // runs are in the order of their jobs: one look a job
+  for (const auto& [id, machine] : machines_) {
+    const std::string* job = nullptr;  // attempts are in the order of their jobs: one look a job
     uint32_t* count = nullptr;
-    for (const auto& [key, run] : m.runs) {
-      if (run.phase != Run::Phase::Running) continue;
+    for (const auto& [key, attempt] : machine.attempts) {
+      if (attempt.state != TaskAttemptState::Running) continue;
       if (!job || *job != key.task.job) {
         job = &key.task.job;
         count = &out[*job];
@@ -79,9 +79,9 @@
   last_event_ = std::max(last_event_, now);
   if (pause <= settings_.lease_s * kStoodStill) return;
   listening_since_ += pause;
-  for (auto& [id, m] : machines_) {
-    m.last_heard += pause;
-    m.zone_back += pause;
+  for (auto& [id, machine] : machines_) {
+    machine.last_heard += pause;
+    machine.zone_back += pause;
   }
 }
 
@@ -99,7 +99,7 @@
     fill_backlog(now);
   }
   return_machines(now, out);
-  order_starts(now, out);
+  dispatch_starts(now, out);
   probe(now, out);
   return out;
 }
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -69,13 +69,14 @@
   /// A worker's own heartbeat. The answer renews its lease, so it goes out only while the leader
   /// may answer; without `may_act` it carries nothing but stops of jobs that have ended.
   HeartbeatAnswer on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act, Seconds now);
-  /// The outcome of `SendOrders`; `executed` unless the orders may still be carried out later.
-  void orders_done(const std::string& id, const std::optional<WorkerHeartbeat>& heartbeat,
-                   bool executed, Seconds now);
+  /// The outcome of `SendCommands`; `executed` unless the commands may still be carried out later.
+  void on_commands_answered(const std::string& id, const std::optional<WorkerHeartbeat>& heartbeat,
+                            bool executed, Seconds now);
   /// The outcome of a `Probe`; no heartbeat if there was no answer.
-  void probed(const std::string& id, const std::optional<WorkerHeartbeat>& heartbeat, Seconds now);
+  void on_probe_answered(const std::string& id, const std::optional<WorkerHeartbeat>& heartbeat,
+                         Seconds now);
   /// There was no socket for the probe: nothing is known of the machine, and it is asked again.
-  void not_probed(const std::string& id);
+  void on_probe_not_sent(const std::string& id);
   /// No earlier leader can answer a worker any more.
   void on_previous_leader_fenced(Seconds now);
   /// Nodes that answer workers of their zone in this leader's place while they can't hear it.
@@ -97,7 +98,7 @@
   /// Expired leases, a placement round, provisioning and orders. Only while the leader may act.
   std::vector<Action> tick(Seconds now);
 
-  /// Orders that can go out between two ticks, once what they waited for has been written. Costs
+  /// Commands that can go out between two ticks, once what they waited for has been written. Costs
   /// what it sends. Empty without prompt dispatch: then orders go out with ticks alone.
   std::vector<Action> dispatch(Seconds now);
 
@@ -113,7 +114,7 @@
   struct Work {
     size_t rounds = 0, victim_lists = 0;
     size_t dispatch_checks = 0;  ///< machines and jobs looked at for orders and writes
-    size_t adoption_checks = 0;  ///< runs compared with a task that was found running
+    size_t adoption_checks = 0;  ///< attempts compared with a task that was found running
   };
   const Work& work() const { return work_; }
 
@@ -129,12 +130,14 @@
 
  private:
   // leader_core.cpp
-  uint64_t fencing_token(const Machine& m) const { return token_allocator_.with_term(m.counter); }
+  uint64_t fencing_token(const Machine& machine) const {
+    return token_allocator_.with_term(machine.counter);
+  }
   const Job* find_job(const std::string& id) const;
   Job* find_job(const std::string& id);
   const MachineType* type(const std::string& name) const;
   void record_progress(Seconds now);
-  void advance_fencing_token(Machine& m);
+  void advance_fencing_token(Machine& machine);
 
   // record_writes.cpp
   enum class WriteUrgency { Start, Done, Progress, Finished, None };  ///< the most urgent first
@@ -142,7 +145,7 @@
   void add_host_writes(WriteBatch& batch);
   bool add_job_writes(WriteBatch& batch, Seconds now);
   bool add_pending_job_writes(WriteBatch& batch, Seconds now);
-  void add_host_write(WriteBatch& batch, const std::string& id, const Machine& m);
+  void add_host_write(WriteBatch& batch, const std::string& id, const Machine& machine);
   void add_job_write(WriteBatch& batch, Job& job, Seconds now);
   void add_host_deletions(WriteBatch& batch);
   WriteUrgency write_urgency(const Job& job, Seconds now) const;
@@ -151,12 +154,12 @@
   bool cancelled_by_dependency(const Job& job) const;
   static Ranges done_for_record(const Job& job);
   std::optional<std::vector<std::string>> possible_hosts(const Job& job) const;
-  bool gone_everywhere(const Job& job) const {
-    return job.placements.empty() && !missing_in_doubt(job);
+  bool absent_everywhere(const Job& job) const {
+    return job.possible_placements.empty() && !placement_unknown(job);
   }
 
   // dependents.cpp
-  void note_dependencies(const JobRecord& record);
+  void track_dependencies(const JobRecord& record);
   bool ready(const Job& job) const { return dependencies_.ready(job.spec().id); }
   uint64_t arrival_ms(const Job& job) const;
   Seconds arrival(const Job& job) const;
@@ -166,43 +169,47 @@
 
   // reports.cpp
   Machine& find_or_add_machine(const WorkerHeartbeat& heartbeat, Seconds now);
-  void reconcile(Machine& m, const WorkerHeartbeat& r, bool absence_counts, Seconds now);
-  void begin_agent_epoch(Machine& m, Seconds now);
-  void mark_up(Machine& m, Seconds now);
-  void remove_unlisted(Machine& m, const WorkerHeartbeat& r, Seconds now);
-  void accept_worker(Machine& m, Seconds now);
-  void reconcile_task(Machine& m, const TaskStatus& t, Seconds now);
-  void mark_accounted(Machine& m);
+  void reconcile(Machine& machine, const WorkerHeartbeat& r, bool absence_counts, Seconds now);
+  void begin_agent_epoch(Machine& machine, Seconds now);
+  void mark_up(Machine& machine, Seconds now);
+  void remove_unlisted(Machine& machine, const WorkerHeartbeat& r, Seconds now);
+  void accept_worker(Machine& machine, Seconds now);
+  void reconcile_task(Machine& machine, const TaskStatus& t, Seconds now);
+  void mark_accounted(Machine& machine);
 
   // task_runs.cpp
-  void adopt(Machine& m, const RunKey& key, Run& run, Job& job, Seconds now);
-  void mark_image_used(Machine& m, const std::string& image, double gb);
-  void handle_exit(Machine& m, const RunKey& key, Run& run, Seconds now);
+  void adopt_attempt(Machine& machine, const TaskAttemptId& key, TaskAttempt& attempt, Job& job,
+                     Seconds now);
+  void mark_image_used(Machine& machine, const std::string& image, double gb);
+  void handle_exit(Machine& machine, const TaskAttemptId& key, TaskAttempt& attempt, Seconds now);
   /// The only place that changes a run's phase.
-  void set_phase(Machine& m, const RunKey& key, Run& run, Run::Phase next, Seconds now);
-  void add_presence(Machine& m, const RunKey& key);
-  void drop_presence(Machine& m, const RunKey& key);
-  void remove_run(Machine& m, const RunKey& key);
-  void remove_all_runs(Machine& m);
-  void request_stop(Run& run, bool graceful, Seconds now);
-  void request_stop_at(const std::string& machine, const RunKey& key, Seconds now);
+  void set_attempt_state(Machine& machine, const TaskAttemptId& key, TaskAttempt& attempt,
+                         TaskAttemptState next, Seconds now);
+  void add_possible_placement(Machine& machine, const TaskAttemptId& key);
+  void remove_possible_placement(Machine& machine, const TaskAttemptId& key);
+  void remove_attempt(Machine& machine, const TaskAttemptId& key);
+  void remove_all_attempts(Machine& machine);
+  void request_stop(TaskAttempt& attempt, bool graceful, Seconds now);
+  void request_stop_on(const std::string& machine, const TaskAttemptId& key, Seconds now);
   void stop_job(Job& job, bool graceful, Seconds now);
   void stop_gang_of(const TaskKey& key, Seconds now);
 
   // commands.cpp
-  std::vector<Command> commands_for(Machine& m, bool forget);
+  std::vector<Command> commands_for(Machine& machine, bool forget);
   /// Cancelled or finished, as far as this leader knows.
   bool ended(const std::string& id) const;
-  bool startable(const Machine& m, const RunKey& key, const Run& run) const;
-  void order_starts(Seconds now, std::vector<Action>& out);
-  void order_starts_of(const std::string& id, Machine& m, Seconds now, std::vector<Action>& out);
-  bool has_orders(const Machine& m) const;
+  bool startable(const Machine& machine, const TaskAttemptId& key,
+                 const TaskAttempt& attempt) const;
+  void dispatch_starts(Seconds now, std::vector<Action>& out);
+  void dispatch_starts_to(const std::string& id, Machine& machine, Seconds now,
+                          std::vector<Action>& out);
+  bool has_commands(const Machine& machine) const;
 
   // backlog.cpp
   bool prompt() const { return settings_.tuning.prompt_dispatch; }
-  void note_orders(const Machine& m);
-  void note_orders_of(const Job& job);
-  void note_machine_record(const Machine& m);
+  void enqueue_commands(const Machine& machine);
+  void enqueue_commands_of(const Job& job);
+  void note_machine_record(const Machine& machine);
   void note_job_record(const Job& job, Seconds now);
   void fill_backlog(Seconds now);
 
@@ -210,17 +217,17 @@
   /// Whether the job fails wherever it is started, as one that was submitted with a mistake does.
   /// It is tried with one task at a time, less and less often, and stops nobody.
   bool at_fault(const Job& job) const;
-  void count_failure(Machine& m, Job& job, Seconds now);
+  void count_failure(Machine& machine, Job& job, Seconds now);
   void count_success(Job& job, Seconds now);
-  void blame(Machine& m, const Job& job, Seconds now);
+  void blame(Machine& machine, const Job& job, Seconds now);
   void withdraw_blame(const Job& job);
-  bool runs_well(const Job& job, Seconds now) const;
-  bool sick_for_certain(const Machine& m, Seconds now) const;
+  bool runs_steadily(const Job& job, Seconds now) const;
+  bool sick_for_certain(const Machine& machine, Seconds now) const;
 
   // waiting_jobs.cpp
   std::vector<Job*> waiting(Seconds now);
   bool may_be_placed(Job& job, Seconds now);
-  bool missing_in_doubt(const Job& job) const;
+  bool placement_unknown(const Job& job) const;
   size_t quota_left(const Job& job) const;
   void count_usage();
   void find_guaranteed(const std::vector<Job*>& waiting);
@@ -237,7 +244,7 @@
   void place_part(Job& job, Demand& demand, std::vector<Slot>& slots, Seconds now);
   void start_placed(Job& job, const std::vector<Placed>& placed, const std::vector<Slot>& slots,
                     Seconds now);
-  bool usable(const Machine& m, Seconds now) const;
+  bool usable(const Machine& machine, Seconds now) const;
 
   // preemption.cpp
   void make_room(Job& job, Demand& demand, std::vector<Slot>& slots, Seconds now);
@@ -248,7 +255,7 @@
   bool late(const Job& job, Seconds takes, Seconds now) const;
   bool preemptible(Demand demand, std::vector<Slot> slots,
                    const std::vector<Victim>& candidates) const;
-  Seconds loss_of(const Job& job, const Run& run, Seconds now) const;
+  Seconds loss_of(const Job& job, const TaskAttempt& attempt, Seconds now) const;
   std::vector<Victim> victims(const std::vector<Slot>& slots, Seconds now) const;
   const std::vector<Victim>& victims_of_round(const std::vector<Slot>& slots, Seconds now);
   void forget_victim(const Victim& gone);
@@ -257,22 +264,22 @@
   void move_replicas(Seconds now);
   size_t finish_moves(Seconds now);
   std::vector<size_t> worth_emptying(const std::vector<Slot>& slots) const;
-  bool movable(const Machine& m, Trial& elsewhere, Seconds now);
-  void drain(Machine& m, const char* why, Seconds now);
+  bool movable(const Machine& machine, Trial& elsewhere, Seconds now);
+  void drain(Machine& machine, const char* why, Seconds now);
 
   // machine_lifecycle.cpp
   /// The only place that changes a machine's stage.
-  void set_stage(Machine& m, Machine::Stage next);
+  void set_stage(Machine& machine, Machine::Stage next);
   void expire(Seconds now);
-  Seconds latest_lease_end(const Machine& m, Seconds now) const;
+  Seconds latest_lease_end(const Machine& machine, Seconds now) const;
   void find_cut_zones(Seconds now);
   void zone_reachable_again(const std::string& zone, Seconds now);
-  bool boot_failed(const Machine& m, Seconds now) const;
-  bool seems_dead(const Machine& m, Seconds now) const;
-  bool should_give_up(const Machine& m, Seconds now) const;
+  bool boot_failed(const Machine& machine, Seconds now) const;
+  bool seems_dead(const Machine& machine, Seconds now) const;
+  bool should_give_up(const Machine& machine, Seconds now) const;
   void probe(Seconds now, std::vector<Action>& out);
-  Seconds silence(const Machine& m, Seconds now) const;
-  bool heartbeat_overdue(const Machine& m, Seconds now) const;
+  Seconds silence(const Machine& machine, Seconds now) const;
+  bool heartbeat_overdue(const Machine& machine, Seconds now) const;
 
   // renting.cpp
   void provision(Seconds now, std::vector<Action>& out);
@@ -315,9 +322,9 @@
   std::unordered_map<std::string, Amounts> used_;  ///< by team
   ArrivalForecast arrivals_;
   std::optional<std::vector<Victim>> victims_;  ///< of this round, once anybody has asked
-  JobIds guaranteed_;             ///< in this round: jobs within their team's guarantee
-  RunningWork running_work_;      ///< of this round, once the victims are listed
-  std::vector<Demand> unplaced_;  ///< of the last round; used in the same tick only
+  JobIds guaranteed_;                   ///< in this round: jobs within their team's guarantee
+  RunningResources running_resources_;  ///< of this round, once the victims are listed
+  std::vector<Demand> unplaced_;        ///< of the last round; used in the same tick only
   Seconds next_round_ = 0, next_provision_ = 0, next_release_ = 0, next_move_ = 0,
           next_summary_ = 0;
   bool releasing_ = false;
--- a/src/dispatch/waiting_jobs.cpp
+++ b/src/dispatch/waiting_jobs.cpp
@@ -53,10 +53,10 @@
   used_.clear();
   for (const auto& [id, job] : jobs_) {
     size_t n = 0;
-    for (const auto& [task, places] : job.placements) n += places.size();
+    for (const auto& [task, places] : job.possible_placements) n += places.size();
     // What nobody has accounted for since the takeover may be running somewhere. Of a gang that is
     // done some tasks may not have exited yet.
-    if (missing_in_doubt(job)) {
+    if (placement_unknown(job)) {
       const uint32_t gone = job.spec().kind == JobKind::Array ? job.stored.done.count() : 0;
       n = std::max<size_t>(n, job.spec().tasks - std::min(job.spec().tasks, gone));
     }
@@ -65,12 +65,12 @@
 }
 
 /// Whether tasks of the job may be on machines that nobody has accounted for since the takeover.
-bool Scheduler::missing_in_doubt(const Job& job) const {
+bool Scheduler::placement_unknown(const Job& job) const {
   if (!job.stored.started || all_accounted()) return false;
   if (!job.stored.hosts) return true;
   return std::any_of(job.stored.hosts->begin(), job.stored.hosts->end(), [this](const auto& id) {
-    const auto m = machines_.find(id);
-    return m != machines_.end() && !m->second.accounted;
+    const auto machine = machines_.find(id);
+    return machine != machines_.end() && !machine->second.accounted;
   });
 }
 
@@ -89,13 +89,13 @@
 
 /// Whether a round may start anything of the job.
 bool Scheduler::may_be_placed(Job& job, Seconds now) {
-  if (!job.runnable() || !ready(job) || now < job.retry_at || missing_in_doubt(job)) return false;
+  if (!job.runnable() || !ready(job) || now < job.retry_at || placement_unknown(job)) return false;
   if (!job.start_recordable()) return false;
   count_arrival(job);
-  if (job.placements.size() + job.done.count() >= job.spec().tasks) return false;
-  if (job.spec().kind == JobKind::Gang && !job.placements.empty()) return false;
-  if (!at_fault(job) || job.placements.empty()) return true;
-  if (!runs_well(job, now)) return false;
+  if (job.possible_placements.size() + job.done.count() >= job.spec().tasks) return false;
+  if (job.spec().kind == JobKind::Gang && !job.possible_placements.empty()) return false;
+  if (!at_fault(job) || job.possible_placements.empty()) return true;
+  if (!runs_steadily(job, now)) return false;
   count_success(job, now);
   return true;
 }
--- a/src/dispatch/zone_reachability.h
+++ b/src/dispatch/zone_reachability.h
@@ -13,7 +13,7 @@
 constexpr size_t kTooManyForChance = 3;
 
 /// Tells from the machines that are silent which zones are cut off, or seem so: most of a zone's
-/// machines don't fall silent together by themselves. What runs in such a zone goes on, so the
+/// machines don't fall silent together by themselves. What attempts in such a zone goes on, so the
 /// leader gives up nothing there, and rents nothing there since it would not hear of it. The leader
 /// counts the machines whenever it looks after them.
 class ZoneReachability {
--- a/src/fleet/machine.cpp
+++ b/src/fleet/machine.cpp
@@ -2,19 +2,19 @@
 
 namespace sumacquay {
 
-std::string_view name(Run::Phase phase) {
-  switch (phase) {
-    case Run::Phase::Ordered:
+std::string_view name(TaskAttemptState state) {
+  switch (state) {
+    case TaskAttemptState::Scheduled:
       return "ordered";
-    case Run::Phase::Fetching:
+    case TaskAttemptState::Fetching:
       return "fetching";
-    case Run::Phase::Waiting:
+    case TaskAttemptState::Waiting:
       return "waiting";
-    case Run::Phase::Running:
+    case TaskAttemptState::Running:
       return "running";
-    case Run::Phase::Saving:
+    case TaskAttemptState::Checkpointing:
       return "saving";
-    case Run::Phase::Exited:
+    case TaskAttemptState::Exited:
       return "exited";
   }
   return "unknown";
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -17,21 +17,23 @@
 constexpr Seconds kNever = -std::numeric_limits<Seconds>::infinity();
 
 /// One start of one task.
-struct RunKey {
+struct TaskAttemptId {
   TaskKey task;
   uint64_t attempt = 0;
-  auto operator<=>(const RunKey&) const = default;
+  auto operator<=>(const TaskAttemptId&) const = default;
 };
 
+/// How far an attempt is, as its worker last said.
+enum class TaskAttemptState { Scheduled, Fetching, Waiting, Running, Checkpointing, Exited };
+
 /// A task that is on a machine, or may be: it is here until it is proven to be gone.
-struct Run {
-  enum class Phase { Ordered, Fetching, Waiting, Running, Saving, Exited };
-  Phase phase = Phase::Ordered;
+struct TaskAttempt {
+  TaskAttemptState state = TaskAttemptState::Scheduled;
   ExitCause cause = ExitCause::None;
-  bool wanted = true;         ///< false: it is to stop
-  bool sent = false;          ///< a start may have left for the worker
-  bool graceful = false;      ///< stop: lets it save first
-  bool exit_handled = false;  ///< exit: has been taken into account
+  bool desired_running = true;  ///< false: it is to stop
+  bool start_sent = false;      ///< a start may have left for the worker
+  bool graceful = false;        ///< stop: lets it save first
+  bool exit_recorded = false;   ///< exit: has been taken into account
   Seconds placed_at = 0;
   std::optional<Seconds> running_since;
   std::optional<Seconds> stop_since;
@@ -40,7 +42,7 @@
   std::string image;
   double image_gb = 0;
 
-  bool present() const { return phase != Phase::Exited; }
+  bool possibly_present() const { return state != TaskAttemptState::Exited; }
 };
 
 /// An image on a machine.
@@ -78,7 +80,7 @@
   enum class Stage {
     Booting,    ///< rented, not heard yet
     Up,         ///< reports
-    Expired,    ///< its worker's lease has certainly ended: nothing runs there
+    Expired,    ///< its worker's lease has certainly ended: nothing attempts there
     Returning,  ///< the cloud was asked to take it back
   };
   /// Its record in the state service. Nothing is started on a machine before its record is durable.
@@ -93,14 +95,14 @@
   bool fencing_token_acknowledged = false;  ///< has shown the fencing token in force
   bool accounted = false;  ///< since the takeover: told what it has, or certainly has nothing
   Seconds last_heard = kNever;
-  /// When a heartbeat of its own came; answers to orders don't count, and show no lease renewed.
+  /// When a heartbeat of its own came; answers to commands don't count, and show no lease renewed.
   Seconds last_heartbeat = kNever;
   Seconds zone_back = kNever;      ///< when its zone was heard again
   Seconds last_answered = kNever;  ///< last answer that may renew
   /// An earlier leader may have answered it until the fence.
   bool earlier_leader_may_answer = true;
-  bool order_in_flight = false;
-  Seconds next_order = 0, next_greeting = 0;
+  bool commands_in_flight = false;
+  Seconds next_commands_at = 0, next_greeting_probe_at = 0;
   bool probe_in_flight = false;   ///< asked whether it is there
   bool probe_unanswered = false;  ///< it has not answered that
 
@@ -117,21 +119,22 @@
   ImageCache images;
   bool draining = false;  ///< its tasks are moved elsewhere: gets nothing new
 
-  std::map<RunKey, Run> runs;
+  std::map<TaskAttemptId, TaskAttempt> attempts;
 
   /// Something is to be started here.
-  void want_record() {
+  void request_host_record() {
     if (record == Record::None) record = Record::Wanted;
   }
   /// Since a takeover that may be so although none is known.
-  bool may_hold_tasks() const { return !accounted || has_presence(); }
-  bool has_presence() const {
-    return std::any_of(runs.begin(), runs.end(), [](const auto& r) { return r.second.present(); });
+  bool may_hold_tasks() const { return !accounted || has_possible_attempts(); }
+  bool has_possible_attempts() const {
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const auto& r) { return r.second.possibly_present(); });
   }
 };
 
 /// For logs.
-std::string_view name(Run::Phase phase);
+std::string_view name(TaskAttemptState state);
 std::string_view name(Machine::Stage stage);
 
 }  // namespace sumacquay
--- a/src/fleet/worker_heartbeat.h
+++ b/src/fleet/worker_heartbeat.h
@@ -16,7 +16,7 @@
 };
 
 /// How far a start of a task is.
-enum class TaskState { Fetching, Waiting, Running, Saving, Exited };
+enum class TaskState { Fetching, Waiting, Running, Checkpointing, Exited };
 /// Why a task has exited; `PeerHeartbeats`: another of its gang has.
 enum class ExitCause { None, Done, Stopped, PeerHeartbeats, Alone, Error, NoRoom, Busy, Unknown };
 
@@ -44,7 +44,8 @@
   auto operator<=>(const HeartbeatSequence&) const = default;
 };
 
-/// What a worker says of itself, in a heartbeat of its own or in the answer to an order or a probe.
+/// What a worker says of itself, in a heartbeat of its own or in the answer to an command or a
+/// probe.
 struct WorkerHeartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
--- a/src/fleetload/trial.cpp
+++ b/src/fleetload/trial.cpp
@@ -238,7 +238,7 @@
   }
   m.standin_cores = (after.own.cpu_s - before.own.cpu_s) / span;
   m.reports_per_s = rate(before.workers.heartbeats, after.workers.heartbeats);
-  m.orders_per_s = rate(before.workers.orders, after.workers.orders);
+  m.orders_per_s = rate(before.workers.worker_commands, after.workers.worker_commands);
   m.worker_bytes_per_s = rate(before.workers.bytes_in + before.workers.bytes_out,
                               after.workers.bytes_in + after.workers.bytes_out) /
                          settings_.machines;
--- a/src/jobs/guarantees.cpp
+++ b/src/jobs/guarantees.cpp
@@ -53,21 +53,21 @@
   return within;
 }
 
-RunningWork::RunningWork(const std::vector<TeamSettings>& teams) {
+RunningResources::RunningResources(const std::vector<TeamSettings>& teams) {
   for (const auto& team : teams) teams_[team.name].settings = &team;
 }
 
-void RunningWork::add(std::string_view team, const Amounts& amounts) {
+void RunningResources::add(std::string_view team, const Amounts& amounts) {
   const auto found = teams_.find(team);
   if (found != teams_.end()) found->second.running += amounts;
 }
 
-void RunningWork::remove(std::string_view team, const Amounts& amounts) {
+void RunningResources::remove(std::string_view team, const Amounts& amounts) {
   const auto found = teams_.find(team);
   if (found != teams_.end()) found->second.running -= amounts;
 }
 
-bool RunningWork::can_spare(std::string_view team, const Amounts& amounts) const {
+bool RunningResources::can_spare(std::string_view team, const Amounts& amounts) const {
   const auto found = teams_.find(team);
   if (found == teams_.end()) return false;
   const auto& [settings, running] = found->second;
--- a/src/jobs/guarantees.h
+++ b/src/jobs/guarantees.h
@@ -35,11 +35,11 @@
 
 /// What each team's tasks take, without those that are being stopped already, against its
 /// guarantee.
-class RunningWork {
+class RunningResources {
  public:
-  RunningWork() = default;
+  RunningResources() = default;
   /// The settings outlive it.
-  explicit RunningWork(const std::vector<TeamSettings>& teams);
+  explicit RunningResources(const std::vector<TeamSettings>& teams);
 
   void add(std::string_view team, const Amounts& amounts);
   void remove(std::string_view team, const Amounts& amounts);
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -6,9 +6,9 @@
 namespace sumacquay {
 namespace {
 
-/// How long an order may take: in heartbeat periods, but at most this part of a worker's lease.
+/// How long an command may take: in heartbeat periods, but at most this part of a worker's lease.
 constexpr double kCommandDeadlineHeartbeats = 1.5;
-constexpr double kOrderDeadlineLeaseShare = 0.2;
+constexpr double kCommandDeadlineLeaseShare = 0.2;
 /// How long a machine has to answer a probe / the workers' lease.
 constexpr double kProbeDeadlineLeaseShare = 0.05;
 /// How long the cloud has to answer / the workers' lease.
@@ -35,9 +35,9 @@
   workers_.clear();
 }
 
-Seconds ActionExecutor::order_deadline() const {
+Seconds ActionExecutor::command_deadline() const {
   return std::min(settings_.heartbeat_period_s * kCommandDeadlineHeartbeats,
-                  settings_.lease_s * kOrderDeadlineLeaseShare);
+                  settings_.lease_s * kCommandDeadlineLeaseShare);
 }
 
 void ActionExecutor::perform(const Action& action) {
@@ -53,31 +53,33 @@
   return heartbeat;
 }
 
-void ActionExecutor::perform(const SendOrders& order) {
-  waiting_.push_back({order, steady_now() + order_deadline()});
+void ActionExecutor::perform(const SendCommands& batch) {
+  waiting_.push_back({batch, steady_now() + command_deadline()});
   send_waiting();
 }
 
-/// The scheduler takes it for an order that may still be executed, which is safe and slower.
-void ActionExecutor::give_up(const SendOrders& order) {
-  asio::post(io_, [this, machine = order.machine, generation = scheduler_.generation()] {
+/// The scheduler takes it for an command that may still be executed, which is safe and slower.
+void ActionExecutor::give_up(const SendCommands& batch) {
+  asio::post(io_, [this, machine = batch.machine, generation = scheduler_.generation()] {
     if (Scheduler* scheduler = scheduler_.get(generation))
-      scheduler->orders_done(machine, std::nullopt, false, steady_now());
+      scheduler->on_commands_answered(machine, std::nullopt, false, steady_now());
   });
 }
 
-void ActionExecutor::send(const SendOrders& order, const std::shared_ptr<HttpClient>& client) {
+void ActionExecutor::send(const SendCommands& batch, const std::shared_ptr<HttpClient>& client) {
   client->request(
-      "POST", wire::path::kOrders,
-      wire::orders_body(order.fencing_token, order.agent_epoch, order.commands), order_deadline(),
-      [this, client, machine = order.machine,
+      "POST", wire::path::kWorkerCommands,
+      wire::worker_commands_body(batch.fencing_token, batch.agent_epoch, batch.commands),
+      command_deadline(),
+      [this, client, machine = batch.machine,
        generation = scheduler_.generation()](const HttpResult& result) {
         if (!scheduler_.get(generation)) return;
         const auto heartbeat = receive_heartbeat(result);
-        // The scheduler that sent the orders hears of them, also if the heartbeat's term
+        // The scheduler that sent the commands hears of them, also if the heartbeat's term
         // has just made this node step down: it is released later, by a posted handler.
         if (scheduler_)
-          scheduler_->orders_done(machine, heartbeat, result.ok() && heartbeat, steady_now());
+          scheduler_->on_commands_answered(machine, heartbeat, result.ok() && heartbeat,
+                                           steady_now());
         send_waiting();
       });
 }
@@ -88,28 +90,28 @@
   while (!waiting_.empty()) {
     const Seconds now = steady_now();
     const bool in_time = election_.may_act(now) && now < waiting_.front().until;
-    const auto client = in_time ? workers_.find_or_open(waiting_.front().order.addr) : nullptr;
+    const auto client = in_time ? workers_.find_or_open(waiting_.front().batch.addr) : nullptr;
     if (in_time && !client && workers_.all_busy()) return;
-    const SendOrders order = std::move(waiting_.front().order);
+    const SendCommands batch = std::move(waiting_.front().batch);
     waiting_.pop_front();
     if (client)
-      send(order, client);
+      send(batch, client);
     else
-      give_up(order);
+      give_up(batch);
   }
 }
 
 void ActionExecutor::perform(const Probe& probe) {
   const auto client = workers_.find_or_open(probe.addr);
-  if (!client) return scheduler_->not_probed(probe.machine);
-  client->request("POST", wire::path::kOrders,
-                  wire::orders_body(probe.fencing_token, probe.agent_epoch, {}),
+  if (!client) return scheduler_->on_probe_not_sent(probe.machine);
+  client->request("POST", wire::path::kWorkerCommands,
+                  wire::worker_commands_body(probe.fencing_token, probe.agent_epoch, {}),
                   settings_.lease_s * kProbeDeadlineLeaseShare,
                   [this, client, machine = probe.machine,
                    generation = scheduler_.generation()](const HttpResult& result) {
                     if (!scheduler_.get(generation)) return;
                     const auto heartbeat = receive_heartbeat(result);
-                    if (scheduler_) scheduler_->probed(machine, heartbeat, steady_now());
+                    if (scheduler_) scheduler_->on_probe_answered(machine, heartbeat, steady_now());
                     send_waiting();
                   });
 }
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -19,7 +19,7 @@
 /// Guarantees that the scheduler hears the outcome of every action, unless this node has stepped
 /// down since; never from inside `perform`, but for a probe that found no client. A term in a
 /// worker's answer is passed on before the outcome, and may make this node step down. With more
-/// machines than connections for orders, an order waits for a connection; it is sent only while
+/// machines than connections for orders, an command waits for a connection; it is sent only while
 /// this node leads.
 class ActionExecutor {
  public:
@@ -29,19 +29,19 @@
   void perform(const Action& action);
   /// This node no longer leads: its connections to workers are closed.
   void stop();
-  /// Orders that wait for a connection.
-  size_t waiting_orders() const { return waiting_.size(); }
+  /// Commands that wait for a connection.
+  size_t waiting_commands() const { return waiting_.size(); }
 
  private:
-  struct WaitingOrder {
-    SendOrders order;
+  struct WaitingCommands {
+    SendCommands batch;
     Seconds until = 0;  ///< then it is given up
   };
-  void perform(const SendOrders& order);
-  void send(const SendOrders& order, const std::shared_ptr<HttpClient>& client);
+  void perform(const SendCommands& batch);
+  void send(const SendCommands& batch, const std::shared_ptr<HttpClient>& client);
   void send_waiting();
-  void give_up(const SendOrders& order);
-  Seconds order_deadline() const;
+  void give_up(const SendCommands& batch);
+  Seconds command_deadline() const;
   void perform(const Probe& probe);
   void perform(const Rent& rent);
   void perform(const Release& release);
@@ -53,7 +53,8 @@
   LeaderElection& election_;
   ActiveScheduler& scheduler_;
   WorkerClients workers_;
-  std::deque<WaitingOrder> waiting_;  ///< one a machine at most: the scheduler sends one at a time
+  std::deque<WaitingCommands>
+      waiting_;  ///< one a machine at most: the scheduler sends one at a time
 };
 
 /// What the cloud's answer to a rent says. Without one it may still be carried out.
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -53,7 +53,7 @@
             if (scheduler_) scheduler_->set_types(machine_types_.types());
           }),
       machine_list_(io, settings, cloud_, scheduler_),
-      executor_(io, settings, sockets_.orders, cloud_, election_, scheduler_),
+      executor_(io, settings, sockets_.worker_commands, cloud_, election_, scheduler_),
       record_writer_(settings, store_, mirror_, scheduler_,
                      [this] { asio::post(io_, [this] { on_committed(); }); }),
       delegated_responder_(process_, settings.delegation_after_s(), settings.answers_s()),
--- a/src/node/worker_clients.cpp
+++ b/src/node/worker_clients.cpp
@@ -9,7 +9,7 @@
 namespace sumacquay {
 namespace {
 
-/// A worker gets one order at a time; the few more that may meet wait for the connection.
+/// A worker gets one command at a time; the few more that may meet wait for the connection.
 constexpr size_t kConnectionsPerWorker = 1;
 constexpr size_t kQueuedPerWorker = 4;
 
@@ -58,7 +58,7 @@
 }
 
 /// Finds the first that isn't busy: a look at all of thousands for each order would cost more than
-/// the order. The end: all are busy.
+/// the command. The end: all are busy.
 WorkerClients::Pool::const_iterator WorkerClients::longest_unused() const {
   return std::find_if(pool_.begin(), pool_.end(),
                       [](const PooledClient& pooled) { return pooled.client->in_progress() == 0; });
--- a/src/node/worker_clients.h
+++ b/src/node/worker_clients.h
@@ -10,8 +10,8 @@
 namespace sumacquay {
 
 /// HTTP clients for workers, kept for reuse. Called by the ActionExecutor for orders and probes.
-/// Guarantees that there are never more than `limit`, so that orders to a large fleet leave sockets
-/// for all else, and that a client with a request under way is kept.
+/// Guarantees that there are never more than `limit`, so that commands to a large fleet leave
+/// sockets for all else, and that a client with a request under way is kept.
 class WorkerClients {
  public:
   WorkerClients(asio::io_context& io, size_t limit) : io_(io), limit_(limit) {}
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -127,7 +127,7 @@
 
 /// Whether the victim's team keeps its guarantee if it loses this one beside those chosen already.
 bool team_can_spare(const Victim& victim, const std::vector<size_t>& chosen,
-                    const std::vector<Victim>& victims, const RunningWork& running) {
+                    const std::vector<Victim>& victims, const RunningResources& running) {
   Amounts lost = victim.stops;
   for (size_t v : chosen)
     if (victims[v].team == victim.team) lost += victims[v].stops;
@@ -227,7 +227,8 @@
 }
 
 std::optional<Preemption> preempt(const Demand& d, const std::vector<Slot>& slots,
-                                  const std::vector<Victim>& victims, const RunningWork& running) {
+                                  const std::vector<Victim>& victims,
+                                  const RunningResources& running) {
   std::vector<std::vector<size_t>> by_slot(slots.size());
   for (size_t v = 0; v < victims.size(); ++v)
     if (may_stop(d, victims[v])) by_slot[victims[v].slot].push_back(v);
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -111,6 +111,6 @@
 /// asked what a team can lose without falling below its guarantee.
 std::optional<Preemption> preempt(const Demand& demand, const std::vector<Slot>& slots,
                                   const std::vector<Victim>& victims,
-                                  const RunningWork& running = {});
+                                  const RunningResources& running = {});
 
 }  // namespace sumacquay
--- a/src/provision/provision.cpp
+++ b/src/provision/provision.cpp
@@ -20,11 +20,11 @@
 /// What renting this for `tasks` costs: the part that they use, half of the part that they leave
 /// (others may use it), and the wait for boot and image on top.
 double cost(const Offer& o, const JobSpec& spec, size_t tasks) {
-  const auto wanted = static_cast<double>(tasks);
+  const auto desired_running = static_cast<double>(tasks);
   const double each = dominant(spec.need, o.type->room);
   const double per_machine = std::max(1.0, std::floor(1 / each + 1e-9));
-  const double machines = std::ceil(wanted / per_machine);
-  const double used = std::min(machines, wanted * each);
+  const double machines = std::ceil(desired_running / per_machine);
+  const double used = std::min(machines, desired_running * each);
   const double fetch = spec.image_gb / std::max(o.type->fetch_gb_per_s, 1e-3);
   constexpr double kWaitScale = 120;  // seconds of waiting that count like the price itself
   return o.price * (0.5 * used + 0.5 * machines) * (1 + (o.type->boot_s + fetch) / kWaitScale);
--- a/src/standin/hollow_worker.cpp
+++ b/src/standin/hollow_worker.cpp
@@ -18,7 +18,7 @@
 constexpr Seconds kLeastPause = 0.5;
 constexpr double kHeartbeatEarly = 0.75;
 constexpr double kHeartbeatLate = 1.25;
-constexpr size_t kMostOrderConnections = 8;
+constexpr size_t kMaxCommandConnections = 8;
 constexpr size_t kHeartbeatConnections = 1;
 constexpr size_t kQueuedHeartbeats = 2;
 /// Bytes of an HTTP head as both sides write it, for the count of bytes.
@@ -32,9 +32,9 @@
 /// Later than anything that happens.
 constexpr Seconds kFarFuture = 1e12;
 
-HttpLimits order_limits() {
+HttpLimits command_limits() {
   HttpLimits limits;
-  limits.connections = kMostOrderConnections;
+  limits.connections = kMaxCommandConnections;
   return limits;
 }
 
@@ -42,9 +42,11 @@
 
 HollowWorker::HollowWorker(WorkerContext& context, WorkerState state, const Endpoint& listen)
     : context_(context), state_(std::move(state)), timer_(context.io) {
-  server_ = std::make_unique<HttpServer>(
-      context.io, listen, order_limits(),
-      [this](const HttpRequest& request, const Respond& respond) { on_orders(request, respond); });
+  server_ =
+      std::make_unique<HttpServer>(context.io, listen, command_limits(),
+                                   [this](const HttpRequest& request, const Respond& respond) {
+                                     on_commands(request, respond);
+                                   });
   state_.addr = listen.host + ":" + std::to_string(server_->port());
   controller_ = context.random() % context.controllers.size();
 }
@@ -132,7 +134,7 @@
       return set_exited(key, task, ExitCause::Alone);
     case TaskState::Running:
       return set_exited(key, task, ExitCause::Done);
-    case TaskState::Saving:
+    case TaskState::Checkpointing:
     case TaskState::Exited:
       return;
   }
@@ -245,13 +247,13 @@
 
 /// A 200 renews the lease, unless its fencing token is older than one that was seen.
 void HollowWorker::hear_leader(const std::string& body, Seconds sent_at, Seconds now) {
-  const auto orders = parse_orders(body);
-  if (!orders || orders->fencing_token < state_.fencing_token) return;
+  const auto worker_commands = parse_worker_commands(body);
+  if (!worker_commands || worker_commands->fencing_token < state_.fencing_token) return;
   ++context_.counts.heartbeats_answered;
-  if (orders->fencing_token > state_.fencing_token) heartbeat_soon(now);
-  state_.advance_fencing_token(orders->fencing_token);
+  if (worker_commands->fencing_token > state_.fencing_token) heartbeat_soon(now);
+  state_.advance_fencing_token(worker_commands->fencing_token);
   state_.answered_heartbeat = sent_at;
-  execute(orders->commands, now);
+  execute(worker_commands->commands, now);
 }
 
 void HollowWorker::turn_to(const std::string& controller, Seconds now) {
@@ -272,20 +274,20 @@
 
 // ---------------------------------------------------------------- orders
 
-void HollowWorker::on_orders(const HttpRequest& request, const Respond& respond) {
+void HollowWorker::on_commands(const HttpRequest& request, const Respond& respond) {
   if (silent_) return;  // the controller waits until it gives up
-  ++context_.counts.orders;
+  ++context_.counts.worker_commands;
   context_.counts.bytes_in += request.body.size() + kHeadBytes;
-  const auto orders = parse_orders(request.body);
-  if (!orders) return respond({kBadRequest, {}, 0});
+  const auto worker_commands = parse_worker_commands(request.body);
+  if (!worker_commands) return respond({kBadRequest, {}, 0});
   const Seconds now = steady_now();
   end_agent_epoch_if_expired(now);
-  const bool in_force =
-      orders->fencing_token >= state_.fencing_token && orders->agent_epoch == state_.agent_epoch;
+  const bool in_force = worker_commands->fencing_token >= state_.fencing_token &&
+                        worker_commands->agent_epoch == state_.agent_epoch;
   if (in_force) {
-    if (orders->fencing_token > state_.fencing_token) heartbeat_soon(now);
-    state_.advance_fencing_token(orders->fencing_token);
-    execute(orders->commands, now);
+    if (worker_commands->fencing_token > state_.fencing_token) heartbeat_soon(now);
+    state_.advance_fencing_token(worker_commands->fencing_token);
+    execute(worker_commands->commands, now);
   }
   const std::string body = worker_heartbeat_body(state_.heartbeat());
   context_.counts.bytes_out += body.size() + kHeadBytes;
--- a/src/standin/hollow_worker.h
+++ b/src/standin/hollow_worker.h
@@ -29,7 +29,7 @@
   uint64_t heartbeats = 0;               ///< sent
   uint64_t heartbeats_answered = 0;      ///< by a 200
   uint64_t redirects = 0;                ///< answers that named another controller
-  uint64_t orders = 0;                   ///< received straight from the leader
+  uint64_t worker_commands = 0;          ///< received straight from the leader
   uint64_t bytes_out = 0, bytes_in = 0;  ///< bodies and heads of both directions
   uint64_t leases_lost = 0;
 };
@@ -83,7 +83,7 @@
   void hear_leader(const std::string& body, Seconds sent_at, Seconds now);
   void turn_to(const std::string& controller, Seconds now);
   void turn_to_next(Seconds now);
-  void on_orders(const HttpRequest& request, const Respond& respond);
+  void on_commands(const HttpRequest& request, const Respond& respond);
   void execute(const std::vector<Command>& commands, Seconds now);
   void start_task(const Command& command, Seconds now);
   Seconds random_between(Seconds least, Seconds most);
--- a/src/standin/messages.cpp
+++ b/src/standin/messages.cpp
@@ -48,19 +48,19 @@
   return Command{*verb, *key, *attempt, map["easing_s"].number().value_or(0)};
 }
 
-std::optional<WorkerOrders> read_orders(View root) {
-  WorkerOrders orders;
+std::optional<WorkerCommands> read_commands(View root) {
+  WorkerCommands worker_commands;
   const auto fencing_token = root[field::kFencingToken].count();
   if (!fencing_token) return std::nullopt;
-  orders.fencing_token = *fencing_token;
-  orders.agent_epoch = root[field::kAgentEpoch].count().value_or(0);
+  worker_commands.fencing_token = *fencing_token;
+  worker_commands.agent_epoch = root[field::kAgentEpoch].count().value_or(0);
   const View list = root["orders"];
   for (size_t i = 0; i < list.size(); ++i) {
     auto command = read_command(list.at(i));
     if (!command) return std::nullopt;
-    orders.commands.push_back(std::move(*command));
+    worker_commands.commands.push_back(std::move(*command));
   }
-  return orders;
+  return worker_commands;
 }
 
 void pack_task(Packer& packer, const TaskStatus& task) {
@@ -191,8 +191,8 @@
   });
 }
 
-std::optional<WorkerOrders> parse_orders(std::string_view body) {
-  return read_root<WorkerOrders>(body, read_orders);
+std::optional<WorkerCommands> parse_worker_commands(std::string_view body) {
+  return read_root<WorkerCommands>(body, read_commands);
 }
 
 std::string parse_redirect(std::string_view body) {
--- a/src/standin/messages.h
+++ b/src/standin/messages.h
@@ -18,14 +18,14 @@
 
 std::string worker_heartbeat_body(const WorkerHeartbeat& heartbeat);
 
-/// What a controller tells a worker, in the answer to a heartbeat or as orders.
-struct WorkerOrders {
+/// What a controller tells a worker, in the answer to a heartbeat or as commands.
+struct WorkerCommands {
   uint64_t fencing_token = 0;
-  uint64_t agent_epoch = 0;  ///< of orders alone
+  uint64_t agent_epoch = 0;  ///< of commands alone
   std::vector<Command> commands;
 };
 /// None without a fencing token, or if a command is invalid.
-std::optional<WorkerOrders> parse_orders(std::string_view body);
+std::optional<WorkerCommands> parse_worker_commands(std::string_view body);
 /// The controller that a redirected worker is to report to; empty if it isn't named.
 std::string parse_redirect(std::string_view body);
 
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -245,7 +245,7 @@
   } else {
     auto record = wire::decode_job(item.value);
     if (!record) return spdlog::error("record {} can't be read", item.key);
-    note_dependencies(*record);
+    track_dependencies(*record);
     live_[id] = {std::move(*record), item.version};
   }
   if (loaded()) tell_job_changed(id);
@@ -287,7 +287,7 @@
 
 /// Jobs that are over when others come to depend on them are known from memory, or read. They stay
 /// among the live ones until nothing of them is left anywhere.
-void Mirror::note_dependencies(const JobRecord& record) {
+void Mirror::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
     if (const auto* known = finished(id)) dependencies_.finished(id, known->state, known->ended_ms);
@@ -373,7 +373,7 @@
   auto& known = live_[id];
   if (known.version >= version) return;
   known = {record, version};
-  note_dependencies(record);
+  track_dependencies(record);
   tell_job_changed(id);
 }
 
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -136,7 +136,7 @@
   void apply_term(const wire::StoreItem& item);
   void remember_finished(const std::string& id, FinishedRecord record);
   bool ahead(uint64_t version) const;
-  void note_dependencies(const JobRecord& record);
+  void track_dependencies(const JobRecord& record);
   void read_unknown_dependencies();
   void read_dependency(const std::string& id);
   void tell_job_changed(const std::string& id) const;
--- a/src/wire/spellings.h
+++ b/src/wire/spellings.h
@@ -12,7 +12,7 @@
 inline constexpr Spellings<TaskState, 5> kTaskStates{{{TaskState::Fetching, "fetching"},
                                                       {TaskState::Waiting, "waiting"},
                                                       {TaskState::Running, "running"},
-                                                      {TaskState::Saving, "flushing"},
+                                                      {TaskState::Checkpointing, "flushing"},
                                                       {TaskState::Exited, "exited"}}};
 inline constexpr Spellings<ExitCause, 8> kExitCauses{{{ExitCause::Done, "done"},
                                                       {ExitCause::Stopped, "stopped"},
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -115,8 +115,8 @@
   });
 }
 
-std::string orders_body(uint64_t fencing_token, uint64_t agent_epoch,
-                        const std::vector<Command>& commands) {
+std::string worker_commands_body(uint64_t fencing_token, uint64_t agent_epoch,
+                                 const std::vector<Command>& commands) {
   return build([&](Packer& packer) {
     packer.pack_map(3);
     pack_field(packer, field::kFencingToken, fencing_token);
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -8,16 +8,16 @@
 #include "fleet/worker_heartbeat.h"
 
 /// What workers and controllers say to one another. Workers report to a controller, and its answer
-/// carries commands; the leader also sends commands of its own accord, as orders, which a worker
+/// carries commands; the leader also sends commands of its own accord, as commands, which a worker
 /// answers with a heartbeat. The node calls it.
 namespace sumacquay::wire {
 
 namespace path {
 inline constexpr const char* kWorkerHeartbeat = "/hello";  ///< on a controller
-inline constexpr const char* kOrders = "/orders";          ///< on a worker
+inline constexpr const char* kWorkerCommands = "/orders";  ///< on a worker
 }  // namespace path
 
-/// Reads a heartbeat, or a worker's answer to orders; none if any part of it is invalid.
+/// Reads a heartbeat, or a worker's answer to commands; none if any part of it is invalid.
 std::optional<WorkerHeartbeat> parse_worker_heartbeat(std::string_view body);
 
 /// Answers a heartbeat, which renews the worker's lease. `fencing_token` is the one in force for
@@ -28,9 +28,9 @@
 /// empty where it isn't known.
 std::string redirect_body(const std::string& node);
 
-/// Orders for one agent epoch of a worker. Without commands they only probe it and show the fencing
-/// token.
-std::string orders_body(uint64_t fencing_token, uint64_t agent_epoch,
-                        const std::vector<Command>& commands);
+/// Commands for one agent epoch of a worker. Without commands they only probe it and show the
+/// fencing token.
+std::string worker_commands_body(uint64_t fencing_token, uint64_t agent_epoch,
+                                 const std::vector<Command>& commands);
 
 }  // namespace sumacquay::wire
--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -58,13 +58,13 @@
     }
   }
 
-  void order(const Worker& worker) {
-    SendOrders order;
-    order.machine = "at " + worker.address;
-    order.addr = worker.address;
-    order.fencing_token = kTerm << kFencingTokenCounterBits;
-    order.agent_epoch = 1;
-    executor.perform(Action(order));
+  void batch(const Worker& worker) {
+    SendCommands batch;
+    batch.machine = "at " + worker.address;
+    batch.addr = worker.address;
+    batch.fencing_token = kTerm << kFencingTokenCounterBits;
+    batch.agent_epoch = 1;
+    executor.perform(Action(batch));
   }
 
   size_t asked() const {
@@ -92,8 +92,8 @@
 TEST_F(OrdersToManyWorkers, WaitForAConnectionAndAllArrive) {
   constexpr int kWorkers = 9;
   add_workers(kWorkers);
-  for (const auto& worker : workers) order(*worker);
-  EXPECT_EQ(executor.waiting_orders(), kWorkers - kConnections);
+  for (const auto& worker : workers) batch(*worker);
+  EXPECT_EQ(executor.waiting_commands(), kWorkers - kConnections);
   size_t arrived = 0;
   while (arrived < kWorkers) {
     const size_t expected = std::min<size_t>(kConnections, kWorkers - arrived);
@@ -101,17 +101,17 @@
     arrived += expected;
     answer_all();
   }
-  EXPECT_EQ(executor.waiting_orders(), 0u);
+  EXPECT_EQ(executor.waiting_commands(), 0u);
 }
 
 TEST_F(OrdersToManyWorkers, AreNotSentOnceThisNodeLeadsNoMore) {
   constexpr int kWorkers = 3;
   add_workers(kWorkers);
-  for (const auto& worker : workers) order(*worker);
+  for (const auto& worker : workers) batch(*worker);
   ASSERT_TRUE(run_until([&] { return asked() == kConnections; }));
   election.observe_term(steady_now(), kTerm + 1);
   answer_all();
-  ASSERT_TRUE(run_until([&] { return executor.waiting_orders() == 0; }));
+  ASSERT_TRUE(run_until([&] { return executor.waiting_commands() == 0; }));
   io.restart();
   io.run_for(std::chrono::milliseconds(200));
   EXPECT_EQ(asked(), 0u);
@@ -119,10 +119,10 @@
 
 TEST_F(OrdersToManyWorkers, AreForgottenWhenTheNodeStepsDown) {
   add_workers(3);
-  for (const auto& worker : workers) order(*worker);
-  EXPECT_EQ(executor.waiting_orders(), 1u);
+  for (const auto& worker : workers) batch(*worker);
+  EXPECT_EQ(executor.waiting_commands(), 1u);
   executor.stop();
-  EXPECT_EQ(executor.waiting_orders(), 0u);
+  EXPECT_EQ(executor.waiting_commands(), 0u);
 }
 
 }  // namespace
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -88,7 +88,7 @@
 
 TEST_F(LargeArray, ATakeoverLooksAtEachTaskOnce) {
   take_over();
-  ASSERT_EQ(scheduler->jobs().at("job-1").placements.size(), kTasks);
+  ASSERT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), kTasks);
   EXPECT_LE(scheduler->work().adoption_checks, kTasks);
 }
 
@@ -97,7 +97,7 @@
     scheduler->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
   heartbeat_all(1, TaskState::Running);
   scheduler->job_stored(array("job-1", kTasks), 5, now);
-  ASSERT_EQ(scheduler->jobs().at("job-1").placements.size(), kTasks);
+  ASSERT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), kTasks);
   EXPECT_LE(scheduler->work().adoption_checks, 2 * kTasks);
 }
 
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -21,7 +21,7 @@
 WorkerHeartbeat heartbeat() {
   WorkerHeartbeat r;
   r.fencing_token = 7 << 20;
-  r.tasks = {{{"job-1", 0}, 4, TaskState::Running}, {{"job-2", 3}, 5, TaskState::Saving}};
+  r.tasks = {{{"job-1", 0}, 4, TaskState::Running}, {{"job-2", 3}, 5, TaskState::Checkpointing}};
   return r;
 }
 bool none_ended(const std::string& /*job*/) {
--- a/tests/dependents_test.cpp
+++ b/tests/dependents_test.cpp
@@ -78,20 +78,21 @@
 
   bool placed(const std::string& id) const {
     const auto found = scheduler_->jobs().find(id);
-    return found != scheduler_->jobs().end() && !found->second.placements.empty();
+    return found != scheduler_->jobs().end() && !found->second.possible_placements.empty();
   }
 
   size_t being_stopped(const std::string& id) const {
-    const auto& runs = scheduler_->machines().at("i-1").runs;
-    return static_cast<size_t>(std::count_if(runs.begin(), runs.end(), [&](const auto& entry) {
-      return entry.first.task.job == id && !entry.second.wanted;
-    }));
+    const auto& attempts = scheduler_->machines().at("i-1").attempts;
+    return static_cast<size_t>(
+        std::count_if(attempts.begin(), attempts.end(), [&](const auto& entry) {
+          return entry.first.task.job == id && !entry.second.desired_running;
+        }));
   }
 
   /// All tasks of a job that is placed have run to their end.
   void finish(const std::string& id) {
     std::vector<TaskStatus> tasks;
-    for (const auto& [task, places] : scheduler_->jobs().at(id).placements)
+    for (const auto& [task, places] : scheduler_->jobs().at(id).possible_placements)
       for (const auto& place : places)
         tasks.push_back({{id, task}, place.attempt, TaskState::Exited, ExitCause::Done});
     heartbeat(tasks);
@@ -191,7 +192,7 @@
   borrowed.spec.tasks = 8;
   store(borrowed);
   round();
-  ASSERT_EQ(scheduler_->jobs().at("job-1").placements.size(), 8u);
+  ASSERT_EQ(scheduler_->jobs().at("job-1").possible_placements.size(), 8u);
   auto waits = job("job-2", {"job-9"});
   waits.spec.tasks = 4;
   store(waits);
@@ -235,7 +236,7 @@
   store(plain);
   round();
   EXPECT_TRUE(placed("job-1"));
-  EXPECT_EQ(scheduler_->jobs().at("job-5").placements.size(), 4u)
+  EXPECT_EQ(scheduler_->jobs().at("job-5").possible_placements.size(), 4u)
       << "what the limit of 6 CPUs leaves";
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -74,10 +74,10 @@
       }
       for (const auto& a : scheduler_->tick(now_)) {
         if (const auto* p = std::get_if<Probe>(&a))
-          scheduler_->probed(p->machine, std::nullopt, now_);
-        if (const auto* o = std::get_if<SendOrders>(&a)) {
+          scheduler_->on_probe_answered(p->machine, std::nullopt, now_);
+        if (const auto* o = std::get_if<SendCommands>(&a)) {
           note(o->commands);
-          scheduler_->orders_done(o->machine, std::nullopt, true, now_);
+          scheduler_->on_commands_answered(o->machine, std::nullopt, true, now_);
         }
         if (const auto* r = std::get_if<Rent>(&a))
           scheduler_->rent_done(*r, Scheduler::RentOutcome::Refused, {}, now_);
@@ -132,7 +132,7 @@
   pass(26, dies);
   EXPECT_EQ(gone_.size(), 200u) << "all of them, and nobody else";
   for (int i = 0; i < kMachines; ++i) {
-    const auto& at = scheduler_->jobs().at(job(i)).placements;
+    const auto& at = scheduler_->jobs().at(job(i)).possible_placements;
     ASSERT_EQ(at.size(), 1u);
     ASSERT_EQ(at.begin()->second.size(), 1u);
     EXPECT_EQ(started_.contains(job(i)), dies(i)) << job(i);
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -107,7 +107,7 @@
   heartbeat.preemption_notice_s = 25.5;
   uint32_t task = 0;
   for (const auto state :
-       {TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving})
+       {TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Checkpointing})
     heartbeat.tasks.push_back({{"job-1", task++}, 70000, state, ExitCause::None});
   for (const auto cause :
        {ExitCause::Done, ExitCause::Stopped, ExitCause::PeerHeartbeats, ExitCause::Alone,
@@ -186,7 +186,8 @@
       {"worker.report_answer",
        hex(wire::heartbeat_answer(fencing_token, one_command_of_each_verb()))},
       {"worker.redirect", hex(wire::redirect_body("n0"))},
-      {"worker.orders", hex(wire::orders_body(fencing_token, 5, one_command_of_each_verb()))},
+      {"worker.orders",
+       hex(wire::worker_commands_body(fencing_token, 5, one_command_of_each_verb()))},
       {"user.submission", hex(standin::submission_body(spec_with_every_field()))},
       {"user.job_answer", hex(wire::job_answer("job-1", wire::ShownState::Cancelled))},
       {"user.job_status", hex(wire::job_status("job-1", wire::ShownState::Running, 3, 400))},
@@ -247,12 +248,14 @@
     put("heartbeat", wire::encode_peer_heartbeat(*heartbeat));
   if (const auto heartbeat = wire::parse_worker_heartbeat(bytes("worker.report")))
     put("worker.report", standin::worker_heartbeat_body(*heartbeat));
-  if (const auto orders = standin::parse_orders(bytes("worker.report_answer")))
-    put("worker.report_answer", wire::heartbeat_answer(orders->fencing_token, orders->commands));
+  if (const auto worker_commands = standin::parse_worker_commands(bytes("worker.report_answer")))
+    put("worker.report_answer",
+        wire::heartbeat_answer(worker_commands->fencing_token, worker_commands->commands));
   put("worker.redirect", wire::redirect_body(standin::parse_redirect(bytes("worker.redirect"))));
-  if (const auto orders = standin::parse_orders(bytes("worker.orders")))
+  if (const auto worker_commands = standin::parse_worker_commands(bytes("worker.orders")))
     put("worker.orders",
-        wire::orders_body(orders->fencing_token, orders->agent_epoch, orders->commands));
+        wire::worker_commands_body(worker_commands->fencing_token, worker_commands->agent_epoch,
+                                   worker_commands->commands));
   if (const auto job = wire::parse_job(bytes("user.submission")); job.spec)
     put("user.submission", standin::submission_body(*job.spec));
   if (const auto status = standin::parse_job_status(bytes("user.job_status")))
--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -73,7 +73,7 @@
 
 TEST(Guarantees, ATeamSparesOnlyWhatItRunsBeyondItsGuarantee) {
   const std::vector<TeamSettings> teams{team("a", 0, 4), team("guest", 0, 0)};
-  RunningWork running(teams);
+  RunningResources running(teams);
   running.add("a", {100, 6, 0});
   running.add("guest", {10, 1, 0});
   EXPECT_TRUE(running.can_spare("a", {50, 2, 0}));
@@ -87,7 +87,7 @@
 /// Two teams, one full machine of 8 GPUs.
 struct GivesWay : ::testing::Test {
   std::vector<TeamSettings> teams{team("gains", 0, 8), team("loses", 0, 2)};
-  RunningWork running{teams};
+  RunningResources running{teams};
   JobSpec job = spec("job", "gains", 1, {1, 1, 1});
   Demand demand;
   std::vector<Slot> slots{1};
@@ -187,7 +187,7 @@
     unfinished.reserve(jobs.size());
     for (const auto& job : jobs) unfinished.push_back({&job, job.tasks, 1});
     const JobIds within = within_guarantee(teams, unfinished);
-    RunningWork running(teams);
+    RunningResources running(teams);
     for (const auto& job : jobs) running.add(job.team, job.need.times(job.tasks));
 
     std::vector<Slot> slots(1);
@@ -250,10 +250,11 @@
         carry_out(tasks, scheduler_->on_heartbeat(heartbeat(id), true, now_).commands);
       }
       for (const auto& action : scheduler_->tick(now_)) {
-        if (const auto* orders = std::get_if<SendOrders>(&action)) {
-          carry_out(machines_.at(orders->machine), orders->commands);
-          fencing_token_[orders->machine] = orders->fencing_token;
-          scheduler_->orders_done(orders->machine, heartbeat(orders->machine), true, now_);
+        if (const auto* worker_commands = std::get_if<SendCommands>(&action)) {
+          carry_out(machines_.at(worker_commands->machine), worker_commands->commands);
+          fencing_token_[worker_commands->machine] = worker_commands->fencing_token;
+          scheduler_->on_commands_answered(worker_commands->machine,
+                                           heartbeat(worker_commands->machine), true, now_);
         }
         if (const auto* rent = std::get_if<Rent>(&action))
           scheduler_->rent_done(*rent, Scheduler::RentOutcome::Refused, {}, now_);
@@ -282,7 +283,7 @@
     TaskState state = TaskState::Running;
     Seconds stops_at = 0;
   };
-  using Tasks = std::map<RunKey, Task>;
+  using Tasks = std::map<TaskAttemptId, Task>;
 
   WorkerHeartbeat heartbeat(const std::string& id) {
     WorkerHeartbeat r;
@@ -301,20 +302,21 @@
 
   void carry_out(Tasks& tasks, const std::vector<Command>& commands) {
     for (const auto& command : commands) {
-      const RunKey key{command.key, command.attempt};
+      const TaskAttemptId key{command.key, command.attempt};
       if (command.verb == Verb::Start) tasks.try_emplace(key);
       if (command.verb == Verb::Forget) tasks.erase(key);
       const auto found = tasks.find(key);
       if (command.verb != Verb::Stop || found == tasks.end()) continue;
       if (found->second.state != TaskState::Running) continue;
-      found->second = {TaskState::Saving, now_ + kStopTakes};
+      found->second = {TaskState::Checkpointing, now_ + kStopTakes};
       ++stops_[key.task.job];
     }
   }
 
   void end_stopped(Tasks& tasks) const {
     for (auto& [key, task] : tasks)
-      if (task.state == TaskState::Saving && now_ >= task.stops_at) task.state = TaskState::Exited;
+      if (task.state == TaskState::Checkpointing && now_ >= task.stops_at)
+        task.state = TaskState::Exited;
   }
 
   std::map<std::string, Tasks> machines_;
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -62,10 +62,10 @@
         scheduler.write_done(w, true, ++revision, now);
   }
 
-  static std::vector<SendOrders> orders(const std::vector<Action>& actions) {
-    std::vector<SendOrders> out;
+  static std::vector<SendCommands> worker_commands(const std::vector<Action>& actions) {
+    std::vector<SendCommands> out;
     for (const auto& a : actions)
-      if (const auto* o = std::get_if<SendOrders>(&a)) out.push_back(*o);
+      if (const auto* o = std::get_if<SendCommands>(&a)) out.push_back(*o);
     return out;
   }
 
@@ -78,12 +78,12 @@
   const auto fencing_token =
       scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
   scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
-  EXPECT_TRUE(orders(scheduler->tick(now + 0.2)).empty());
-  EXPECT_FALSE(scheduler->jobs().at("job-1").placements.empty()) << "placed";
+  EXPECT_TRUE(worker_commands(scheduler->tick(now + 0.2)).empty());
+  EXPECT_FALSE(scheduler->jobs().at("job-1").possible_placements.empty()) << "placed";
   EXPECT_TRUE(scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token), true, now + 0.3)
                   .commands.empty());
   write_all(*scheduler);
-  const auto sent = orders(scheduler->tick(now + 0.4));
+  const auto sent = worker_commands(scheduler->tick(now + 0.4));
   ASSERT_EQ(sent.size(), 1u);
   EXPECT_EQ(sent[0].commands.size(), 2u);
 }
@@ -99,9 +99,9 @@
   const auto writes = scheduler->wanted_writes(now + 0.2, 20);
   ASSERT_EQ(writes.size(), 1u);
   EXPECT_EQ(writes[0].host, "i-9") << "a new leader must know every place to ask";
-  EXPECT_TRUE(orders(scheduler->tick(now + 0.3)).empty());
+  EXPECT_TRUE(worker_commands(scheduler->tick(now + 0.3)).empty());
   scheduler->write_done(writes[0], true, 200, now + 0.4);
-  EXPECT_EQ(orders(scheduler->tick(now + 0.5)).size(), 1u);
+  EXPECT_EQ(worker_commands(scheduler->tick(now + 0.5)).size(), 1u);
 }
 
 TEST_F(Fixture, NothingIsStartedWhereAWriteUnderWayDropsTheMachineFromTheRecord) {
@@ -122,19 +122,19 @@
     r.preemption_notice_s = notice;
     return scheduler->on_heartbeat(r, true, now);
   };
-  const TaskStatus runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
+  const TaskStatus attempts{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
   const TaskStatus ended{{"job-1", 2}, 8, TaskState::Exited, ExitCause::Done};
-  show("i-8", 1, {runs, ended});
+  show("i-8", 1, {attempts, ended});
   show("i-9", 1, {}, 60);
   ASSERT_TRUE(scheduler->all_accounted());
   now += 2;
   const auto progress = scheduler->wanted_writes(now, 20);
   ASSERT_EQ(progress.size(), 1u);
   EXPECT_EQ(progress[0].record->hosts, std::vector<std::string>{"i-8"});
-  show("i-8", 2, {runs});
+  show("i-8", 2, {attempts});
   show("i-9", 2, {});
   scheduler->tick(now);
-  ASSERT_EQ(scheduler->jobs().at("job-1").placements.count(1), 1u) << "placed on i-9";
+  ASSERT_EQ(scheduler->jobs().at("job-1").possible_placements.count(1), 1u) << "placed on i-9";
   EXPECT_TRUE(show("i-9", 3, {}).commands.empty());
   scheduler->write_done(progress[0], false, 0, now);
   EXPECT_TRUE(show("i-9", 4, {}).commands.empty()) << "it may still be applied";
@@ -153,7 +153,7 @@
   now += settings.lease_s - 1;
   auto next = heartbeat("i-1", 2, uint64_t{1} << 20);
   next.agent_epoch = 2;
-  scheduler->probed("i-1", next, now);
+  scheduler->on_probe_answered("i-1", next, now);
   now += 2;
   scheduler->tick(now);
   EXPECT_EQ(scheduler->machines().at("i-1").stage, Machine::Stage::Up);
@@ -166,7 +166,7 @@
   for (int i = 1; i < 5; ++i)
     scheduler->host_stored({"i-" + std::to_string(i), "10.0.0.2:9", "g", "e", false}, now);
   scheduler->job_stored(record, 5, now);
-  const TaskStatus runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
+  const TaskStatus attempts{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
   size_t probes = 0;
   size_t released = 0;
   bool sockets = true;
@@ -181,13 +181,14 @@
         if (const auto* p = std::get_if<Probe>(&a)) {
           ++probes;
           if (answer) answer->sequence_number = static_cast<uint64_t>(now * 10);
-          sockets ? scheduler->probed(p->machine, answer, now) : scheduler->not_probed(p->machine);
+          sockets ? scheduler->on_probe_answered(p->machine, answer, now)
+                  : scheduler->on_probe_not_sent(p->machine);
         }
         if (std::holds_alternative<Release>(a)) ++released;
       }
     }
   };
-  auto first = heartbeat("i-1", 1, uint64_t{1} << 20, {runs});
+  auto first = heartbeat("i-1", 1, uint64_t{1} << 20, {attempts});
   scheduler->on_heartbeat(first, true, now);
   answer = first;
   pass(5, true);
@@ -213,8 +214,8 @@
   for (int i = 1; i < 5; ++i)
     scheduler->host_stored({"i-" + std::to_string(i), "10.0.0.2:9", "g", "e", false}, now);
   scheduler->job_stored(record, 5, now);
-  const TaskStatus runs{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
-  scheduler->on_heartbeat(heartbeat("i-1", 1, uint64_t{1} << 20, {runs}), true, now);
+  const TaskStatus attempts{{"job-1", 0}, 7, TaskState::Running, ExitCause::None};
+  scheduler->on_heartbeat(heartbeat("i-1", 1, uint64_t{1} << 20, {attempts}), true, now);
   const Seconds silent_since = now;
   std::optional<Seconds> released_at;
   constexpr Seconds kBetweenTicks = 2;
@@ -226,7 +227,7 @@
     if (step % kStepsBetweenTicks != 0) continue;
     for (const auto& action : scheduler->tick(now)) {
       if (const auto* probe = std::get_if<Probe>(&action))
-        scheduler->probed(probe->machine, std::nullopt, now);
+        scheduler->on_probe_answered(probe->machine, std::nullopt, now);
       if (std::holds_alternative<Release>(action) && !released_at) released_at = now;
     }
   }
@@ -250,7 +251,7 @@
       if (const auto* r = std::get_if<Release>(&a)) scheduler->release_done(*r, true, now);
   }
   EXPECT_EQ(scheduler->machines().count("i-7"), 0u);
-  EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u) << "placed on i-9";
+  EXPECT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), 2u) << "placed on i-9";
 }
 
 TEST_F(Fixture, OnlyJobsThatMayBeOnAMissingMachineWaitForIt) {
@@ -270,9 +271,9 @@
   for (const auto* r : {&record, &other, &anywhere}) scheduler->job_stored(*r, 5, now);
   scheduler->on_heartbeat(heartbeat("i-9", 1, uint64_t{1} << 20), true, now);
   scheduler->tick(now);
-  EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
-  EXPECT_EQ(scheduler->jobs().at("job-2").placements.size(), 2u);
-  EXPECT_TRUE(scheduler->jobs().at("job-3").placements.empty());
+  EXPECT_TRUE(scheduler->jobs().at("job-1").possible_placements.empty());
+  EXPECT_EQ(scheduler->jobs().at("job-2").possible_placements.size(), 2u);
+  EXPECT_TRUE(scheduler->jobs().at("job-3").possible_placements.empty());
 }
 
 TEST_F(Fixture, ASilentMachineIsGivenUpThoughAnOrderToItWentUnanswered) {
@@ -284,8 +285,8 @@
   scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   scheduler->tick(now + 0.2);
   write_all(*scheduler);
-  ASSERT_EQ(orders(scheduler->tick(now + 0.3)).size(), 1u);
-  scheduler->orders_done("i-9", std::nullopt, false, now + 0.9);
+  ASSERT_EQ(worker_commands(scheduler->tick(now + 0.3)).size(), 1u);
+  scheduler->on_commands_answered("i-9", std::nullopt, false, now + 0.9);
   bool released = false;
   for (double t = 1; t < settings.lease_s * 0.6; t += 0.1)
     for (const auto& a : scheduler->tick(now + t))
@@ -431,14 +432,14 @@
     scheduler->on_heartbeat(heartbeat(id, 2, 1 << 20), true, now);
     now += 1;
     scheduler->tick(now);
-    return scheduler->machines().at(id).runs;
+    return scheduler->machines().at(id).attempts;
   };
   now += 1;
   EXPECT_TRUE(comes_up("i-1").empty()) << "held for the gang, though one machine is not enough";
-  const auto runs = comes_up("i-2");
-  ASSERT_EQ(runs.size(), 1u);
-  EXPECT_EQ(runs.begin()->first.task.job, "job-1");
-  EXPECT_EQ(scheduler->machines().at("i-1").runs.size(), 1u);
+  const auto attempts = comes_up("i-2");
+  ASSERT_EQ(attempts.size(), 1u);
+  EXPECT_EQ(attempts.begin()->first.task.job, "job-1");
+  EXPECT_EQ(scheduler->machines().at("i-1").attempts.size(), 1u);
   EXPECT_EQ(comes_up("i-3").begin()->first.task.job, "job-2") << "and nothing more than it needs";
 }
 
@@ -452,7 +453,7 @@
   auto step = [&, sequence_number = uint64_t{1}](double at) mutable {
     scheduler->on_heartbeat(heartbeat("i-9", ++sequence_number, fencing_token), true, at);
     scheduler->tick(at);
-    return scheduler->jobs().at("job-1").placements.size();
+    return scheduler->jobs().at("job-1").possible_placements.size();
   };
   for (double t = 0.5; t < 19.9; t += 0.5)
     ASSERT_EQ(step(now + t), 0u) << "an earlier leader may have answered it until " << t;
@@ -486,7 +487,8 @@
       scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
   scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   scheduler->tick(now + 0.2);
-  EXPECT_EQ(scheduler->jobs().at("job-2").placements.size(), 1u) << "three of four may be taken";
+  EXPECT_EQ(scheduler->jobs().at("job-2").possible_placements.size(), 1u)
+      << "three of four may be taken";
 }
 
 TEST_F(Fixture, AnAnswerToOrdersIsNoProofThatAStartInAReportsAnswerCameToNothing) {
@@ -503,11 +505,11 @@
   record.state = JobState::Cancelled;
   record.started = true;
   scheduler->job_stored(record, 500, now + 0.3);
-  scheduler->orders_done("i-9", heartbeat("i-9", 4, fencing_token), true, now + 0.4);
-  EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u)
+  scheduler->on_commands_answered("i-9", heartbeat("i-9", 4, fencing_token), true, now + 0.4);
+  EXPECT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), 2u)
       << "the start may still be on its way";
   scheduler->on_heartbeat(heartbeat("i-9", 5, fencing_token), true, now + 1);
-  EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
+  EXPECT_TRUE(scheduler->jobs().at("job-1").possible_placements.empty());
 }
 
 TEST_F(Fixture, WhileAnOrderIsOutAReportProvesNothingAndGetsNoCommands) {
@@ -517,20 +519,20 @@
   scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   scheduler->tick(now + 0.2);
   write_all(*scheduler);
-  ASSERT_EQ(orders(scheduler->tick(now + 0.3)).size(), 1u);
+  ASSERT_EQ(worker_commands(scheduler->tick(now + 0.3)).size(), 1u);
   record.state = JobState::Cancelled;
   record.started = true;
   scheduler->job_stored(record, 500, now + 0.3);
   EXPECT_TRUE(scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token), true, now + 0.5)
                   .commands.empty());
-  EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u);
-  scheduler->orders_done("i-9", std::nullopt, false, now + 2);
+  EXPECT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), 2u);
+  scheduler->on_commands_answered("i-9", std::nullopt, false, now + 2);
   const auto raised =
       scheduler->on_heartbeat(heartbeat("i-9", 4, fencing_token), true, now + 2.1).fencing_token;
   EXPECT_GT(raised, fencing_token) << "the order may be executed minutes late: the token ends that";
-  EXPECT_EQ(scheduler->jobs().at("job-1").placements.size(), 2u);
+  EXPECT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), 2u);
   scheduler->on_heartbeat(heartbeat("i-9", 5, raised), true, now + 3);
-  EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty());
+  EXPECT_TRUE(scheduler->jobs().at("job-1").possible_placements.empty());
 }
 
 /// Machines that carry out what they are told to. A task fails where its job was submitted with a
@@ -607,9 +609,9 @@
   }
 
   void carry_out(const Action& action) {
-    if (const auto* order = std::get_if<SendOrders>(&action)) {
+    if (const auto* order = std::get_if<SendCommands>(&action)) {
       carry_out(order->machine, order->fencing_token, order->commands);
-      scheduler->orders_done(order->machine, heartbeat_of(order->machine), true, now);
+      scheduler->on_commands_answered(order->machine, heartbeat_of(order->machine), true, now);
     } else if (const auto* release = std::get_if<Release>(&action)) {
       for (const auto& id : release->machines) workers.erase(id);
       scheduler->release_done(*release, true, now);
@@ -737,33 +739,33 @@
 
 TEST_F(Cancelled, AMachineThatHasNotShownTheTokenIsToldToStop) {
   cancel();
-  ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
-  scheduler->orders_done("i-9", std::nullopt, false, now + 3);
+  ASSERT_EQ(worker_commands(scheduler->tick(now + 2)).size(), 1u);
+  scheduler->on_commands_answered("i-9", std::nullopt, false, now + 3);
   EXPECT_TRUE(stops(scheduler->on_heartbeat(running(5), true, now + 3.1)))
       << "the token is raised only now";
 }
 
 TEST_F(Cancelled, AMachineThatAnOrderIsOnItsWayToIsToldToStop) {
   cancel();
-  ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
+  ASSERT_EQ(worker_commands(scheduler->tick(now + 2)).size(), 1u);
   EXPECT_TRUE(stops(scheduler->on_heartbeat(running(5), true, now + 2.5)));
 }
 
 TEST_F(Cancelled, AReportThatAnOrdersAnswerHasOvertakenIsAnsweredWithStops) {
   cancel();
-  scheduler->orders_done("i-9", running(7), true, now + 2);
+  scheduler->on_commands_answered("i-9", running(7), true, now + 2);
   EXPECT_TRUE(stops(scheduler->on_heartbeat(running(6), true, now + 2.1)));
 }
 
 TEST_F(Cancelled, AStopThatWasNotCarriedOutIsOrderedAgain) {
   cancel();
-  ASSERT_EQ(orders(scheduler->tick(now + 2)).size(), 1u);
-  scheduler->orders_done("i-9", std::nullopt, false, now + 3);
+  ASSERT_EQ(worker_commands(scheduler->tick(now + 2)).size(), 1u);
+  scheduler->on_commands_answered("i-9", std::nullopt, false, now + 3);
   auto shown = running(5);
   shown.fencing_token = scheduler->on_heartbeat(running(5), true, now + 3.1).fencing_token;
   shown.sequence_number = 6;
-  scheduler->probed("i-9", shown, now + 4);
-  EXPECT_EQ(orders(scheduler->tick(now + 5)).size(), 1u);
+  scheduler->on_probe_answered("i-9", shown, now + 4);
+  EXPECT_EQ(worker_commands(scheduler->tick(now + 5)).size(), 1u);
 }
 
 TEST_F(Cancelled, NoNumberOfStartsCrowdsOutAStop) {
@@ -781,7 +783,7 @@
   scheduler->job_stored(crowd, 6, now + 1);
   scheduler->on_heartbeat(running(5), true, now + 1.1);
   scheduler->tick(now + 2);
-  scheduler->orders_done("i-9", running(6), true, now + 2.1);
+  scheduler->on_commands_answered("i-9", running(6), true, now + 2.1);
   write_all(*scheduler);
   const auto answer = scheduler->on_heartbeat(running(7), true, now + 3);
   EXPECT_GT(answer.commands.size(), 200u);
@@ -802,9 +804,9 @@
     const auto real = heartbeat("i-2", 9, 2 << 20, {{{"job-1", 0}, 8, TaskState::Running}});
     scheduler->on_heartbeat(old_first ? old_one : real, true, now + 0.1);
     scheduler->on_heartbeat(old_first ? real : old_one, true, now + 0.2);
-    EXPECT_TRUE(scheduler->machines().at("i-2").runs.begin()->second.wanted);
-    EXPECT_FALSE(scheduler->machines().at("i-1").runs.begin()->second.wanted);
-    EXPECT_EQ(scheduler->jobs().at("job-1").placements.at(0).size(), 2u)
+    EXPECT_TRUE(scheduler->machines().at("i-2").attempts.begin()->second.desired_running);
+    EXPECT_FALSE(scheduler->machines().at("i-1").attempts.begin()->second.desired_running);
+    EXPECT_EQ(scheduler->jobs().at("job-1").possible_placements.at(0).size(), 2u)
         << "it counts as there all the same";
   }
 }
@@ -815,15 +817,15 @@
       scheduler->on_heartbeat(heartbeat("i-9", 1, 0), true, now).fencing_token;
   scheduler->on_heartbeat(heartbeat("i-9", 2, fencing_token), true, now + 0.1);
   for (int i = 1; i <= 8; ++i)
-    scheduler->probed("i-9", heartbeat("i-9", 2 + i, fencing_token), now + i);
+    scheduler->on_probe_answered("i-9", heartbeat("i-9", 2 + i, fencing_token), now + i);
   scheduler->job_stored(record, 5, now + 8);
   scheduler->tick(now + 8.1);
-  EXPECT_TRUE(scheduler->jobs().at("job-1").placements.empty())
+  EXPECT_TRUE(scheduler->jobs().at("job-1").possible_placements.empty())
       << "what it runs ends with its lease";
   scheduler->on_heartbeat(heartbeat("i-9", 20, fencing_token), true, now + 8.2);
   scheduler->request_round();
   scheduler->tick(now + 8.3);
-  EXPECT_FALSE(scheduler->jobs().at("job-1").placements.empty());
+  EXPECT_FALSE(scheduler->jobs().at("job-1").possible_placements.empty());
 }
 
 TEST_F(Fixture, ALateCopyOfAReportIsNotAnswered) {
--- a/tests/host_record_writes_test.cpp
+++ b/tests/host_record_writes_test.cpp
@@ -29,10 +29,10 @@
 TEST(Machine, ADurableRecordIsNotWantedAgain) {
   Machine machine;
   EXPECT_EQ(machine.record, Machine::Record::None);
-  machine.want_record();
+  machine.request_host_record();
   EXPECT_EQ(machine.record, Machine::Record::Wanted);
   machine.record = Machine::Record::Durable;
-  machine.want_record();
+  machine.request_host_record();
   EXPECT_EQ(machine.record, Machine::Record::Durable);
 }
 
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -36,7 +36,7 @@
     heartbeats += 2;
   }
 
-  size_t placed(int i) const { return scheduler->jobs().at(job_id(i)).placements.size(); }
+  size_t placed(int i) const { return scheduler->jobs().at(job_id(i)).possible_placements.size(); }
 
   uint64_t heartbeats = 0;
 };
@@ -157,7 +157,7 @@
   constexpr uint64_t kFewLeft = kFencingTokenCounterEnd * 95 / 100;
   for (uint64_t i = 0; i < kFewLeft; ++i) {
     ASSERT_TRUE(i >= kFencingTokenCounterEnd / 2 || !scheduler->term_nearly_exhausted());
-    scheduler->orders_done(machine(0), std::nullopt, false, kNow);
+    scheduler->on_commands_answered(machine(0), std::nullopt, false, kNow);
   }
   EXPECT_TRUE(scheduler->term_nearly_exhausted());
   EXPECT_EQ(
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -101,7 +101,7 @@
   for (const auto& id : jobs)
     for (const auto& m : world.machines_of(id)) {
       world.faults().deafen(m, span);
-      world.faults().hold_orders(m, span + world.between(0, 30));
+      world.faults().hold_commands(m, span + world.between(0, 30));
     }
 }
 
@@ -420,7 +420,7 @@
     const auto all = world.machines();
     for (size_t i = 0; i < all.size(); i += 2) {
       world.faults().cut(all[i], world.between(8, 30));
-      world.faults().hold_orders(all[i], world.between(8, 40));
+      world.faults().hold_commands(all[i], world.between(8, 40));
     }
     const Seconds began = world.now();
     world.faults().end_process(world.leader_or_first(), 8);
@@ -779,7 +779,7 @@
     for (int i = 0; i < 5; ++i) {
       for (const auto& m : world.machines()) {
         const Seconds span = world.between(2, 9);
-        if (world.chance(0.7)) world.faults().hold_orders(m, world.chance(0.5) ? span : 4 * span);
+        if (world.chance(0.7)) world.faults().hold_commands(m, world.chance(0.5) ? span : 4 * span);
         if (world.chance(0.3)) world.faults().hang(m, span);
         if (world.chance(0.4)) world.faults().mute(m, span);
       }
@@ -790,8 +790,8 @@
       if (i == 1) world.faults().end_process(world.leader_or_first(), 2);
     }
     world.run_for(30);
-    done += world.orders().late_orders_done();
-    return world.orders().late_orders();
+    done += world.worker_commands().late_commands_done();
+    return world.worker_commands().late_commands();
   });
   EXPECT_GE(done, kSeeds) << "late orders were hardly ever carried out";
 }
--- a/tests/prompt_dispatch_test.cpp
+++ b/tests/prompt_dispatch_test.cpp
@@ -82,10 +82,10 @@
     for (auto batch = writes(); !batch.empty(); batch = writes())
       for (const auto& write : batch) scheduler->write_done(write, true, ++revision, kNow);
   }
-  std::vector<SendOrders> dispatched() const {
-    std::vector<SendOrders> out;
+  std::vector<SendCommands> dispatched() const {
+    std::vector<SendCommands> out;
     for (const auto& action : scheduler->dispatch(kNow))
-      if (const auto* order = std::get_if<SendOrders>(&action)) out.push_back(*order);
+      if (const auto* batch = std::get_if<SendCommands>(&action)) out.push_back(*batch);
     return out;
   }
 };
@@ -96,9 +96,9 @@
   scheduler->tick(kNow);
   EXPECT_TRUE(dispatched().empty()) << "nothing of it is durable";
   write_all();
-  const auto orders = dispatched();
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].commands.size(), 3u);
+  const auto worker_commands = dispatched();
+  ASSERT_EQ(worker_commands.size(), 1u);
+  EXPECT_EQ(worker_commands[0].commands.size(), 3u);
   EXPECT_TRUE(dispatched().empty()) << "they are under way";
 }
 
@@ -156,11 +156,11 @@
   scheduler->tick(kNow);
   write_all();
   EXPECT_TRUE(dispatched().empty()) << "one order at a time";
-  scheduler->orders_done("i-1", std::nullopt, false, kNow);
+  scheduler->on_commands_answered("i-1", std::nullopt, false, kNow);
   EXPECT_TRUE(dispatched().empty()) << "the token has been raised and was not shown yet";
   const double later = kNow + 2 * settings.heartbeat_period_s;
   for (const auto& action : scheduler->tick(later))
-    EXPECT_FALSE(std::holds_alternative<SendOrders>(action)) << "nor later, by a round";
+    EXPECT_FALSE(std::holds_alternative<SendCommands>(action)) << "nor later, by a round";
   scheduler->on_heartbeat(heartbeat("i-1", 3, kFencingToken + 1), true, later);
   EXPECT_EQ(scheduler->dispatch(later).size(), 0u) << "the answer to the report carried the start";
 }
@@ -173,10 +173,11 @@
   const auto started = dispatched();
   ASSERT_EQ(started.size(), 1u);
   const auto attempt = started[0].commands[0].attempt;
-  scheduler->orders_done("i-1",
-                         heartbeat("i-1", 3, kFencingToken,
-                                   {{{"job-1", 0}, attempt, TaskState::Running, ExitCause::None}}),
-                         true, kNow);
+  scheduler->on_commands_answered(
+      "i-1",
+      heartbeat("i-1", 3, kFencingToken,
+                {{{"job-1", 0}, attempt, TaskState::Running, ExitCause::None}}),
+      true, kNow);
   dispatched();
   JobRecord cancelled = scheduler->jobs().at("job-1").stored;
   cancelled.state = JobState::Cancelled;
@@ -191,15 +192,15 @@
   scheduler->job_stored(job("job-1", 2), 5, kNow);
   scheduler->tick(kNow);
   write_all();
-  const auto orders = dispatched();
-  ASSERT_EQ(orders.size(), 1u);
-  ASSERT_EQ(orders[0].commands.size(), 2u);
+  const auto worker_commands = dispatched();
+  ASSERT_EQ(worker_commands.size(), 1u);
+  ASSERT_EQ(worker_commands[0].commands.size(), 2u);
   std::vector<TaskStatus> tasks;
-  for (const auto& command : orders[0].commands)
+  for (const auto& command : worker_commands[0].commands)
     tasks.push_back({command.key, command.attempt, TaskState::Running, ExitCause::None});
   tasks[0].state = TaskState::Exited;
   tasks[0].cause = ExitCause::Done;
-  scheduler->orders_done("i-1", heartbeat("i-1", 3, kFencingToken, tasks), true, kNow);
+  scheduler->on_commands_answered("i-1", heartbeat("i-1", 3, kFencingToken, tasks), true, kNow);
   EXPECT_TRUE(writes().empty()) << "progress is written in batches";
   const double later = kNow + 1.1 * settings.heartbeat_period_s;
   scheduler->tick(later);
--- a/tests/socket_budget_test.cpp
+++ b/tests/socket_budget_test.cpp
@@ -34,10 +34,11 @@
     settings.tuning.sockets = *rc::gen::inRange(10, 71) / 100.0;
     const SocketBudget budget = socket_budget(settings);
     if (!refusal_of(settings).empty()) return;
-    const auto out = static_cast<double>(budget.fixed + budget.served_and_refused + budget.orders);
+    const auto out =
+        static_cast<double>(budget.fixed + budget.served_and_refused + budget.worker_commands);
     RC_ASSERT(out <= settings.max_sockets);
     const size_t served = budget.served_and_refused - budget.refusals;
-    RC_ASSERT(budget.refusals > 0u && budget.orders > 0u);
+    RC_ASSERT(budget.refusals > 0u && budget.worker_commands > 0u);
     RC_ASSERT(budget.kept_open > 0u && budget.kept_open < served);
     RC_ASSERT(budget.users_in_progress > 0u && budget.users_in_progress < served);
   }));
@@ -47,7 +48,7 @@
   const SocketBudget budget = socket_budget(with_sockets(2208, 4));
   EXPECT_EQ(budget.served_and_refused, 1545u);
   EXPECT_GT(budget.kept_open, 1300u);
-  EXPECT_EQ(budget.orders, 441u);
+  EXPECT_EQ(budget.worker_commands, 441u);
 }
 
 TEST(SocketBudget, TooFewAreRefusedAndTightOnesSayWhatTheyCostWithTheFieldsName) {
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -62,15 +62,16 @@
     }
     const auto fencing_token = *rc::gen::arbitrary<uint64_t>();
     const auto agent_epoch = *rc::gen::arbitrary<uint64_t>();
-    const auto orders = parse_orders(wire::orders_body(fencing_token, agent_epoch, commands));
-    RC_ASSERT(orders && orders->fencing_token == fencing_token &&
-              orders->agent_epoch == agent_epoch);
-    RC_ASSERT(orders->commands == commands);
-    const auto answer = parse_orders(wire::heartbeat_answer(fencing_token, commands));
+    const auto worker_commands =
+        parse_worker_commands(wire::worker_commands_body(fencing_token, agent_epoch, commands));
+    RC_ASSERT(worker_commands && worker_commands->fencing_token == fencing_token &&
+              worker_commands->agent_epoch == agent_epoch);
+    RC_ASSERT(worker_commands->commands == commands);
+    const auto answer = parse_worker_commands(wire::heartbeat_answer(fencing_token, commands));
     RC_ASSERT(answer && answer->commands == commands);
   }));
-  EXPECT_FALSE(parse_orders("").has_value());
-  EXPECT_FALSE(parse_orders(wire::redirect_body("n1")).has_value()) << "no token";
+  EXPECT_FALSE(parse_worker_commands("").has_value());
+  EXPECT_FALSE(parse_worker_commands(wire::redirect_body("n1")).has_value()) << "no token";
   EXPECT_EQ(parse_redirect(wire::redirect_body("n1")), "n1");
 }
 
--- a/tests/world/order_channel.cpp
+++ b/tests/world/command_channel.cpp
@@ -1,4 +1,4 @@
-#include "world/order_channel.h"
+#include "world/command_channel.h"
 
 #include <algorithm>
 #include <memory>
@@ -9,26 +9,27 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// When the leader gives an order up, at most and as a share of the workers' lease.
-constexpr Seconds kOrderDeadline = 1.5;
-constexpr double kOrderDeadlineShare = 0.2;
+/// When the leader gives an command up, at most and as a share of the workers' lease.
+constexpr Seconds kCommandDeadline = 1.5;
+constexpr double kCommandDeadlineShare = 0.2;
 /// When the leader gives a probe up, as a share of the workers' lease.
 constexpr double kProbeDeadlineShare = 0.05;
-/// Orders that take longer than this count as late.
-constexpr Seconds kLateOrder = 2;
+/// Commands that take longer than this count as late.
+constexpr Seconds kLateCommand = 2;
 constexpr Seconds kTravelLeast = 0.001, kTravelMost = 0.01;
 /// Messages that are held up somewhere for no particular reason.
 constexpr Seconds kHeldUpLeast = 0.5, kHeldUpMost = 40;
 }  // namespace
 
-void OrderChannel::send(ControllerProcess& sender, const SendOrders& orders) {
-  const Way way = draw_way(sender.controller(), env_.fleet.find(orders.machine));
-  const Answer answer = answer_once(sender, orders.machine);
-  answer(std::min(kOrderDeadline, env_.options.lease_s * kOrderDeadlineShare), std::nullopt, false);
-  if (!way.lost) deliver({orders, env_.now(), way.answer_lost, answer}, way.delay);
+void CommandChannel::send(ControllerProcess& sender, const SendCommands& worker_commands) {
+  const Way way = draw_way(sender.controller(), env_.fleet.find(worker_commands.machine));
+  const Answer answer = answer_once(sender, worker_commands.machine);
+  answer(std::min(kCommandDeadline, env_.options.lease_s * kCommandDeadlineShare), std::nullopt,
+         false);
+  if (!way.lost) deliver({worker_commands, env_.now(), way.answer_lost, answer}, way.delay);
 }
 
-OrderChannel::Way OrderChannel::draw_way(size_t controller, const SimulatedMachine* machine) {
+CommandChannel::Way CommandChannel::draw_way(size_t controller, const SimulatedMachine* machine) {
   Random& random = env_.random;
   const Seconds now = env_.now();
   Way way;
@@ -39,7 +40,7 @@
   way.lost = machine->faults.deaf.active(now);
   const Seconds apart_until = env_.network.machine_apart_until(controller, *machine);
   if (now < apart_until) way.delay += apart_until - now;
-  const Fault& held = machine->faults.orders_held;
+  const Fault& held = machine->faults.commands_held;
   if (!held.active(now)) return way;
   if (random.chance(0.5))
     way.delay += held.end() - now;
@@ -49,8 +50,8 @@
 }
 
 /// The first answer counts, also if that is the deadline's.
-OrderChannel::Answer OrderChannel::answer_once(ControllerProcess& sender,
-                                               const std::string& machine) {
+CommandChannel::Answer CommandChannel::answer_once(ControllerProcess& sender,
+                                                   const std::string& machine) {
   return [this, controller = sender.controller(), process = sender.weak_from_this(),
           generation = sender.generation(), machine, settled = std::make_shared<bool>(false)](
              Seconds delay, const std::optional<WorkerHeartbeat>& heartbeat, bool executed) {
@@ -59,37 +60,37 @@
         [settled, machine, generation, heartbeat, executed](ControllerProcess& me) {
           if (*settled) return;
           *settled = true;
-          me.orders_done(generation, machine, heartbeat, executed);
+          me.on_commands_answered(generation, machine, heartbeat, executed);
         });
   };
 }
 
-void OrderChannel::deliver(const Delivery& delivery, Seconds delay) {
+void CommandChannel::deliver(const Delivery& delivery, Seconds delay) {
   env_.loop.schedule(delay, [this, delivery] { arrive(delivery); });
 }
 
-void OrderChannel::arrive(const Delivery& delivery) {
-  const SendOrders& orders = delivery.orders;
+void CommandChannel::arrive(const Delivery& delivery) {
+  const SendCommands& worker_commands = delivery.worker_commands;
   const Seconds now = env_.now();
-  SimulatedMachine* machine = env_.fleet.find(orders.machine);
+  SimulatedMachine* machine = env_.fleet.find(worker_commands.machine);
   if (!machine || !machine->up(now)) return;
   const Fault& hung = machine->faults.hung;
   if (hung.active(now)) return deliver(delivery, hung.end() - now);
-  const bool executed =
-      orders.fencing_token >= machine->fencing_token && orders.agent_epoch == machine->agent_epoch;
-  const bool late = now - delivery.sent_at > kLateOrder;
-  late_orders_ += late;
+  const bool executed = worker_commands.fencing_token >= machine->fencing_token &&
+                        worker_commands.agent_epoch == machine->agent_epoch;
+  const bool late = now - delivery.sent_at > kLateCommand;
+  late_commands_ += late;
   if (executed) {
-    machine->fencing_token = orders.fencing_token;
-    late_orders_done_ += late;
-    workers_.execute(*machine, orders.commands, delivery.sent_at);
+    machine->fencing_token = worker_commands.fencing_token;
+    late_commands_done_ += late;
+    workers_.execute(*machine, worker_commands.commands, delivery.sent_at);
   }
   const WorkerHeartbeat heartbeat = machine->heartbeat();
   if (!delivery.answer_lost && !machine->faults.deaf.active(now))
     delivery.answer(env_.random.between(kTravelLeast, kTravelMost), heartbeat, executed);
 }
 
-void OrderChannel::send(ControllerProcess& sender, const Probe& probe) {
+void CommandChannel::send(ControllerProcess& sender, const Probe& probe) {
   Random& random = env_.random;
   SimulatedMachine* machine = env_.fleet.find(probe.machine);
   const bool reached = reaches(sender.controller(), machine);
@@ -105,20 +106,20 @@
   env_.controllers.schedule_in(
       sender.controller(), sender.weak_from_this(), answered_in,
       [machine = probe.machine, heartbeat, generation = sender.generation()](
-          ControllerProcess& me) { me.probed(generation, machine, heartbeat); });
+          ControllerProcess& me) { me.on_probe_answered(generation, machine, heartbeat); });
 }
 
-bool OrderChannel::reaches(size_t controller, const SimulatedMachine* machine) {
+bool CommandChannel::reaches(size_t controller, const SimulatedMachine* machine) {
   const Seconds now = env_.now();
   if (!machine || !machine->up(now)) return false;
   const MachineFaults& faults = machine->faults;
-  if (faults.hung.active(now) || faults.deaf.active(now) || faults.orders_held.active(now))
+  if (faults.hung.active(now) || faults.deaf.active(now) || faults.commands_held.active(now))
     return false;
   if (now < env_.network.machine_apart_until(controller, *machine)) return false;
   return !env_.random.chance(0.02);
 }
 
-void OrderChannel::arrive_late(const Probe& probe) {
+void CommandChannel::arrive_late(const Probe& probe) {
   env_.loop.schedule(env_.random.between(kHeldUpLeast, kHeldUpMost), [this, probe] {
     SimulatedMachine* machine = env_.fleet.find(probe.machine);
     if (machine && machine->agent_epoch == probe.agent_epoch)
--- a/tests/world/order_channel.h
+++ b/tests/world/command_channel.h
@@ -8,29 +8,30 @@
 
 namespace sumacquay::simulation {
 
-/// The way of orders and probes from the leader straight to the machines, and of their answers.
-class OrderChannel {
+/// The way of commands and probes from the leader straight to the machines, and of their answers.
+class CommandChannel {
  public:
-  OrderChannel(Environment& environment, Workers& workers) : env_(environment), workers_(workers) {}
+  CommandChannel(Environment& environment, Workers& workers)
+      : env_(environment), workers_(workers) {}
 
-  void send(ControllerProcess& sender, const SendOrders& orders);
+  void send(ControllerProcess& sender, const SendCommands& worker_commands);
   void send(ControllerProcess& sender, const Probe& probe);
 
-  /// Orders that arrived long after they were sent, and those of them that were carried out.
-  size_t late_orders() const { return late_orders_; }
-  size_t late_orders_done() const { return late_orders_done_; }
+  /// Commands that arrived long after they were sent, and those of them that were carried out.
+  size_t late_commands() const { return late_commands_; }
+  size_t late_commands_done() const { return late_commands_done_; }
 
  private:
   using Answer =
       std::function<void(Seconds delay, std::optional<WorkerHeartbeat> heartbeat, bool executed)>;
-  /// Orders on their way to a machine.
+  /// Commands on their way to a machine.
   struct Delivery {
-    SendOrders orders;
+    SendCommands worker_commands;
     Seconds sent_at = 0;
     bool answer_lost = false;
     Answer answer;
   };
-  /// How an order travels, as the faults of its way decide.
+  /// How an command travels, as the faults of its way decide.
   struct Way {
     Seconds delay = 0;
     bool lost = false, answer_lost = false;
@@ -44,7 +45,7 @@
 
   Environment& env_;
   Workers& workers_;
-  size_t late_orders_ = 0, late_orders_done_ = 0;
+  size_t late_commands_ = 0, late_commands_done_ = 0;
 };
 
 }  // namespace sumacquay::simulation
--- a/tests/world/controller_process.cpp
+++ b/tests/world/controller_process.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "world/cloud.h"
-#include "world/order_channel.h"
+#include "world/command_channel.h"
 #include "world/workers.h"
 
 namespace sumacquay::simulation {
@@ -76,11 +76,11 @@
   env_.digest.add(env_.now(), controller_, action);
   std::visit([this](const auto& what) { carry_out(what); }, action);
 }
-void ControllerProcess::carry_out(const SendOrders& orders) {
-  links_.orders.send(*this, orders);
+void ControllerProcess::carry_out(const SendCommands& worker_commands) {
+  links_.worker_commands.send(*this, worker_commands);
 }
 void ControllerProcess::carry_out(const Probe& probe) {
-  links_.orders.send(*this, probe);
+  links_.worker_commands.send(*this, probe);
 }
 void ControllerProcess::carry_out(const Rent& rent) {
   links_.cloud.rent(*this, rent);
@@ -209,21 +209,21 @@
 
 // ---------------------------------------------------------------- answers to the leader
 
-void ControllerProcess::orders_done(uint64_t generation, const std::string& machine,
-                                    const std::optional<WorkerHeartbeat>& heartbeat,
-                                    bool executed) {
+void ControllerProcess::on_commands_answered(uint64_t generation, const std::string& machine,
+                                             const std::optional<WorkerHeartbeat>& heartbeat,
+                                             bool executed) {
   if (!current(generation)) return;
   if (heartbeat)
     election_->observe_term(env_.now(), term_of_fencing_token(heartbeat->fencing_token));
-  if (scheduler_) scheduler_->orders_done(machine, heartbeat, executed, env_.now());
+  if (scheduler_) scheduler_->on_commands_answered(machine, heartbeat, executed, env_.now());
 }
 
-void ControllerProcess::probed(uint64_t generation, const std::string& machine,
-                               const std::optional<WorkerHeartbeat>& heartbeat) {
+void ControllerProcess::on_probe_answered(uint64_t generation, const std::string& machine,
+                                          const std::optional<WorkerHeartbeat>& heartbeat) {
   if (!current(generation)) return;
   if (heartbeat)
     election_->observe_term(env_.now(), term_of_fencing_token(heartbeat->fencing_token));
-  if (scheduler_) scheduler_->probed(machine, heartbeat, env_.now());
+  if (scheduler_) scheduler_->on_probe_answered(machine, heartbeat, env_.now());
 }
 
 void ControllerProcess::rent_done(uint64_t generation, const Rent& rent,
--- a/tests/world/controller_process.h
+++ b/tests/world/controller_process.h
@@ -16,13 +16,13 @@
 namespace sumacquay::simulation {
 
 class Cloud;
-class OrderChannel;
+class CommandChannel;
 class Workers;
 
 /// The parts of a deployment that a controller talks to, beside the other controllers.
 struct ControllerLinks {
   StateChannel& state;
-  OrderChannel& orders;
+  CommandChannel& worker_commands;
   Cloud& cloud;
   Workers& workers;
 };
@@ -75,10 +75,10 @@
   HeartbeatReply answer_copy(const WorkerHeartbeat& heartbeat);
 
   // Answers to what the leader ordered. Dropped if it has ceased to lead since.
-  void orders_done(uint64_t generation, const std::string& machine,
-                   const std::optional<WorkerHeartbeat>& heartbeat, bool executed);
-  void probed(uint64_t generation, const std::string& machine,
-              const std::optional<WorkerHeartbeat>& heartbeat);
+  void on_commands_answered(uint64_t generation, const std::string& machine,
+                            const std::optional<WorkerHeartbeat>& heartbeat, bool executed);
+  void on_probe_answered(uint64_t generation, const std::string& machine,
+                         const std::optional<WorkerHeartbeat>& heartbeat);
   void rent_done(uint64_t generation, const Rent& rent, const std::vector<std::string>& machines);
   void release_done(uint64_t generation, const Release& release, bool ok);
 
@@ -96,7 +96,7 @@
   bool current(uint64_t generation) const { return generation == generation_ && scheduler_; }
 
   void perform(const Action& action);
-  void carry_out(const SendOrders& orders);
+  void carry_out(const SendCommands& worker_commands);
   void carry_out(const Probe& probe);
   void carry_out(const Rent& rent);
   void carry_out(const Release& release);
--- a/tests/world/decision_digest.cpp
+++ b/tests/world/decision_digest.cpp
@@ -40,14 +40,15 @@
 void DecisionDigest::add(Seconds now, size_t controller, const Action& action) {
   begin(kAction, now, controller);
   number(uint64_t{action.index()});
-  if (const auto* orders = std::get_if<SendOrders>(&action)) {
-    text(orders->machine);
-    text(orders->addr);
-    text(wire::orders_body(orders->fencing_token, orders->agent_epoch, orders->commands));
+  if (const auto* worker_commands = std::get_if<SendCommands>(&action)) {
+    text(worker_commands->machine);
+    text(worker_commands->addr);
+    text(wire::worker_commands_body(worker_commands->fencing_token, worker_commands->agent_epoch,
+                                    worker_commands->commands));
   } else if (const auto* probe = std::get_if<Probe>(&action)) {
     text(probe->machine);
     text(probe->addr);
-    text(wire::orders_body(probe->fencing_token, probe->agent_epoch, {}));
+    text(wire::worker_commands_body(probe->fencing_token, probe->agent_epoch, {}));
   } else if (const auto* rent = std::get_if<Rent>(&action)) {
     text(rent->request);
     text(rent->type);
--- a/tests/world/event_loop.h
+++ b/tests/world/event_loop.h
@@ -6,7 +6,7 @@
 
 namespace sumacquay::simulation {
 
-/// Virtual time and the events scheduled in it. Events due at the same time run in the order in
+/// Virtual time and the events scheduled in it. Events due at the same time run in the command in
 /// which they were scheduled.
 class EventLoop {
  public:
--- a/tests/world/faults.cpp
+++ b/tests/world/faults.cpp
@@ -42,8 +42,8 @@
   last(&MachineFaults::mute, machine, span);
 }
 
-void Faults::hold_orders(const std::string& machine, Seconds span) {
-  last(&MachineFaults::orders_held, machine, span);
+void Faults::hold_commands(const std::string& machine, Seconds span) {
+  last(&MachineFaults::commands_held, machine, span);
 }
 
 void Faults::sicken(const std::string& machine) {
--- a/tests/world/faults.h
+++ b/tests/world/faults.h
@@ -45,14 +45,14 @@
   void cut(const std::string& machine, Seconds span);
   void deafen(const std::string& machine, Seconds span);
   void mute(const std::string& machine, Seconds span);
-  /// Orders to the machine, or their answers, are held up until then.
-  void hold_orders(const std::string& machine, Seconds span);
+  /// Commands to the machine, or their answers, are held up until then.
+  void hold_commands(const std::string& machine, Seconds span);
   /// The machine fails all tasks from now on.
   void sicken(const std::string& machine);
   void lose_machine(const std::string& machine) { env_.fleet.remove(machine); }
   /// Copies of a share of the heartbeats arrive late.
   void late_heartbeats(double share, Seconds span, CopyDelivery delivery = CopyDelivery::Later);
-  /// Half of the heartbeats are overtaken by orders, their answers and probes.
+  /// Half of the heartbeats are overtaken by commands, their answers and probes.
   void slow_heartbeats(Seconds span) { workers_.slow_heartbeats(span); }
 
   /// Ends all of them. Machines that are lost or sick stay so.
--- a/tests/world/machine.h
+++ b/tests/world/machine.h
@@ -13,11 +13,11 @@
 using MachineTask = standin::WorkerTask;
 
 struct MachineFaults {
-  Fault hung;         ///< does nothing
-  Fault cut;          ///< exchanges nothing with any controller
-  Fault deaf;         ///< nothing reaches it
-  Fault mute;         ///< its heartbeats reach nobody
-  Fault orders_held;  ///< orders to it, or their answers, are held up
+  Fault hung;           ///< does nothing
+  Fault cut;            ///< exchanges nothing with any controller
+  Fault deaf;           ///< nothing reaches it
+  Fault mute;           ///< its heartbeats reach nobody
+  Fault commands_held;  ///< orders to it, or their answers, are held up
 };
 
 /// A machine and the worker on it.
--- a/tests/world/record_copy.cpp
+++ b/tests/world/record_copy.cpp
@@ -39,7 +39,7 @@
     dependencies_.forget(id);
   } else {
     const auto& record = std::get<JobRecord>(*change.value);
-    note_dependencies(record);
+    track_dependencies(record);
     live_[id] = {record, change.version};
   }
   update.jobs.push_back(id);
@@ -88,7 +88,7 @@
   auto& known = live_[record.spec.id];
   if (known.version >= version) return false;
   known = {record, version};
-  note_dependencies(record);
+  track_dependencies(record);
   return true;
 }
 
@@ -107,7 +107,7 @@
   finished_order_.pop_front();
 }
 
-void RecordCopy::note_dependencies(const JobRecord& record) {
+void RecordCopy::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
     const auto known = finished_.find(id);
--- a/tests/world/record_copy.h
+++ b/tests/world/record_copy.h
@@ -62,7 +62,7 @@
   void apply_host(const StateService::Change& change);
   void apply_leader(const StateService::Change& change, Update& update);
   void apply_term(const StateService::Change& change, Update& update);
-  void note_dependencies(const JobRecord& record);
+  void track_dependencies(const JobRecord& record);
 
   bool loaded_ = false;
   uint64_t revision_ = 0;
--- a/tests/world/workers.h
+++ b/tests/world/workers.h
@@ -26,7 +26,7 @@
   void answered_by_delegate() { ++delegated_; }
 
   void copy_heartbeats(double share, Seconds span, CopyDelivery delivery);
-  /// Half of the heartbeats are overtaken by orders, their answers and probes.
+  /// Half of the heartbeats are overtaken by commands, their answers and probes.
   void slow_heartbeats(Seconds span) { slow_.last_until(env_.now() + span); }
   void end_faults();
 
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -5,11 +5,11 @@
 #include <vector>
 
 #include "world/cloud.h"
+#include "world/command_channel.h"
 #include "world/controllers.h"
 #include "world/environment.h"
 #include "world/faults.h"
 #include "world/frontend.h"
-#include "world/order_channel.h"
 #include "world/pipelines.h"
 #include "world/random_faults.h"
 #include "world/state_channel.h"
@@ -46,7 +46,7 @@
   Faults& faults() { return faults_; }
   const Checker& checker() const { return env_.checker; }
   const StateChannel& state() const { return state_; }
-  const OrderChannel& orders() const { return orders_; }
+  const CommandChannel& worker_commands() const { return commands_; }
   const Workers& workers() const { return workers_; }
 
   /// The digest of all that the controllers have decided so far.
@@ -83,7 +83,7 @@
   Environment env_;
   StateChannel state_;
   Workers workers_;
-  OrderChannel orders_;
+  CommandChannel commands_;
   Cloud cloud_;
   Controllers controllers_;
   Frontend frontend_;
