--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -53,8 +53,8 @@
   return team;
 }
 
-Objective read_objective(const TomlTable& table) {
-  Objective objective;
+ServiceLevelObjective read_objective(const TomlTable& table) {
+  ServiceLevelObjective objective;
   objective.kind = table.text("kind");
   objective.job_class = table.text_or("class", "");
   objective.within_s = table.number_or("within_s", 0, kAnyAmount);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -32,7 +32,7 @@
 };
 
 /// What the platform is to reach for a class of jobs.
-struct Objective {
+struct ServiceLevelObjective {
   std::string kind;
   std::string job_class;
   double within_s = 0;
@@ -51,7 +51,7 @@
   Endpoint state;
   std::vector<std::string> zones;
   std::vector<TeamSettings> teams;
-  std::vector<Objective> objectives;
+  std::vector<ServiceLevelObjective> objectives;
   double heartbeat_period_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 5, cancel_s = 40;
   /// Limits of the state service: requests and changes a second, KiB of a value in JSON form, and
   /// changes of a transaction. Where the platform announces others to come, each is the stricter of
--- a/src/dispatch/arrival_forecast.cpp
+++ b/src/dispatch/arrival_forecast.cpp
@@ -51,14 +51,14 @@
   return out;
 }
 
-std::vector<Demand> demands_of(const std::vector<JobSpec>& specs) {
-  std::vector<Demand> out;
+std::vector<PlacementRequest> placement_requests_for(const std::vector<JobSpec>& specs) {
+  std::vector<PlacementRequest> out;
   for (const JobSpec& spec : specs) {
-    Demand demand;
-    demand.spec = &spec;
-    demand.tasks.resize(spec.tasks);
-    std::iota(demand.tasks.begin(), demand.tasks.end(), 0u);
-    out.push_back(std::move(demand));
+    PlacementRequest placement_request;
+    placement_request.spec = &spec;
+    placement_request.tasks.resize(spec.tasks);
+    std::iota(placement_request.tasks.begin(), placement_request.tasks.end(), 0u);
+    out.push_back(std::move(placement_request));
   }
   return out;
 }
--- a/src/dispatch/arrival_forecast.h
+++ b/src/dispatch/arrival_forecast.h
@@ -39,6 +39,6 @@
 };
 
 /// Demands for all tasks of the specs, which must outlive them.
-std::vector<Demand> demands_of(const std::vector<JobSpec>& specs);
+std::vector<PlacementRequest> placement_requests_for(const std::vector<JobSpec>& specs);
 
 }  // namespace sumacquay
--- a/src/dispatch/commands.cpp
+++ b/src/dispatch/commands.cpp
@@ -28,9 +28,10 @@
         attempt.state == TaskAttemptState::Scheduled)
       continue;
     const Job* job = find_job(key.task.job);
-    const bool save = attempt.graceful && job && job->spec().saves();
+    const bool save = attempt.graceful && job && job->spec().checkpoints();
     if (save && attempt.state == TaskAttemptState::Checkpointing) continue;
-    out.push_back({Verb::Stop, key.task, key.attempt, save ? job->spec().save_s * 1.5 + 1 : 0});
+    out.push_back({Verb::Stop, key.task, key.attempt,
+                   save ? job->spec().checkpoint_duration_s * 1.5 + 1 : 0});
   }
   for (auto& [key, attempt] : machine.attempts) {
     if (out.size() >= kMostCommands) break;
--- a/src/dispatch/fleet_summary.cpp
+++ b/src/dispatch/fleet_summary.cpp
@@ -14,9 +14,9 @@
     size_t up = 0;
     size_t idle = 0;
     size_t leaving = 0;
-    Amounts fetching;
-    Amounts used;
-    Amounts room;
+    Resources fetching;
+    Resources used;
+    Resources capacity;
     for (const auto& [id, machine] : machines_) {
       if (machine.info.type != t.name) continue;
       if (machine.stage == Machine::Stage::Booting) ++booting;
@@ -25,17 +25,17 @@
       if (machine.stage != Machine::Stage::Up) continue;
       ++up;
       if (!machine.has_possible_attempts()) ++idle;
-      room += t.room;
+      capacity += t.capacity;
       for (const auto& [key, attempt] : machine.attempts) {
         if (!attempt.possibly_present()) continue;
-        (attempt.state == TaskAttemptState::Running ? used : fetching) += attempt.need;
+        (attempt.state == TaskAttemptState::Running ? used : fetching) += attempt.request;
       }
     }
     spdlog::info(
         "{}: {} up, {} of them idle, {} booting, {} leaving; CPUs running {:.0f}, starting or "
         "stopping {:.0f}, of {:.0f}; GPUs {:.0f}, {:.0f}, of {:.0f}",
-        t.name, up, idle, booting, leaving, used.cpus, fetching.cpus, room.cpus, used.gpus,
-        fetching.gpus, room.gpus);
+        t.name, up, idle, booting, leaving, used.cpus, fetching.cpus, capacity.cpus, used.gpus,
+        fetching.gpus, capacity.gpus);
   }
   spdlog::info("{} jobs known, {} without room; {} rounds so far, {} lists of victims",
                jobs_.size(), unplaced_.size(), work_.rounds, work_.victim_lists);
--- a/src/dispatch/job_state.h
+++ b/src/dispatch/job_state.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "jobs/record.h"
-#include "wire/record_room.h"
+#include "wire/record_capacity.h"
 
 namespace sumacquay {
 
@@ -21,10 +21,10 @@
 
 /// A job as the leader sees it: its record, what is to be written of it, and where its tasks are.
 struct Job {
-  JobRecord stored;       ///< what the state service holds
-  wire::RecordRoom room;  ///< what the record may hold beside the job's description
-  uint64_t version = 0;   ///< of the stored record; guards the next write
-  bool writing = false;   ///< a write of the record is under way
+  JobRecord stored;                      ///< what the state service holds
+  wire::RecordCapacity record_capacity;  ///< what the record may hold beside the job's description
+  uint64_t version = 0;                  ///< of the stored record; guards the next write
+  bool writing = false;                  ///< a write of the record is under way
   bool start_record_requested =
       false;  ///< tasks were placed: the record must say so before they start
   bool hosts_record_requested = false;  ///< placed where its record does not say that it may be
@@ -55,7 +55,9 @@
   /// Whether all tasks are done, stored or not.
   bool complete() const { return done.count() == stored.spec.tasks; }
   /// Whether its record can come to name a machine: without, no task of it could start there.
-  bool start_recordable() const { return room.any() || (stored.started && !stored.hosts); }
+  bool start_recordable() const {
+    return record_capacity.any() || (stored.started && !stored.hosts);
+  }
   /// Whether its tasks are to run.
   bool runnable() const { return stored.state == JobState::Pending && !complete(); }
 };
--- a/src/dispatch/moves.cpp
+++ b/src/dispatch/rebalancing.cpp
@@ -22,20 +22,20 @@
 /// Machines that cost less than this part of the dearest are not worth any replica's downtime.
 constexpr double kWorthMoving = 0.25;
 
-double used_part(const Slot& s) {
-  if (s.room.gpus > 0) return 1 - s.free.gpus / s.room.gpus;
-  return s.room.cpus > 0 ? 1 - s.free.cpus / s.room.cpus : 1;
+double used_part(const CandidateMachine& candidate) {
+  if (candidate.capacity.gpus > 0) return 1 - candidate.available.gpus / candidate.capacity.gpus;
+  return candidate.capacity.cpus > 0 ? 1 - candidate.available.cpus / candidate.capacity.cpus : 1;
 }
 
-bool empty(const Slot& s) {
-  return s.room.fits_in(s.free);
+bool empty(const CandidateMachine& candidate) {
+  return candidate.capacity.fits_in(candidate.available);
 }
 
 }  // namespace
 
 /// Whether every task on the machine is a settled replica that fits on another machine with its
 /// image.
-bool Scheduler::movable(const Machine& machine, Trial& elsewhere, Seconds now) {
+bool Scheduler::evictable(const Machine& machine, TentativePlacement& elsewhere, Seconds now) {
   for (const auto& [key, attempt] : machine.attempts) {
     if (!attempt.possibly_present()) continue;
     Job* job = find_job(key.task.job);
@@ -43,18 +43,19 @@
     if (attempt.state != TaskAttemptState::Running ||
         now - attempt.running_since.value_or(now) < kSettled)
       return false;
-    Demand d;
-    d.spec = &job->spec();
-    d.tasks = {key.task.task};
-    if (d.spec->counts_zones())
+    PlacementRequest placement_request;
+    placement_request.spec = &job->spec();
+    placement_request.tasks = {key.task.task};
+    if (placement_request.spec->counts_zones())
       for (const auto& [task, places] : job->possible_placements)
         for (const auto& [machine_id, attempt_number] : places)
-          if (task != key.task.task) ++d.zones[machines_.at(machine_id).info.zone];
+          if (task != key.task.task) ++placement_request.zones[machines_.at(machine_id).info.zone];
     // Nothing is moved to an empty machine: that would only go back and forth.
-    d.avoid = [job](const Slot& s) {
-      return empty(s) || !s.of->images.has(job->spec().image) || job->failed_on.contains(s.machine);
+    placement_request.avoid = [job](const CandidateMachine& candidate) {
+      return empty(candidate) || !candidate.of->images.has(job->spec().image) ||
+             job->failed_on.contains(candidate.machine);
     };
-    if (!elsewhere.fits(d)) return false;
+    if (!elsewhere.fits(placement_request)) return false;
   }
   return true;
 }
@@ -67,7 +68,7 @@
 }
 
 /// How many machines are being emptied.
-size_t Scheduler::finish_moves(Seconds now) {
+size_t Scheduler::finish_evictions(Seconds now) {
   size_t draining = 0;
   for (auto& [id, machine] : machines_) {
     if (!machine.draining || machine.stage != Machine::Stage::Up) continue;
@@ -82,48 +83,50 @@
 }
 
 /// The machines that it may pay to empty, the emptiest first.
-std::vector<size_t> Scheduler::worth_emptying(const std::vector<Slot>& slots) const {
+std::vector<size_t> Scheduler::eviction_candidates(
+    const std::vector<CandidateMachine>& candidates) const {
   double dearest = 0;
   for (const auto& t : types_) dearest = std::max(dearest, t.price);
   std::vector<size_t> order;
-  for (size_t i = 0; i < slots.size(); ++i) {
-    const MachineType* t = type(slots[i].type);
+  for (size_t i = 0; i < candidates.size(); ++i) {
+    const MachineType* t = type(candidates[i].type);
     const bool dear = t && t->price >= kWorthMoving * dearest;
-    if (slots[i].usable && !empty(slots[i]) && dear) order.push_back(i);
+    if (candidates[i].usable && !empty(candidates[i]) && dear) order.push_back(i);
   }
-  std::sort(order.begin(), order.end(),
-            [&](size_t a, size_t b) { return used_part(slots[a]) < used_part(slots[b]); });
+  std::sort(order.begin(), order.end(), [&](size_t a, size_t b) {
+    return used_part(candidates[a]) < used_part(candidates[b]);
+  });
   return order;
 }
 
-void Scheduler::move_replicas(Seconds now) {
-  size_t draining = finish_moves(now);
-  if (now < next_move_ || !picture_settled(now)) return;
-  auto slots = picture(now, false);
-  const size_t most = 1 + static_cast<size_t>(kAtOnce * static_cast<double>(slots.size()));
+void Scheduler::rebalance(Seconds now) {
+  size_t draining = finish_evictions(now);
+  if (now < next_rebalance_ || !capacity_settled(now)) return;
+  auto candidates = capacity_snapshot(now, false);
+  const size_t most = 1 + static_cast<size_t>(kAtOnce * static_cast<double>(candidates.size()));
   if (draining >= most) return;
-  std::optional<Demand> gang;  // a task of it
-  for (const auto& d : unplaced_)
-    if (d.spec->kind == JobKind::Gang && !gang) gang = d;
+  std::optional<PlacementRequest> gang;  // a task of it
+  for (const auto& placement_request : unplaced_)
+    if (placement_request.spec->kind == JobKind::Gang && !gang) gang = placement_request;
   if (gang) gang->tasks.resize(1);
-  next_move_ = now + kPause * settings_.heartbeat_period_s;
+  next_rebalance_ = now + kPause * settings_.heartbeat_period_s;
   std::set<size_t> taken;  // machines that get replicas are not emptied in the same go
-  for (size_t i : worth_emptying(slots)) {
+  for (size_t i : eviction_candidates(candidates)) {
     if (taken.contains(i)) continue;
     if (gang) {
-      std::vector<Slot> alone{slots[i]};
-      alone[0].free = alone[0].room;
-      if (place(*gang, alone).empty()) continue;
+      std::vector<CandidateMachine> alone{candidates[i]};
+      alone[0].available = alone[0].capacity;
+      if (bin_pack(*gang, alone).empty()) continue;
     }
-    Machine& machine = machines_.at(slots[i].machine);
-    slots[i].usable = false;
-    Trial elsewhere(slots);
-    if (movable(machine, elsewhere, now) && (gang || spare_room(elsewhere, now))) {
-      for (size_t slot : elsewhere.keep()) taken.insert(slot);
+    Machine& machine = machines_.at(candidates[i].machine);
+    candidates[i].usable = false;
+    TentativePlacement elsewhere(candidates);
+    if (evictable(machine, elsewhere, now) && (gang || has_headroom(elsewhere, now))) {
+      for (size_t candidate : elsewhere.keep()) taken.insert(candidate);
       drain(machine, gang ? "a gang needs the whole machine" : "it can be returned", now);
       if (++draining >= most) return;
     } else {
-      slots[i].usable = true;
+      candidates[i].usable = true;
     }
   }
 }
--- a/src/dispatch/record_writes.cpp
+++ b/src/dispatch/record_writes.cpp
@@ -74,8 +74,8 @@
     job.done = record.done;
     inherit_priority(job);
     count_arrival(job);
-    job.room = wire::record_room(record, settings_.state_value_bytes());
-    if (!job.room.any())
+    job.record_capacity = wire::record_capacity(record, settings_.state_value_bytes());
+    if (!job.record_capacity.any())
       spdlog::error("{}: its description leaves no room in a record", record.spec.id);
     spdlog::debug("{} arrives: {} tasks of {}", record.spec.id, record.spec.tasks,
                   record.spec.job_class);
@@ -124,7 +124,7 @@
   if (job.writing || job.version == 0) return WriteUrgency::None;
   const bool over = job.stored.state != JobState::Pending || job.complete();
   // A record of a version before these limits: the job can still be moved to the finished ones.
-  if (!job.room.any() && !(over && absent_everywhere(job))) return WriteUrgency::None;
+  if (!job.record_capacity.any() && !(over && absent_everywhere(job))) return WriteUrgency::None;
   if ((job.start_record_requested && !job.stored.started) || job.hosts_record_requested)
     return WriteUrgency::Start;
   if (job.stored.state == JobState::Pending && job.complete()) return WriteUrgency::Done;
@@ -145,7 +145,7 @@
 /// What finds no room in a record stays with the workers until earlier tasks close the gaps. What
 /// is stored has been cleared there, and goes first.
 Ranges Scheduler::done_for_record(const Job& job) {
-  return job.done.first_spans(job.room.spans, job.stored.done);
+  return job.done.first_spans(job.record_capacity.spans, job.stored.done);
 }
 
 /// Where the job's tasks may be, for the next leader: what that one can't account for then holds
@@ -162,7 +162,7 @@
     if (machine != machines_.end() && !machine->second.accounted) hosts.insert(id);
   }
   std::vector<std::string> sorted(hosts.begin(), hosts.end());
-  if (!job.room.holds(sorted)) return std::nullopt;
+  if (!job.record_capacity.holds(sorted)) return std::nullopt;
   return sorted;
 }
 
@@ -226,7 +226,7 @@
   RecordWrite write = write_for(job, now);
   job.writing = true;
   keep_common_hosts(job, write.record->hosts);
-  const size_t bytes = write.finished ? 0 : job.room.taken_by(*write.record);
+  const size_t bytes = write.finished ? 0 : job.record_capacity.taken_by(*write.record);
   batch.add(std::move(write), bytes);
 }
 
--- a/src/dispatch/releases.cpp
+++ b/src/dispatch/releases.cpp
@@ -14,15 +14,17 @@
 }  // namespace
 
 /// Whether there is room for arrivals beside what the trial has placed.
-bool Scheduler::spare_room(Trial& trial, Seconds /*now*/) const {
+bool Scheduler::has_headroom(TentativePlacement& trial, Seconds /*now*/) const {
   const auto expected = arrivals_.expected(settings_.tuning.headroom);
-  const auto demands = demands_of(expected);
-  return std::all_of(demands.begin(), demands.end(),
-                     [&trial](const Demand& d) { return trial.fits(d); });
+  const auto placement_requests = placement_requests_for(expected);
+  return std::all_of(placement_requests.begin(), placement_requests.end(),
+                     [&trial](const PlacementRequest& placement_request) {
+                       return trial.fits(placement_request);
+                     });
 }
 
 void Scheduler::return_idle(Seconds now) {
-  if (!picture_settled(now) || rental_requests_.any_open()) return;
+  if (!capacity_settled(now) || rental_requests_.any_open()) return;
   for (auto& [id, machine] : machines_) {
     const bool idle = machine.stage == Machine::Stage::Up && !machine.has_possible_attempts();
     if (!idle)
@@ -30,18 +32,18 @@
     else if (!machine.idle_since)
       machine.idle_since = now;
   }
-  auto others = picture(now, false);
-  for (auto& s : others) {
-    Machine& machine = machines_.at(s.machine);
+  auto others = capacity_snapshot(now, false);
+  for (auto& candidate : others) {
+    Machine& machine = machines_.at(candidate.machine);
     const MachineType* t = type(machine.info.type);
     if (!machine.idle_since || !t || now - *machine.idle_since < settings_.tuning.idle * t->boot_s)
       continue;
-    const bool usable = std::exchange(s.usable, false);
-    Trial without(others);
-    if (machine.sick() || machine.reclaim_at || spare_room(without, now))
+    const bool usable = std::exchange(candidate.usable, false);
+    TentativePlacement without(others);
+    if (machine.sick() || machine.reclaim_at || has_headroom(without, now))
       set_stage(machine, Machine::Stage::Returning);
     else
-      s.usable = usable;
+      candidate.usable = usable;
   }
 }
 
--- a/src/dispatch/renting.cpp
+++ b/src/dispatch/renting.cpp
@@ -33,20 +33,20 @@
 }
 
 void Scheduler::provision(Seconds now, std::vector<Action>& out) {
-  if (now < next_provision_ || types_.empty() || !picture_settled(now)) return;
+  if (now < next_provision_ || types_.empty() || !capacity_settled(now)) return;
   next_provision_ = now + settings_.heartbeat_period_s * 0.5;
   arrivals_.forget_old(now, longest_boot());
   for (auto& rent : rental_requests_.due_again(now)) out.emplace_back(std::move(rent));
   if (rental_requests_.any_open()) return;
-  auto booting = picture(now, true);
-  auto up = picture(now, false);
+  auto booting = capacity_snapshot(now, true);
+  auto up = capacity_snapshot(now, false);
   const auto expected = arrivals_.expected(settings_.tuning.headroom);
-  for (auto& d : demands_of(expected)) {
-    for (const auto& p : place(d, up)) {
-      ++d.zones[up[p.slot].zone];
-      std::erase(d.tasks, p.task);
+  for (auto& placement_request : placement_requests_for(expected)) {
+    for (const auto& p : bin_pack(placement_request, up)) {
+      ++placement_request.zones[up[p.candidate].zone];
+      std::erase(placement_request.tasks, p.task);
     }
-    if (!d.tasks.empty()) unplaced_.push_back(std::move(d));
+    if (!placement_request.tasks.empty()) unplaced_.push_back(std::move(placement_request));
   }
   const auto share = static_cast<int>(settings_.tuning.rent * static_cast<double>(up.size()));
   for (const auto& r : rentals(unplaced_, booting, offers(now), std::max(kFewRented, share)))
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -91,8 +91,8 @@
   if (now >= next_round_) {
     expire(now);
     next_round_ = now + settings_.tuning.round * settings_.heartbeat_period_s;
-    round(now);
-    move_replicas(now);
+    run_placement_round(now);
+    rebalance(now);
     provision(now, out);
     log_fleet_summary(now);
     unplaced_.clear();
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -17,7 +17,7 @@
 #include "dispatch/zone_reachability.h"
 #include "fleet/machine.h"
 #include "jobs/dependency_graph.h"
-#include "jobs/guarantees.h"
+#include "jobs/fair_share.h"
 #include "jobs/record.h"
 #include "leadership/fencing_token_allocator.h"
 #include "leadership/lease_delegation.h"
@@ -225,46 +225,53 @@
   bool sick_for_certain(const Machine& machine, Seconds now) const;
 
   // waiting_jobs.cpp
-  std::vector<Job*> waiting(Seconds now);
+  std::vector<Job*> scheduling_queue(Seconds now);
   bool may_be_placed(Job& job, Seconds now);
   bool placement_unknown(const Job& job) const;
-  size_t quota_left(const Job& job) const;
-  void count_usage();
-  void find_guaranteed(const std::vector<Job*>& waiting);
+  size_t remaining_quota(const Job& job) const;
+  void count_quota_usage();
+  void find_jobs_within_fair_share(const std::vector<Job*>& waiting);
 
   // rounds.cpp
-  void round(Seconds now);
-  std::vector<Slot> picture(Seconds now, bool booting) const;
-  bool picture_settled(Seconds now) const;
+  void run_placement_round(Seconds now);
+  std::vector<CandidateMachine> capacity_snapshot(Seconds now, bool booting) const;
+  bool capacity_settled(Seconds now) const;
   /// The most tasks of an array or a service that a round looks at.
-  size_t tasks_a_round() const;
-  std::optional<Demand> demand(Job& job, size_t most);
-  bool fetch_hurts(const Job& job) const;
-  void place_warm(Job& job, Demand& demand, std::vector<Slot>& slots, Seconds now);
-  void place_part(Job& job, Demand& demand, std::vector<Slot>& slots, Seconds now);
-  void start_placed(Job& job, const std::vector<Placed>& placed, const std::vector<Slot>& slots,
-                    Seconds now);
+  size_t max_tasks_per_round() const;
+  std::optional<PlacementRequest> create_placement_request(Job& job, size_t max_tasks);
+  bool image_fetch_misses_objective(const Job& job) const;
+  void place_where_image_cached(Job& job, PlacementRequest& placement_request,
+                                std::vector<CandidateMachine>& candidates, Seconds now);
+  void place_what_fits(Job& job, PlacementRequest& placement_request,
+                       std::vector<CandidateMachine>& candidates, Seconds now);
+  void start_assignments(Job& job, const std::vector<Assignment>& assignments,
+                         const std::vector<CandidateMachine>& candidates, Seconds now);
   bool usable(const Machine& machine, Seconds now) const;
 
   // preemption.cpp
-  void make_room(Job& job, Demand& demand, std::vector<Slot>& slots, Seconds now);
-  void gather(Job& job, Demand& demand, std::vector<Slot>& slots, Seconds now);
-  void make_room(Job& job, Demand& demand, std::vector<Slot>& slots,
-                 const std::vector<Victim>& candidates, Seconds now);
-  std::optional<Seconds> soonest_rented(const JobSpec& spec, Seconds now) const;
+  void preempt_for(Job& job, PlacementRequest& placement_request,
+                   std::vector<CandidateMachine>& candidates, Seconds now);
+  void reserve_partial_gang(Job& job, PlacementRequest& placement_request,
+                            std::vector<CandidateMachine>& candidates, Seconds now);
+  void preempt_for(Job& job, PlacementRequest& placement_request,
+                   std::vector<CandidateMachine>& candidates, const std::vector<Victim>& victims,
+                   Seconds now);
+  std::optional<Seconds> earliest_on_new_machine(const JobSpec& spec, Seconds now) const;
   bool late(const Job& job, Seconds takes, Seconds now) const;
-  bool preemptible(Demand demand, std::vector<Slot> slots,
-                   const std::vector<Victim>& candidates) const;
+  bool preemptible(PlacementRequest placement_request, std::vector<CandidateMachine> candidates,
+                   const std::vector<Victim>& victims) const;
   Seconds loss_of(const Job& job, const TaskAttempt& attempt, Seconds now) const;
-  std::vector<Victim> victims(const std::vector<Slot>& slots, Seconds now) const;
-  const std::vector<Victim>& victims_of_round(const std::vector<Slot>& slots, Seconds now);
-  void forget_victim(const Victim& gone);
+  std::vector<Victim> list_victims(const std::vector<CandidateMachine>& candidates,
+                                   Seconds now) const;
+  const std::vector<Victim>& victims_in_round(const std::vector<CandidateMachine>& candidates,
+                                              Seconds now);
+  void mark_preempted(const Victim& gone);
 
   // moves.cpp
-  void move_replicas(Seconds now);
-  size_t finish_moves(Seconds now);
-  std::vector<size_t> worth_emptying(const std::vector<Slot>& slots) const;
-  bool movable(const Machine& machine, Trial& elsewhere, Seconds now);
+  void rebalance(Seconds now);
+  size_t finish_evictions(Seconds now);
+  std::vector<size_t> eviction_candidates(const std::vector<CandidateMachine>& candidates) const;
+  bool evictable(const Machine& machine, TentativePlacement& elsewhere, Seconds now);
   void drain(Machine& machine, const char* why, Seconds now);
 
   // machine_lifecycle.cpp
@@ -289,7 +296,7 @@
 
   // releases.cpp
   void return_idle(Seconds now);
-  bool spare_room(Trial& trial, Seconds now) const;
+  bool has_headroom(TentativePlacement& trial, Seconds now) const;
   void return_machines(Seconds now, std::vector<Action>& out);
 
   // fleet_summary.cpp
@@ -319,13 +326,13 @@
   DispatchBacklog backlog_;  ///< records with prompt dispatch alone
   std::vector<MachineType> types_;
   RentalRequests rental_requests_;
-  std::unordered_map<std::string, Amounts> used_;  ///< by team
+  std::unordered_map<std::string, Resources> quota_usage_;  ///< by team
   ArrivalForecast arrivals_;
   std::optional<std::vector<Victim>> victims_;  ///< of this round, once anybody has asked
-  JobIds guaranteed_;                   ///< in this round: jobs within their team's guarantee
-  RunningResources running_resources_;  ///< of this round, once the victims are listed
-  std::vector<Demand> unplaced_;        ///< of the last round; used in the same tick only
-  Seconds next_round_ = 0, next_provision_ = 0, next_release_ = 0, next_move_ = 0,
+  JobIds within_fair_share_;                ///< in this round: jobs within their team's guarantee
+  RunningResources running_resources_;      ///< of this round, once the victims are listed
+  std::vector<PlacementRequest> unplaced_;  ///< of the last round; used in the same tick only
+  Seconds next_round_ = 0, next_provision_ = 0, next_release_ = 0, next_rebalance_ = 0,
           next_summary_ = 0;
   bool releasing_ = false;
   Seconds latest_heartbeat_ = 0;  ///< of any machine
--- a/src/dispatch/waiting_jobs.cpp
+++ b/src/dispatch/scheduling_queue.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 /// Decides the order in which a round places jobs: a smaller rank goes first.
-struct PlacementRank {
+struct SchedulingOrder {
   /// A job that might preempt another goes before it: started the other way round, the other would
   /// only be stopped again.
   int negated_priority = 0;
   /// A job within its team's guarantee need not wait for other teams, and what it has stopped must
   /// not be back in its place before it.
-  bool beyond_guarantee = false;
+  bool beyond_fair_share = false;
   /// Of those that can stop nobody: tasks that need no GPUs fit into every gap and would take the
   /// CPUs beside all GPUs.
   bool fits_every_gap = false;
@@ -25,16 +25,17 @@
   int negated_gang_size = 0;  ///< of these the largest gang goes first
   uint64_t arrival_ms = 0;
   std::string_view id;
-  auto operator<=>(const PlacementRank&) const = default;
+  auto operator<=>(const SchedulingOrder&) const = default;
 };
 
-PlacementRank rank_of(const Job& job, bool within_guarantee, uint64_t arrival_ms, Seconds period) {
+SchedulingOrder scheduling_order_of(const Job& job, bool within_fair_share, uint64_t arrival_ms,
+                                    Seconds period) {
   constexpr double kMsPerSecond = 1000;
   const JobSpec& spec = job.spec();
-  PlacementRank rank;
+  SchedulingOrder rank;
   rank.negated_priority = -static_cast<int>(job.priority);
-  rank.beyond_guarantee = !within_guarantee;
-  rank.fits_every_gap = job.priority == Priority::Low && spec.need.gpus == 0;
+  rank.beyond_fair_share = !within_fair_share;
+  rank.fits_every_gap = job.priority == Priority::Low && spec.request.gpus == 0;
   rank.arrival_period = std::floor(static_cast<double>(arrival_ms) / (period * kMsPerSecond));
   rank.negated_gang_size = spec.kind == JobKind::Gang ? -static_cast<int>(spec.tasks) : 0;
   rank.arrival_ms = arrival_ms;
@@ -43,14 +44,14 @@
 }
 
 struct RankedJob {
-  PlacementRank rank;
+  SchedulingOrder rank;
   Job* job = nullptr;
 };
 
 }  // namespace
 
-void Scheduler::count_usage() {
-  used_.clear();
+void Scheduler::count_quota_usage() {
+  quota_usage_.clear();
   for (const auto& [id, job] : jobs_) {
     size_t n = 0;
     for (const auto& [task, places] : job.possible_placements) n += places.size();
@@ -60,7 +61,7 @@
       const uint32_t gone = job.spec().kind == JobKind::Array ? job.stored.done.count() : 0;
       n = std::max<size_t>(n, job.spec().tasks - std::min(job.spec().tasks, gone));
     }
-    used_[job.spec().team] += job.spec().need.times(static_cast<double>(n));
+    quota_usage_[job.spec().team] += job.spec().request.times(static_cast<double>(n));
   }
 }
 
@@ -74,17 +75,17 @@
   });
 }
 
-size_t Scheduler::quota_left(const Job& job) const {
+size_t Scheduler::remaining_quota(const Job& job) const {
   const TeamSettings* team = settings_.team(job.spec().team);
   if (!team) return 0;
-  const auto it = used_.find(team->name);
-  const Amounts used = it == used_.end() ? Amounts{} : it->second;
-  auto fits = [](double limit, double used, double need) {
-    if (limit <= 0 || need <= 0) return 1e9;
-    return std::max(0.0, std::floor((limit - used) / need + 1e-6));
+  const auto it = quota_usage_.find(team->name);
+  const Resources used = it == quota_usage_.end() ? Resources{} : it->second;
+  auto fits = [](double limit, double used, double request) {
+    if (limit <= 0 || request <= 0) return 1e9;
+    return std::max(0.0, std::floor((limit - used) / request + 1e-6));
   };
-  return static_cast<size_t>(std::min(fits(team->cpus_max, used.cpus, job.spec().need.cpus),
-                                      fits(team->gpus_max, used.gpus, job.spec().need.gpus)));
+  return static_cast<size_t>(std::min(fits(team->cpus_max, used.cpus, job.spec().request.cpus),
+                                      fits(team->gpus_max, used.gpus, job.spec().request.gpus)));
 }
 
 /// Whether a round may start anything of the job.
@@ -101,17 +102,18 @@
 }
 
 /// The jobs that a round may place something of, in the order of their ranks.
-std::vector<Job*> Scheduler::waiting(Seconds now) {
+std::vector<Job*> Scheduler::scheduling_queue(Seconds now) {
   std::vector<Job*> jobs;
   for (auto& [id, job] : jobs_)
     if (may_be_placed(job, now)) jobs.push_back(&job);
-  find_guaranteed(jobs);
+  find_jobs_within_fair_share(jobs);
   std::vector<RankedJob> ranked;
   ranked.reserve(jobs.size());
   for (Job* job : jobs) {
-    const bool within_guarantee = guaranteed_.contains(job->spec().id);
-    ranked.push_back(
-        {rank_of(*job, within_guarantee, arrival_ms(*job), settings_.heartbeat_period_s), job});
+    const bool within_fair_share = within_fair_share_.contains(job->spec().id);
+    ranked.push_back({scheduling_order_of(*job, within_fair_share, arrival_ms(*job),
+                                          settings_.heartbeat_period_s),
+                      job});
   }
   std::sort(ranked.begin(), ranked.end(),
             [](const RankedJob& a, const RankedJob& b) { return a.rank < b.rank; });
@@ -121,11 +123,11 @@
 }
 
 /// Finds the jobs within guarantees, if any of those that wait could be one of them.
-void Scheduler::find_guaranteed(const std::vector<Job*>& waiting) {
-  guaranteed_.clear();
+void Scheduler::find_jobs_within_fair_share(const std::vector<Job*>& waiting) {
+  within_fair_share_.clear();
   JobIds teams;
   for (const auto& team : settings_.teams)
-    if (has_guarantee(team)) teams.insert(team.name);
+    if (has_fair_share(team)) teams.insert(team.name);
   if (teams.empty()) return;
   const auto claims = [&teams](const Job& job) { return teams.contains(job.spec().team); };
   if (std::none_of(waiting.begin(), waiting.end(), [&](const Job* job) { return claims(*job); }))
@@ -136,7 +138,7 @@
     const uint32_t ended = job.spec().kind == JobKind::Array ? job.done.count() : 0;
     unfinished.push_back({&job.spec(), job.spec().tasks - ended, arrival_ms(job)});
   }
-  guaranteed_ = within_guarantee(settings_.teams, std::move(unfinished));
+  within_fair_share_ = within_fair_share(settings_.teams, std::move(unfinished));
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/task_attempts.cpp
+++ b/src/dispatch/task_attempts.cpp
@@ -29,7 +29,7 @@
 void Scheduler::adopt_attempt(Machine& machine, const TaskAttemptId& key, TaskAttempt& attempt,
                               Job& job, Seconds now) {
   const JobSpec& spec = job.spec();
-  attempt.need = spec.need;
+  attempt.request = spec.request;
   attempt.image = spec.image;
   attempt.image_gb = spec.image_gb;
   add_possible_placement(machine, key);
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -38,7 +38,7 @@
   std::optional<Seconds> running_since;
   std::optional<Seconds> stop_since;
   bool stop_sent = false;
-  Amounts need;
+  Resources request;
   std::string image;
   double image_gb = 0;
 
--- a/src/fleetload/workload.cpp
+++ b/src/fleetload/workload.cpp
@@ -35,7 +35,7 @@
   job.spec.kind = kind;
   job.spec.priority = priority;
   job.spec.tasks = static_cast<uint32_t>(tasks);
-  job.spec.need = {kCpusPerTask, 1, kMemoryPerTask};
+  job.spec.request = {kCpusPerTask, 1, kMemoryPerTask};
   job.spec.spread = kind == JobKind::Service && settings_.zones > 1;
   job.spec.estimate_s = kind == JobKind::Service ? 0 : run_s;
   job.run_s = run_s;
@@ -74,7 +74,7 @@
 MachineType machine_type_of(const LoadSettings& settings) {
   MachineType type;
   type.name = "gpu-" + std::to_string(static_cast<int>(settings.tasks_per_machine));
-  type.room = Amounts{kCpusPerTask, 1, kMemoryPerTask}.times(settings.tasks_per_machine);
+  type.capacity = Resources{kCpusPerTask, 1, kMemoryPerTask}.times(settings.tasks_per_machine);
   type.cache_gb = 100;
   type.fetch_gb_per_s = 10;
   type.price = settings.tasks_per_machine;
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -5,7 +5,7 @@
 #include <chrono>
 
 #include "wire/json_size.h"
-#include "wire/record_room.h"
+#include "wire/record_capacity.h"
 #include "wire/store_messages.h"
 #include "wire/user_messages.h"
 
--- a/src/jobs/guarantees.cpp
+++ b/src/jobs/fair_share.cpp
@@ -1,4 +1,4 @@
-#include "jobs/guarantees.h"
+#include "jobs/fair_share.h"
 
 #include <algorithm>
 #include <tuple>
@@ -9,7 +9,7 @@
 /// Sums of decimals are not exact.
 constexpr double kSlack = 1e-6;
 
-bool covers(const TeamSettings& team, const Amounts& need) {
+bool covers(const TeamSettings& team, const Resources& need) {
   return need.gpus > 0 ? team.gpus > 0 : team.cpus > 0;
 }
 
@@ -27,28 +27,28 @@
 
 }  // namespace
 
-bool has_guarantee(const TeamSettings& team) {
+bool has_fair_share(const TeamSettings& team) {
   return team.cpus > 0 || team.gpus > 0;
 }
 
-JobIds within_guarantee(const std::vector<TeamSettings>& teams, std::vector<UnfinishedJob> jobs) {
+JobIds within_fair_share(const std::vector<TeamSettings>& teams, std::vector<UnfinishedJob> jobs) {
   struct Claim {
     const TeamSettings* team = nullptr;
-    Amounts claimed;
+    Resources claimed;
   };
   std::unordered_map<std::string_view, Claim> claims;
   for (const auto& team : teams)
-    if (has_guarantee(team)) claims[team.name].team = &team;
+    if (has_fair_share(team)) claims[team.name].team = &team;
   std::erase_if(jobs, [&](const UnfinishedJob& job) { return !claims.contains(job.spec->team); });
   std::sort(jobs.begin(), jobs.end(), earlier);
 
   JobIds within;
   for (const auto& job : jobs) {
     Claim& claim = claims.at(job.spec->team);
-    claim.claimed += job.spec->need.times(job.tasks_left);
+    claim.claimed += job.spec->request.times(job.tasks_left);
     if (exceeds(claim.claimed.cpus, claim.team->cpus)) continue;
     if (exceeds(claim.claimed.gpus, claim.team->gpus)) continue;
-    if (covers(*claim.team, job.spec->need)) within.insert(job.spec->id);
+    if (covers(*claim.team, job.spec->request)) within.insert(job.spec->id);
   }
   return within;
 }
@@ -57,17 +57,18 @@
   for (const auto& team : teams) teams_[team.name].settings = &team;
 }
 
-void RunningResources::add(std::string_view team, const Amounts& amounts) {
+void RunningResources::add(std::string_view team, const Resources& amounts) {
   const auto found = teams_.find(team);
   if (found != teams_.end()) found->second.running += amounts;
 }
 
-void RunningResources::remove(std::string_view team, const Amounts& amounts) {
+void RunningResources::remove(std::string_view team, const Resources& amounts) {
   const auto found = teams_.find(team);
   if (found != teams_.end()) found->second.running -= amounts;
 }
 
-bool RunningResources::can_spare(std::string_view team, const Amounts& amounts) const {
+bool RunningResources::keeps_fair_share_without(std::string_view team,
+                                                const Resources& amounts) const {
   const auto found = teams_.find(team);
   if (found == teams_.end()) return false;
   const auto& [settings, running] = found->second;
--- a/src/jobs/guarantees.h
+++ b/src/jobs/fair_share.h
@@ -27,11 +27,11 @@
 using JobIds = std::unordered_set<std::string_view>;
 
 /// Whether anything at all is guaranteed to the team.
-bool has_guarantee(const TeamSettings& team);
+bool has_fair_share(const TeamSettings& team);
 
 /// Those jobs that fit into their team's guarantee together with all of the team's earlier ones.
 /// A job stays within it until it ends, since only earlier jobs count and they only get fewer.
-JobIds within_guarantee(const std::vector<TeamSettings>& teams, std::vector<UnfinishedJob> jobs);
+JobIds within_fair_share(const std::vector<TeamSettings>& teams, std::vector<UnfinishedJob> jobs);
 
 /// What each team's tasks take, without those that are being stopped already, against its
 /// guarantee.
@@ -41,17 +41,17 @@
   /// The settings outlive it.
   explicit RunningResources(const std::vector<TeamSettings>& teams);
 
-  void add(std::string_view team, const Amounts& amounts);
-  void remove(std::string_view team, const Amounts& amounts);
+  void add(std::string_view team, const Resources& amounts);
+  void remove(std::string_view team, const Resources& amounts);
 
   /// Whether the team keeps its whole guarantee if it loses this much. An unknown team loses
   /// nothing.
-  bool can_spare(std::string_view team, const Amounts& amounts) const;
+  bool keeps_fair_share_without(std::string_view team, const Resources& amounts) const;
 
  private:
   struct Team {
     const TeamSettings* settings = nullptr;
-    Amounts running;
+    Resources running;
   };
   std::unordered_map<std::string_view, Team> teams_;
 };
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -12,25 +12,25 @@
 enum class Priority { Low, Normal, High, Production };
 enum class JobState { Pending, Cancelled, Done };  ///< as recorded; "running" is only displayed
 
-struct Amounts {
+struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
 
-  Amounts& operator+=(const Amounts& o) {
+  Resources& operator+=(const Resources& o) {
     cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
     return *this;
   }
-  Amounts& operator-=(const Amounts& o) {
+  Resources& operator-=(const Resources& o) {
     cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
     return *this;
   }
-  Amounts times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
+  Resources times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
   /// Sums of decimals are not exact: a thousandth of a CPU is not worth a refusal.
-  bool fits_in(const Amounts& room) const {
+  bool fits_in(const Resources& capacity) const {
     constexpr double kSlack = 1e-6;
-    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
-           memory_gb <= room.memory_gb + kSlack;
+    return cpus <= capacity.cpus + kSlack && gpus <= capacity.gpus + kSlack &&
+           memory_gb <= capacity.memory_gb + kSlack;
   }
-  bool operator==(const Amounts&) const = default;
+  bool operator==(const Resources&) const = default;
 };
 
 struct JobSpec {
@@ -38,12 +38,12 @@
   JobKind kind = JobKind::Array;
   Priority priority = Priority::Normal;
   uint32_t tasks = 1;
-  Amounts need;
+  Resources request;
   double image_gb = 0;
   std::optional<std::vector<std::string>> types;
   std::optional<std::string> zone;
   bool one_zone = false, spread = false, spot = false;
-  double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+  double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
   std::optional<double> deadline_s;
   /// Jobs that have to be done before a task of this one starts; each once.
   std::vector<std::string> dependencies;
@@ -53,12 +53,12 @@
   uint32_t zone_limit() const { return spread ? (tasks + 1) / 2 : tasks; }
   /// Whether it matters in which zones its other tasks are.
   bool counts_zones() const { return one_zone || spread; }
-  bool saves() const { return checkpoint_s > 0; }
+  bool checkpoints() const { return checkpoint_interval_s > 0; }
 };
 
 struct MachineType {
   std::string name;
-  Amounts room;
+  Resources capacity;
   double cache_gb = 0, fetch_gb_per_s = 1;
   double price = 0, spot_price = 0, boot_s = 60;
   std::vector<std::string> zones;
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -23,115 +23,132 @@
 /// Smaller is better: the fullest machine, GPUs first; ties go to one that holds the image.
 /// A task without GPUs keeps off machines that have some as long as others fit, since room beside
 /// idle GPUs is what GPU tasks need.
-auto rank(const Slot& s, const Demand& d) {
-  const bool wastes_gpus = d.spec->need.gpus == 0 && s.room.gpus > 0;
-  const bool image = d.has_image && d.has_image(s);
-  return std::make_tuple(wastes_gpus, d.image_first && !image, s.room.gpus, !image, s.free.gpus,
-                         s.free.cpus, s.free.memory_gb);
+auto rank(const CandidateMachine& candidate, const PlacementRequest& placement_request) {
+  const bool wastes_gpus = placement_request.spec->request.gpus == 0 && candidate.capacity.gpus > 0;
+  const bool image = placement_request.has_image && placement_request.has_image(candidate);
+  return std::make_tuple(wastes_gpus, placement_request.image_first && !image,
+                         candidate.capacity.gpus, !image, candidate.available.gpus,
+                         candidate.available.cpus, candidate.available.memory_gb);
 }
 
 bool allowed_zone(const JobSpec& spec, const std::string& zone) {
   return !spec.zone || *spec.zone == zone;
 }
 
-bool usable(const Slot& s, const Demand& d, const Zones& zones) {
-  return s.usable && allowed(*d.spec, s.type, s.zone, s.spot) &&
-         zone_allows(*d.spec, zones, s.zone) && !(d.avoid && d.avoid(s));
+bool usable(const CandidateMachine& candidate, const PlacementRequest& placement_request,
+            const Zones& zones) {
+  return candidate.usable &&
+         allowed(*placement_request.spec, candidate.type, candidate.zone, candidate.spot) &&
+         zone_allows(*placement_request.spec, zones, candidate.zone) &&
+         !(placement_request.avoid && placement_request.avoid(candidate));
 }
 
 /// The best slot stays the best while tasks of the same job are put on it, since each makes it
 /// fuller, and a slot that no longer fits or whose zone is full stays so. Ranking once is therefore
 /// the same as looking for the best slot again for each task, at a fraction of the cost.
-std::vector<Placed> greedy(const Demand& d, std::vector<Slot>& slots, Zones zones) {
-  using Ranked = std::pair<decltype(rank(slots[0], d)), size_t>;
+std::vector<Assignment> greedy(const PlacementRequest& placement_request,
+                               std::vector<CandidateMachine>& candidates, Zones zones) {
+  using Ranked = std::pair<decltype(rank(candidates[0], placement_request)), size_t>;
   std::vector<Ranked> order;
-  for (size_t i = 0; i < slots.size(); ++i)
-    if (slots[i].fits(d.spec->need) && usable(slots[i], d, zones))
-      order.emplace_back(rank(slots[i], d), i);
+  for (size_t i = 0; i < candidates.size(); ++i)
+    if (candidates[i].fits(placement_request.spec->request) &&
+        usable(candidates[i], placement_request, zones))
+      order.emplace_back(rank(candidates[i], placement_request), i);
   // A heap hands out the best slots in order, at the cost of those that are used: of thousands that
   // fit, a job needs a few.
   std::make_heap(order.begin(), order.end(), std::greater<>());
-  std::vector<Placed> out;
-  auto task = d.tasks.begin();
-  while (task != d.tasks.end() && !order.empty()) {
+  std::vector<Assignment> out;
+  auto task = placement_request.tasks.begin();
+  while (task != placement_request.tasks.end() && !order.empty()) {
     std::pop_heap(order.begin(), order.end(), std::greater<>());
     const size_t i = order.back().second;
     order.pop_back();
-    while (task != d.tasks.end() && slots[i].fits(d.spec->need) &&
-           zone_allows(*d.spec, zones, slots[i].zone)) {
-      slots[i].free -= d.spec->need;
-      ++zones[slots[i].zone];
+    while (task != placement_request.tasks.end() &&
+           candidates[i].fits(placement_request.spec->request) &&
+           zone_allows(*placement_request.spec, zones, candidates[i].zone)) {
+      candidates[i].available -= placement_request.spec->request;
+      ++zones[candidates[i].zone];
       out.push_back({*task++, i});
     }
   }
   return out;
 }
 
-void give_back(const Demand& d, std::vector<Slot>& slots, const std::vector<Placed>& placed) {
-  for (const auto& p : placed) slots[p.slot].free += d.spec->need;
+void give_back(const PlacementRequest& placement_request, std::vector<CandidateMachine>& candidates,
+               const std::vector<Assignment>& assignments) {
+  for (const auto& p : assignments)
+    candidates[p.candidate].available += placement_request.spec->request;
 }
 
-std::vector<std::string> zones_of(const std::vector<Slot>& slots) {
+std::vector<std::string> zones_of(const std::vector<CandidateMachine>& candidates) {
   std::vector<std::string> names;
-  for (const auto& s : slots)
-    if (std::find(names.begin(), names.end(), s.zone) == names.end()) names.push_back(s.zone);
+  for (const auto& candidate : candidates)
+    if (std::find(names.begin(), names.end(), candidate.zone) == names.end())
+      names.push_back(candidate.zone);
   return names;
 }
 
-std::vector<Placed> greedy_in(const std::string& zone, const Demand& d, std::vector<Slot>& slots) {
-  JobSpec pinned = *d.spec;
+std::vector<Assignment> greedy_in(const std::string& zone,
+                                  const PlacementRequest& placement_request,
+                                  std::vector<CandidateMachine>& candidates) {
+  JobSpec pinned = *placement_request.spec;
   pinned.zone = zone;
-  Demand in_zone = d;
+  PlacementRequest in_zone = placement_request;
   in_zone.spec = &pinned;
-  return greedy(in_zone, slots, d.zones);
+  return greedy(in_zone, candidates, placement_request.zones);
 }
 
 /// A gang in one zone may fit in another zone than the one the fullest machine is in.
-std::vector<Placed> gang_in_some_zone(const Demand& d, std::vector<Slot>& slots) {
-  for (const auto& zone : zones_of(slots)) {
-    if (!allowed_zone(*d.spec, zone)) continue;
-    auto placed = greedy_in(zone, d, slots);
-    if (placed.size() == d.tasks.size()) return placed;
-    give_back(d, slots, placed);
+std::vector<Assignment> gang_in_some_zone(const PlacementRequest& placement_request,
+                                          std::vector<CandidateMachine>& candidates) {
+  for (const auto& zone : zones_of(candidates)) {
+    if (!allowed_zone(*placement_request.spec, zone)) continue;
+    auto assignments = greedy_in(zone, placement_request, candidates);
+    if (assignments.size() == placement_request.tasks.size()) return assignments;
+    give_back(placement_request, candidates, assignments);
   }
   return {};
 }
 
 /// How many tasks there is room for in the zone; takes none of it.
-size_t room_in(const std::string& zone, const Demand& d, std::vector<Slot>& slots) {
-  const auto placed = greedy_in(zone, d, slots);
-  give_back(d, slots, placed);
-  return placed.size();
+size_t room_in(const std::string& zone, const PlacementRequest& placement_request,
+               std::vector<CandidateMachine>& candidates) {
+  const auto assignments = greedy_in(zone, placement_request, candidates);
+  give_back(placement_request, candidates, assignments);
+  return assignments.size();
 }
 
 /// Whether it is work that another team runs beyond its guarantee, and the demand is within its
 /// own. Higher priority doesn't give way: it would go before the demand in the next round, and stop
 /// it.
-bool yields_to_guarantee(const Demand& d, const Victim& victim) {
-  return d.within_guarantee && victim.beyond_guarantee && victim.team != d.spec->team &&
-         victim.priority <= d.priority();
+bool yields_to_fair_share(const PlacementRequest& placement_request, const Victim& victim) {
+  return placement_request.within_fair_share && victim.beyond_fair_share &&
+         victim.team != placement_request.spec->team &&
+         victim.priority <= placement_request.priority();
 }
 
 /// Lower priority and work beyond a guarantee give way; but a gang, which stops on all its
 /// machines, only to a task that takes a good part of one of them.
-bool may_stop(const Demand& d, const Victim& victim) {
+bool may_stop(const PlacementRequest& placement_request, const Victim& victim) {
   constexpr double kGoodPart = 0.4;
-  const JobSpec& spec = *d.spec;
+  const JobSpec& spec = *placement_request.spec;
   if (victim.stopped) return false;
-  if (victim.priority >= d.priority() && !yields_to_guarantee(d, victim)) return false;
+  if (victim.priority >= placement_request.priority() &&
+      !yields_to_fair_share(placement_request, victim))
+    return false;
   if (!victim.gang) return true;
-  const bool by_gpus = victim.need.gpus > 0;
-  return by_gpus ? spec.need.gpus >= kGoodPart * victim.need.gpus
-                 : spec.need.cpus >= kGoodPart * victim.need.cpus;
+  const bool by_gpus = victim.request.gpus > 0;
+  return by_gpus ? spec.request.gpus >= kGoodPart * victim.request.gpus
+                 : spec.request.cpus >= kGoodPart * victim.request.cpus;
 }
 
 /// Whether the victim's team keeps its guarantee if it loses this one beside those chosen already.
-bool team_can_spare(const Victim& victim, const std::vector<size_t>& chosen,
-                    const std::vector<Victim>& victims, const RunningResources& running) {
-  Amounts lost = victim.stops;
+bool team_keeps_fair_share(const Victim& victim, const std::vector<size_t>& chosen,
+                           const std::vector<Victim>& victims, const RunningResources& running) {
+  Resources lost = victim.stops;
   for (size_t v : chosen)
     if (victims[v].team == victim.team) lost += victims[v].stops;
-  return running.can_spare(victim.team, lost);
+  return running.keeps_fair_share_without(victim.team, lost);
 }
 
 double cost_of(const Victim& victim) {
@@ -140,15 +157,15 @@
 
 /// Leaves out, the dearest first, those without whom the task fits all the same: a large one that
 /// came last may make small ones needless. Returns what they would have cost.
-double drop_needless(std::vector<size_t>& chosen, const std::vector<Victim>& victims,
-                     const Amounts& need, Amounts room) {
+double drop_unneeded_victims(std::vector<size_t>& chosen, const std::vector<Victim>& victims,
+                             const Resources& request, Resources capacity) {
   double saved = 0;
   for (size_t i = chosen.size(); i-- > 0;) {
     const Victim& victim = victims[chosen[i]];
-    Amounts without = room;
-    without -= victim.need;
-    if (!need.fits_in(without)) continue;
-    room = without;
+    Resources without = capacity;
+    without -= victim.request;
+    if (!request.fits_in(without)) continue;
+    capacity = without;
     saved += cost_of(victim);
     chosen.erase(chosen.begin() + static_cast<std::ptrdiff_t>(i));
   }
@@ -161,88 +178,101 @@
   return spec.allows_type(type) && allowed_zone(spec, zone) && (spec.spot || !spot);
 }
 
-std::vector<Placed> place(const Demand& d, std::vector<Slot>& slots) {
-  auto placed = greedy(d, slots, d.zones);
-  const bool whole = placed.size() == d.tasks.size();
-  if (d.spec->kind != JobKind::Gang || whole) return placed;
-  give_back(d, slots, placed);
-  return d.spec->one_zone ? gang_in_some_zone(d, slots) : std::vector<Placed>{};
+std::vector<Assignment> bin_pack(const PlacementRequest& placement_request,
+                                 std::vector<CandidateMachine>& candidates) {
+  auto assignments = greedy(placement_request, candidates, placement_request.zones);
+  const bool whole = assignments.size() == placement_request.tasks.size();
+  if (placement_request.spec->kind != JobKind::Gang || whole) return assignments;
+  give_back(placement_request, candidates, assignments);
+  return placement_request.spec->one_zone ? gang_in_some_zone(placement_request, candidates)
+                                          : std::vector<Assignment>{};
 }
 
-void hold(Demand& d, std::vector<Slot>& slots, const std::vector<Slot>& soon) {
-  std::vector<Placed> held;
-  if (!d.spec->one_zone) {
-    held = greedy(d, slots, d.zones);
+void reserve_for_gang(PlacementRequest& placement_request,
+                      std::vector<CandidateMachine>& candidates,
+                      const std::vector<CandidateMachine>& soon) {
+  std::vector<Assignment> held;
+  if (!placement_request.spec->one_zone) {
+    held = greedy(placement_request, candidates, placement_request.zones);
   } else {
-    std::vector<Slot> later = soon;
-    auto names = zones_of(slots);
+    std::vector<CandidateMachine> later = soon;
+    auto names = zones_of(candidates);
     for (const auto& zone : zones_of(soon))
       if (std::find(names.begin(), names.end(), zone) == names.end()) names.push_back(zone);
     std::sort(names.begin(), names.end());
     std::optional<std::string> best;
     size_t most = 0;
     for (const auto& zone : names) {
-      if (!allowed_zone(*d.spec, zone)) continue;
-      const size_t room = room_in(zone, d, slots) + room_in(zone, d, later);
-      if (best && room <= most) continue;
+      if (!allowed_zone(*placement_request.spec, zone)) continue;
+      const size_t capacity =
+          room_in(zone, placement_request, candidates) + room_in(zone, placement_request, later);
+      if (best && capacity <= most) continue;
       best = zone;
-      most = room;
+      most = capacity;
     }
     if (!best || most == 0) return;
-    held = greedy_in(*best, d, slots);
-    d.zones[*best] += 1;  // binds the rest to it
+    held = greedy_in(*best, placement_request, candidates);
+    placement_request.zones[*best] += 1;  // binds the rest to it
   }
-  for (const auto& p : held) std::erase(d.tasks, p.task);
+  for (const auto& p : held) std::erase(placement_request.tasks, p.task);
 }
 
-void hold_beside_gpus(const Demand& d, std::vector<Slot>& slots) {
-  const Amounts& need = d.spec->need;
-  if (need.gpus <= 0) return;
+void reserve_beside_gpus(const PlacementRequest& placement_request,
+                         std::vector<CandidateMachine>& candidates) {
+  const Resources& request = placement_request.spec->request;
+  if (request.gpus <= 0) return;
   using Ranked = std::pair<double, size_t>;
   std::vector<Ranked> order;
-  for (size_t i = 0; i < slots.size(); ++i)
-    if (slots[i].free.gpus - slots[i].held.gpus >= need.gpus && usable(slots[i], d, d.zones))
-      order.emplace_back(slots[i].held.cpus - slots[i].free.cpus, i);
+  for (size_t i = 0; i < candidates.size(); ++i)
+    if (candidates[i].available.gpus - candidates[i].reserved.gpus >= request.gpus &&
+        usable(candidates[i], placement_request, placement_request.zones))
+      order.emplace_back(candidates[i].reserved.cpus - candidates[i].available.cpus, i);
   std::sort(order.begin(), order.end());
-  size_t left = d.tasks.size();
+  size_t left = placement_request.tasks.size();
   for (const auto& [ignored, i] : order)
-    for (; left > 0 && slots[i].free.gpus - slots[i].held.gpus >= need.gpus; --left)
-      slots[i].held += need;
+    for (; left > 0 && candidates[i].available.gpus - candidates[i].reserved.gpus >= request.gpus;
+         --left)
+      candidates[i].reserved += request;
 }
 
-Trial::~Trial() {
-  for (const auto& [slot, need] : taken_) slots_[slot].free += need;
+TentativePlacement::~TentativePlacement() {
+  for (const auto& [candidate, request] : taken_) candidates_[candidate].available += request;
 }
 
-std::vector<size_t> Trial::keep() {
-  std::vector<size_t> slots;
-  for (const auto& [slot, need] : std::exchange(taken_, {})) slots.push_back(slot);
-  return slots;
+std::vector<size_t> TentativePlacement::keep() {
+  std::vector<size_t> candidates;
+  for (const auto& [candidate, request] : std::exchange(taken_, {}))
+    candidates.push_back(candidate);
+  return candidates;
 }
 
-bool Trial::fits(const Demand& d) {
-  const auto placed = place(d, slots_);
-  for (const auto& p : placed) taken_.emplace_back(p.slot, d.spec->need);
-  return placed.size() == d.tasks.size();
+bool TentativePlacement::fits(const PlacementRequest& placement_request) {
+  const auto assignments = bin_pack(placement_request, candidates_);
+  for (const auto& p : assignments)
+    taken_.emplace_back(p.candidate, placement_request.spec->request);
+  return assignments.size() == placement_request.tasks.size();
 }
 
-std::optional<Preemption> preempt(const Demand& d, const std::vector<Slot>& slots,
+std::optional<Preemption> preempt(const PlacementRequest& placement_request,
+                                  const std::vector<CandidateMachine>& candidates,
                                   const std::vector<Victim>& victims,
                                   const RunningResources& running) {
-  std::vector<std::vector<size_t>> by_slot(slots.size());
+  std::vector<std::vector<size_t>> by_candidate(candidates.size());
   for (size_t v = 0; v < victims.size(); ++v)
-    if (may_stop(d, victims[v])) by_slot[victims[v].slot].push_back(v);
+    if (may_stop(placement_request, victims[v])) by_candidate[victims[v].candidate].push_back(v);
   std::optional<Preemption> best;
   double best_loss = 0;
-  for (size_t i = 0; i < slots.size(); ++i) {
-    auto& order = by_slot[i];
-    Amounts room = slots[i].free;
-    room += slots[i].coming;
-    Amounts most = room;
-    for (size_t v : order) most += victims[v].need;
+  for (size_t i = 0; i < candidates.size(); ++i) {
+    auto& order = by_candidate[i];
+    Resources capacity = candidates[i].available;
+    capacity += candidates[i].releasing;
+    Resources most = capacity;
+    for (size_t v : order) most += victims[v].request;
     // The rest is dearer, and most slots end here.
-    if (!d.spec->need.fits_in(most) || !usable(slots[i], d, d.zones)) continue;
-    if (d.spec->need.fits_in(room)) return Preemption{i, {}, true};
+    if (!placement_request.spec->request.fits_in(most) ||
+        !usable(candidates[i], placement_request, placement_request.zones))
+      continue;
+    if (placement_request.spec->request.fits_in(capacity)) return Preemption{i, {}, true};
     std::sort(order.begin(), order.end(), [&](size_t a, size_t b) {
       return std::tie(victims[a].priority, victims[a].loss_s) <
              std::tie(victims[b].priority, victims[b].loss_s);
@@ -250,16 +280,17 @@
     Preemption p{i, {}, false};
     double loss = 0;
     for (size_t v : order) {
-      if (d.spec->need.fits_in(room)) break;
-      if (victims[v].priority >= d.priority() &&
-          !team_can_spare(victims[v], p.victims, victims, running))
+      if (placement_request.spec->request.fits_in(capacity)) break;
+      if (victims[v].priority >= placement_request.priority() &&
+          !team_keeps_fair_share(victims[v], p.victims, victims, running))
         continue;
-      room += victims[v].need;
+      capacity += victims[v].request;
       loss += cost_of(victims[v]);
       p.victims.push_back(v);
     }
-    if (!d.spec->need.fits_in(room)) continue;
-    if (d.within_guarantee) loss -= drop_needless(p.victims, victims, d.spec->need, room);
+    if (!placement_request.spec->request.fits_in(capacity)) continue;
+    if (placement_request.within_fair_share)
+      loss -= drop_unneeded_victims(p.victims, victims, placement_request.spec->request, capacity);
     if (!best || loss < best_loss) best = p, best_loss = loss;
   }
   return best;
--- a/src/provision/provision.h
+++ b/src/provision/provision.h
@@ -24,7 +24,8 @@
 
 /// The machines to rent for demands that found no room, beyond those that are booting already.
 /// `booting` is changed: room on booting and on newly rented machines is taken.
-std::vector<Rental> rentals(std::vector<Demand> unplaced, std::vector<Slot>& booting,
+std::vector<Rental> rentals(std::vector<PlacementRequest> unplaced,
+                            std::vector<CandidateMachine>& booting,
                             const std::vector<Offer>& offers, int most);
 
 }  // namespace sumacquay
--- a/src/standin/messages.cpp
+++ b/src/standin/messages.cpp
@@ -135,9 +135,9 @@
 void pack_type(Packer& packer, const MachineType& type) {
   packer.pack_map(10);
   pack_field(packer, "sku", type.name);
-  pack_field(packer, field::kCpus, type.room.cpus);
-  pack_field(packer, field::kGpus, type.room.gpus);
-  pack_field(packer, field::kMemory, type.room.memory_gb);
+  pack_field(packer, field::kCpus, type.capacity.cpus);
+  pack_field(packer, field::kGpus, type.capacity.gpus);
+  pack_field(packer, field::kMemory, type.capacity.memory_gb);
   pack_field(packer, "local_gb", type.cache_gb);
   pack_field(packer, "fetch_gb_per_s", type.fetch_gb_per_s);
   pack_field(packer, "hourly", type.price);
--- a/src/standin/rule_checker.cpp
+++ b/src/standin/rule_checker.cpp
@@ -39,7 +39,7 @@
   JobPlaces& of_job = places_[key.job];
   ++of_job.by_zone[worker.zone];
   ++of_job.tasks;
-  used_[spec.team] += spec.need;
+  used_[spec.team] += spec.request;
   check_quota(spec, now);
   check_place(worker, key, spec, now);
 }
@@ -47,7 +47,7 @@
 void RuleChecker::check_quota(const JobSpec& spec, Seconds now) {
   const auto team = teams_.find(spec.team);
   if (team == teams_.end()) return violated("quota of unknown team " + spec.team, now);
-  const Amounts& used = used_[spec.team];
+  const Resources& used = used_[spec.team];
   const bool over_cpus = team->second.cpus_max > 0 && used.cpus > team->second.cpus_max + kSlack;
   const bool over_gpus = team->second.gpus_max > 0 && used.gpus > team->second.gpus_max + kSlack;
   if (over_cpus || over_gpus) violated("quota " + spec.team, now);
@@ -76,7 +76,7 @@
   places.erase(place);
   if (places.empty()) present_.erase(present);
   const auto job = jobs_.find(key.job);
-  if (job != jobs_.end()) used_[job->second.spec.team] -= job->second.spec.need;
+  if (job != jobs_.end()) used_[job->second.spec.team] -= job->second.spec.request;
 }
 
 void RuleChecker::user_told_done(const std::string& id, Seconds now) {
--- a/src/standin/rule_checker.h
+++ b/src/standin/rule_checker.h
@@ -53,7 +53,7 @@
   JobBook& jobs_;
   std::map<TaskKey, std::vector<Place>> present_;
   std::unordered_map<std::string, JobPlaces> places_;
-  std::unordered_map<std::string, Amounts> used_;  ///< by team
+  std::unordered_map<std::string, Resources> used_;  ///< by team
   std::vector<std::string> violations_;
   size_t starts_ = 0;
 };
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -21,9 +21,9 @@
   Fields fields(map);
   MachineType type;
   type.name = fields.text("sku", 1, kMostTypeNameBytes);
-  type.room.cpus = fields.amount(field::kCpus);
-  type.room.gpus = fields[field::kGpus].number().value_or(0);
-  type.room.memory_gb = fields.amount(field::kMemory);
+  type.capacity.cpus = fields.amount(field::kCpus);
+  type.capacity.gpus = fields[field::kGpus].number().value_or(0);
+  type.capacity.memory_gb = fields.amount(field::kMemory);
   type.cache_gb = fields.amount("local_gb");
   type.fetch_gb_per_s = fields.amount("fetch_gb_per_s");
   type.price = fields.amount("hourly");
--- a/src/wire/job_spec_codec.cpp
+++ b/src/wire/job_spec_codec.cpp
@@ -82,9 +82,9 @@
   spec.kind = fields.choice(kKind, kKinds);
   spec.priority = fields.choice(kPriority, kPriorities);
   spec.tasks = static_cast<uint32_t>(fields.count(field::kTasks, 1, kMostTasks));
-  spec.need.cpus = fields.amount(field::kCpus);
-  spec.need.gpus = fields.amount(field::kGpus);
-  spec.need.memory_gb = fields.amount(field::kMemory);
+  spec.request.cpus = fields.amount(field::kCpus);
+  spec.request.gpus = fields.amount(field::kGpus);
+  spec.request.memory_gb = fields.amount(field::kMemory);
   spec.image = fields.text(kImage, 0, kMostNameBytes);
   spec.image_gb = fields.amount(kImageSize);
   read_types(fields, spec);
@@ -93,8 +93,8 @@
   spec.spread = fields.flag(kSpread);
   spec.spot = fields.flag(field::kSpot);
   spec.estimate_s = fields.amount(kEstimate);
-  spec.checkpoint_s = fields.amount(kCheckpoint);
-  spec.save_s = fields.amount(kSave);
+  spec.checkpoint_interval_s = fields.amount(kCheckpoint);
+  spec.checkpoint_duration_s = fields.amount(kSave);
   if (!fields[kDeadline].missing()) spec.deadline_s = fields.amount(kDeadline);
   read_dependencies(fields, spec);
 }
@@ -107,9 +107,9 @@
   pack_field(packer, kKind, spelling_of(kKinds, spec.kind));
   pack_field(packer, kPriority, spelling_of(kPriorities, spec.priority));
   pack_field(packer, field::kTasks, uint64_t{spec.tasks});
-  pack_field(packer, field::kCpus, spec.need.cpus);
-  pack_field(packer, field::kGpus, spec.need.gpus);
-  pack_field(packer, field::kMemory, spec.need.memory_gb);
+  pack_field(packer, field::kCpus, spec.request.cpus);
+  pack_field(packer, field::kGpus, spec.request.gpus);
+  pack_field(packer, field::kMemory, spec.request.memory_gb);
   pack_field(packer, kImage, spec.image);
   pack_field(packer, kImageSize, spec.image_gb);
   if (spec.types) {
@@ -121,8 +121,8 @@
   pack_field(packer, kSpread, spec.spread);
   pack_field(packer, field::kSpot, spec.spot);
   pack_field(packer, kEstimate, spec.estimate_s);
-  pack_field(packer, kCheckpoint, spec.checkpoint_s);
-  pack_field(packer, kSave, spec.save_s);
+  pack_field(packer, kCheckpoint, spec.checkpoint_interval_s);
+  pack_field(packer, kSave, spec.checkpoint_duration_s);
   if (spec.deadline_s) pack_field(packer, kDeadline, *spec.deadline_s);
   if (spec.dependencies.empty()) return;
   pack_text(packer, kDependencies);
--- a/src/wire/record_room.cpp
+++ b/src/wire/record_capacity.cpp
@@ -1,4 +1,4 @@
-#include "wire/record_room.h"
+#include "wire/record_capacity.h"
 
 #include <cmath>
 #include <utility>
@@ -67,18 +67,18 @@
 
 }  // namespace
 
-bool RecordRoom::holds(const std::vector<std::string>& names) const {
+bool RecordCapacity::holds(const std::vector<std::string>& names) const {
   return names_size(names) <= hosts;
 }
 
-size_t RecordRoom::taken_by(const JobRecord& record) const {
+size_t RecordCapacity::taken_by(const JobRecord& record) const {
   const double done = spans_size(record.done.spans(), record.spec.tasks);
   const size_t named = record.hosts ? names_size(*record.hosts) : 0;
   return described + named + static_cast<size_t>(std::ceil(done));
 }
 
-RecordRoom record_room(const JobRecord& record, size_t most_bytes) {
-  RecordRoom room;
+RecordCapacity record_capacity(const JobRecord& record, size_t most_bytes) {
+  RecordCapacity room;
   room.described = described_size(record);
   const auto limit = static_cast<double>(most_bytes);
   const double left = limit * (1 - kReserveShare) - static_cast<double>(room.described);
@@ -89,7 +89,7 @@
 }
 
 JobRecord fitting_record(JobRecord record, size_t most_bytes) {
-  const RecordRoom room = record_room(record, most_bytes);
+  const RecordCapacity room = record_capacity(record, most_bytes);
   if (record.hosts && !room.holds(*record.hosts)) record.hosts.reset();
   record.done = record.done.first_spans(room.spans, record.done);
   return record;
--- a/src/wire/record_room.h
+++ b/src/wire/record_capacity.h
@@ -11,7 +11,7 @@
 
 /// What a job's record may hold beside its description. It depends on the description alone, so it
 /// is worked out once for each job.
-struct RecordRoom {
+struct RecordCapacity {
   size_t described = 0;  ///< bytes of the record without hosts and done numbers
   size_t hosts = 0;      ///< bytes for the names of its hosts
   size_t spans = 0;      ///< spans of done numbers, wherever they lie
@@ -25,7 +25,7 @@
 };
 
 /// `most_bytes`: the limit on a value.
-RecordRoom record_room(const JobRecord& record, size_t most_bytes);
+RecordCapacity record_capacity(const JobRecord& record, size_t most_bytes);
 
 /// The same record, or as much of it as fits: without its hosts, which means that its tasks may be
 /// anywhere, and with the first spans of its done numbers. One whose description leaves no room is
--- a/tests/arrival_forecast_test.cpp
+++ b/tests/arrival_forecast_test.cpp
@@ -55,10 +55,10 @@
 
 TEST(ArrivalForecast, DemandsHaveEveryTaskOfTheirSpecs) {
   const std::vector<JobSpec> specs{spec("web", JobKind::Service, 3)};
-  const auto demands = demands_of(specs);
-  ASSERT_EQ(demands.size(), 1u);
-  EXPECT_EQ(demands[0].spec, specs.data());
-  EXPECT_EQ(demands[0].tasks, (std::vector<uint32_t>{0, 1, 2}));
+  const auto placement_requests = placement_requests_for(specs);
+  ASSERT_EQ(placement_requests.size(), 1u);
+  EXPECT_EQ(placement_requests[0].spec, specs.data());
+  EXPECT_EQ(placement_requests[0].tasks, (std::vector<uint32_t>{0, 1, 2}));
 }
 
 }  // namespace
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -27,7 +27,7 @@
     settings.teams = {team};
     MachineType type;
     type.name = "g";
-    type.room = {100, 0, 400};
+    type.capacity = {100, 0, 400};
     type.zones = {"e"};
     scheduler = std::make_unique<Scheduler>(settings, kTerm, now, now);
     scheduler->set_types({type});
@@ -38,7 +38,7 @@
     r.spec.id = id;
     r.spec.team = "t";
     r.spec.tasks = tasks;
-    r.spec.need = {1, 0, 1};
+    r.spec.request = {1, 0, 1};
     r.started = true;
     r.submitted_ms = 1;
     return r;
--- a/tests/decision_scenarios.cpp
+++ b/tests/decision_scenarios.cpp
@@ -93,7 +93,7 @@
   return options;
 }
 
-WorldOptions with_guarantee() {
+WorldOptions with_fair_share() {
   WorldOptions options;
   options.open_team_gpus = 6;
   options.task_least = 20;
@@ -120,7 +120,7 @@
       {"history", {8, {}, play_history}},
       {"history_with_tight_cancellation", {4, with_tight_cancellation(), play_history}},
       {"history_with_prompt_dispatch", {3, with_prompt_dispatch(), play_history}},
-      {"history_with_guarantee", {3, with_guarantee(), play_history}},
+      {"history_with_guarantee", {3, with_fair_share(), play_history}},
       {"fragmentation", {3, with_many_machines(), play_fragmentation}},
       {"refused_leader_and_outage", {2, with_long_tasks(), play_refused_leader_and_outage}},
       {"zone_cut", {2, with_long_tasks(), play_zone_cut}},
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -14,12 +14,12 @@
 
 using testing::holds;
 
-Slot slot(const std::string& id, const std::string& zone, Amounts room) {
-  Slot s;
+CandidateMachine candidate(const std::string& id, const std::string& zone, Resources capacity) {
+  CandidateMachine s;
   s.machine = id;
   s.type = "g";
   s.zone = zone;
-  s.room = s.free = room;
+  s.capacity = s.available = capacity;
   return s;
 }
 
@@ -30,35 +30,37 @@
         JobSpec spec;
         spec.kind = *rc::gen::element(JobKind::Array, JobKind::Gang, JobKind::Service);
         spec.tasks = static_cast<uint32_t>(*rc::gen::inRange(1, 8));
-        spec.need = {*rc::gen::inRange(1, 5) * 1.0, *rc::gen::inRange(0, 3) * 1.0, 1};
+        spec.request = {*rc::gen::inRange(1, 5) * 1.0, *rc::gen::inRange(0, 3) * 1.0, 1};
         spec.one_zone = *rc::gen::arbitrary<bool>();
         spec.spread = !spec.one_zone && *rc::gen::arbitrary<bool>();
-        std::vector<Slot> slots;
+        std::vector<CandidateMachine> candidates;
         const int n = *rc::gen::inRange(0, 6);
         for (int i = 0; i < n; ++i) {
-          slots.push_back(slot("m" + std::to_string(i), *rc::gen::element<std::string>("e", "w"),
-                               {*rc::gen::inRange(0, 12) * 1.0, *rc::gen::inRange(0, 5) * 1.0, 8}));
-          slots.back().usable = *rc::gen::inRange(0, 5) > 0;
-          slots.back().spot = *rc::gen::inRange(0, 5) == 0;
+          candidates.push_back(
+              candidate("m" + std::to_string(i), *rc::gen::element<std::string>("e", "w"),
+                        {*rc::gen::inRange(0, 12) * 1.0, *rc::gen::inRange(0, 5) * 1.0, 8}));
+          candidates.back().usable = *rc::gen::inRange(0, 5) > 0;
+          candidates.back().spot = *rc::gen::inRange(0, 5) == 0;
         }
-        const auto before = slots;
-        Demand d;
+        const auto before = candidates;
+        PlacementRequest d;
         d.spec = &spec;
         for (uint32_t t = 0; t < spec.tasks; ++t) d.tasks.push_back(t);
-        const auto placed = place(d, slots);
-        if (spec.kind == JobKind::Gang) RC_ASSERT(placed.empty() || placed.size() == spec.tasks);
+        const auto assignments = bin_pack(d, candidates);
+        if (spec.kind == JobKind::Gang)
+          RC_ASSERT(assignments.empty() || assignments.size() == spec.tasks);
         std::map<std::string, uint32_t> zones;
-        std::vector<Amounts> taken(slots.size());
-        for (const auto& p : placed) {
-          RC_ASSERT(before[p.slot].usable && !before[p.slot].spot);
-          taken[p.slot] += spec.need;
-          ++zones[before[p.slot].zone];
+        std::vector<Resources> taken(candidates.size());
+        for (const auto& p : assignments) {
+          RC_ASSERT(before[p.candidate].usable && !before[p.candidate].spot);
+          taken[p.candidate] += spec.request;
+          ++zones[before[p.candidate].zone];
         }
-        for (size_t i = 0; i < slots.size(); ++i) {
-          RC_ASSERT(taken[i].fits_in(before[i].free));
-          Amounts left = before[i].free;
+        for (size_t i = 0; i < candidates.size(); ++i) {
+          RC_ASSERT(taken[i].fits_in(before[i].available));
+          Resources left = before[i].available;
           left -= taken[i];
-          RC_ASSERT(left == slots[i].free);
+          RC_ASSERT(left == candidates[i].available);
         }
         if (spec.one_zone) RC_ASSERT(zones.size() <= 1u);
         if (spec.spread)
@@ -69,69 +71,78 @@
 
 TEST(Placement, PacksOntoTheFullestMachineGpusFirst) {
   JobSpec spec;
-  spec.need = {1, 1, 1};
-  Demand d;
+  spec.request = {1, 1, 1};
+  PlacementRequest d;
   d.spec = &spec;
   d.tasks = {0};
-  std::vector<Slot> slots{slot("empty", "e", {8, 8, 64}), slot("fuller", "e", {8, 8, 64})};
-  slots[1].free.gpus = 2;
-  EXPECT_EQ(place(d, slots).at(0).slot, 1u);
-  std::vector<Slot> tie{slot("a", "e", {8, 8, 64}), slot("b", "e", {8, 8, 64})};
-  d.has_image = [](const Slot& s) { return s.machine == "b"; };
-  EXPECT_EQ(place(d, tie).at(0).slot, 1u) << "ties go to the one that has the image";
+  std::vector<CandidateMachine> candidates{candidate("empty", "e", {8, 8, 64}),
+                                           candidate("fuller", "e", {8, 8, 64})};
+  candidates[1].available.gpus = 2;
+  EXPECT_EQ(bin_pack(d, candidates).at(0).candidate, 1u);
+  std::vector<CandidateMachine> tie{candidate("a", "e", {8, 8, 64}),
+                                    candidate("b", "e", {8, 8, 64})};
+  d.has_image = [](const CandidateMachine& s) { return s.machine == "b"; };
+  EXPECT_EQ(bin_pack(d, tie).at(0).candidate, 1u) << "ties go to the one that has the image";
 }
 
 TEST(Placement, LeavesLargeMachinesToThoseThatNeedThem) {
   JobSpec spec;
-  spec.need = {1, 1, 1};
-  Demand d;
+  spec.request = {1, 1, 1};
+  PlacementRequest d;
   d.spec = &spec;
   d.tasks = {0};
-  std::vector<Slot> slots{slot("large", "e", {8, 8, 64}), slot("small", "e", {4, 4, 32})};
-  slots[0].free.gpus = 1;
-  EXPECT_EQ(place(d, slots).at(0).slot, 1u) << "though the large one is fuller";
-  std::vector<Slot> again{slot("large", "e", {8, 8, 64}), slot("small", "e", {4, 4, 32})};
+  std::vector<CandidateMachine> candidates{candidate("large", "e", {8, 8, 64}),
+                                           candidate("small", "e", {4, 4, 32})};
+  candidates[0].available.gpus = 1;
+  EXPECT_EQ(bin_pack(d, candidates).at(0).candidate, 1u) << "though the large one is fuller";
+  std::vector<CandidateMachine> again{candidate("large", "e", {8, 8, 64}),
+                                      candidate("small", "e", {4, 4, 32})};
   d.image_first = true;
-  d.has_image = [](const Slot& s) { return s.machine == "large"; };
-  EXPECT_EQ(place(d, again).at(0).slot, 0u) << "a replica that is down goes where its image is";
+  d.has_image = [](const CandidateMachine& s) { return s.machine == "large"; };
+  EXPECT_EQ(bin_pack(d, again).at(0).candidate, 0u)
+      << "a replica that is down goes where its image is";
 }
 
 TEST(Placement, StopsOnlyLowerPriorityAndTheLeast) {
   JobSpec spec;
   spec.priority = Priority::High;
-  spec.need = {4, 4, 1};
-  Demand d;
+  spec.request = {4, 4, 1};
+  PlacementRequest d;
   d.spec = &spec;
   d.tasks = {0};
-  std::vector<Slot> slots{slot("a", "e", {8, 8, 64}), slot("b", "e", {8, 8, 64})};
-  slots[0].free = slots[1].free = {};
-  const Amounts four{4, 4, 1};
+  std::vector<CandidateMachine> candidates{candidate("a", "e", {8, 8, 64}),
+                                           candidate("b", "e", {8, 8, 64})};
+  candidates[0].available = candidates[1].available = {};
+  const Resources four{4, 4, 1};
   std::vector<Victim> victims{{"prod", 0, 0, four, Priority::Production, 0},
                               {"peer", 0, 0, four, Priority::High, 0},
                               {"dear", 0, 1, four, Priority::Low, 50},
                               {"cheap", 0, 1, four, Priority::Low, 5}};
-  auto p = preempt(d, slots, victims);
+  auto p = preempt(d, candidates, victims);
   ASSERT_TRUE(p.has_value());
   EXPECT_EQ(p->victims, std::vector<size_t>{3});
   victims.resize(2);
-  EXPECT_FALSE(preempt(d, slots, victims).has_value());
-  slots[1].coming = four;
-  EXPECT_TRUE(preempt(d, slots, victims)->on_its_way) << "room is coming: nothing more is stopped";
+  EXPECT_FALSE(preempt(d, candidates, victims).has_value());
+  candidates[1].releasing = four;
+  EXPECT_TRUE(preempt(d, candidates, victims)->already_releasing)
+      << "room is coming: nothing more is stopped";
 }
 
 /// The plain search that preempt() shortens: every slot, every order of victims in full.
-std::optional<Preemption> plain_preempt(const Demand& d, const std::vector<Slot>& slots,
+std::optional<Preemption> plain_preempt(const PlacementRequest& d,
+                                        const std::vector<CandidateMachine>& candidates,
                                         const std::vector<Victim>& victims) {
   std::optional<Preemption> best;
   double best_loss = 0;
-  for (size_t i = 0; i < slots.size(); ++i) {
-    if (!slots[i].usable) continue;
-    Amounts room = slots[i].free;
-    room += slots[i].coming;
-    if (d.spec->need.fits_in(room)) return Preemption{i, {}, true};
+  for (size_t i = 0; i < candidates.size(); ++i) {
+    if (!candidates[i].usable) continue;
+    Resources capacity = candidates[i].available;
+    capacity += candidates[i].releasing;
+    if (d.spec->request.fits_in(capacity)) return Preemption{i, {}, true};
     std::vector<size_t> order;
     for (size_t v = 0; v < victims.size(); ++v)
-      if (victims[v].slot == i && !victims[v].stopped && victims[v].priority < d.spec->priority)
+      if (victims[v].candidate == i && !victims[v].stopped &&
+          victims[v].priority < d.spec->priority)
         order.push_back(v);
     std::stable_sort(order.begin(), order.end(), [&](size_t a, size_t b) {
       return std::tie(victims[a].priority, victims[a].loss_s) <
@@ -140,12 +151,13 @@
     Preemption p{i, {}, false};
     double loss = 0;
     for (size_t v : order) {
-      if (d.spec->need.fits_in(room)) break;
-      room += victims[v].need;
+      if (d.spec->request.fits_in(capacity)) break;
+      capacity += victims[v].request;
       loss += 1 + victims[v].loss_s + 1000.0 * static_cast<int>(victims[v].priority);
       p.victims.push_back(v);
     }
-    if (d.spec->need.fits_in(room) && (!best || loss < best_loss)) best = p, best_loss = loss;
+    if (d.spec->request.fits_in(capacity) && (!best || loss < best_loss))
+      best = p, best_loss = loss;
   }
   return best;
 }
@@ -153,38 +165,38 @@
 TEST(Placement, FindsTheSameVictimsAsThePlainSearch) {
   EXPECT_TRUE(testing::holds("preempt() is the plain search", [] {
     const auto amounts = [](int most) {
-      return Amounts{*rc::gen::inRange(0, most) * 0.25, *rc::gen::inRange(0, 3) * 1.0,
-                     *rc::gen::inRange(0, most) * 0.5};
+      return Resources{*rc::gen::inRange(0, most) * 0.25, *rc::gen::inRange(0, 3) * 1.0,
+                       *rc::gen::inRange(0, most) * 0.5};
     };
     const auto priority =
         rc::gen::element(Priority::Low, Priority::Normal, Priority::High, Priority::Production);
     JobSpec spec;
     spec.priority = *priority;
-    spec.need = amounts(16);
-    Demand d;
+    spec.request = amounts(16);
+    PlacementRequest d;
     d.spec = &spec;
     d.tasks = {0};
-    std::vector<Slot> slots;
+    std::vector<CandidateMachine> candidates;
     for (int i = *rc::gen::inRange(1, 6); i > 0; --i) {
-      slots.push_back(slot("m" + std::to_string(i), "e", {8, 8, 64}));
-      slots.back().free = amounts(8);
-      if (*rc::gen::arbitrary<bool>()) slots.back().coming = amounts(8);
-      slots.back().usable = *rc::gen::inRange(0, 4) > 0;
+      candidates.push_back(candidate("m" + std::to_string(i), "e", {8, 8, 64}));
+      candidates.back().available = amounts(8);
+      if (*rc::gen::arbitrary<bool>()) candidates.back().releasing = amounts(8);
+      candidates.back().usable = *rc::gen::inRange(0, 4) > 0;
     }
     std::vector<Victim> victims;
     for (int i = *rc::gen::inRange(0, 14); i > 0; --i) {
-      Victim v{"job",     0,      *rc::gen::inRange<size_t>(0, slots.size()), amounts(10),
+      Victim v{"job",     0,      *rc::gen::inRange<size_t>(0, candidates.size()), amounts(10),
                *priority, i * 0.5};  // all different: ties between equals are nobody's concern
       v.stopped = *rc::gen::inRange(0, 5) == 0;
       victims.push_back(v);
     }
-    const auto is = preempt(d, slots, victims);
-    const auto should = plain_preempt(d, slots, victims);
+    const auto is = preempt(d, candidates, victims);
+    const auto should = plain_preempt(d, candidates, victims);
     RC_ASSERT(is.has_value() == should.has_value());
     if (!is) return;
-    RC_ASSERT(is->slot == should->slot);
+    RC_ASSERT(is->candidate == should->candidate);
     RC_ASSERT(is->victims == should->victims);
-    RC_ASSERT(is->on_its_way == should->on_its_way);
+    RC_ASSERT(is->already_releasing == should->already_releasing);
   }));
 }
 
@@ -192,55 +204,55 @@
 TEST(Placement, AGangGivesWayOnlyToATaskThatTakesAGoodPartOfItsMachine) {
   JobSpec spec;
   spec.priority = Priority::Production;
-  spec.need = {2, 0, 6};
-  Demand d;
+  spec.request = {2, 0, 6};
+  PlacementRequest d;
   d.spec = &spec;
   d.tasks = {0};
-  std::vector<Slot> slots{slot("a", "e", {96, 8, 384})};
-  slots[0].free = {};
+  std::vector<CandidateMachine> candidates{candidate("a", "e", {96, 8, 384})};
+  candidates[0].available = {};
   std::vector<Victim> victims{{"gang", 0, 0, {86, 8, 310}, Priority::High, 0, true}};
-  EXPECT_FALSE(preempt(d, slots, victims).has_value());
-  spec.need = {33, 4, 100};
-  EXPECT_TRUE(preempt(d, slots, victims).has_value());
+  EXPECT_FALSE(preempt(d, candidates, victims).has_value());
+  spec.request = {33, 4, 100};
+  EXPECT_TRUE(preempt(d, candidates, victims).has_value());
 }
 
 TEST(Placement, TasksWithoutGpusLeaveTheCpusBesideFreeGpusToThoseThatWaitForThem) {
-  std::vector<Slot> slots(2);
-  for (auto& s : slots) s.type = "g", s.zone = "e", s.room = {96, 8, 384};
-  slots[0].free = {10, 6, 300};
-  slots[1].free = {14, 2, 300};
+  std::vector<CandidateMachine> candidates(2);
+  for (auto& s : candidates) s.type = "g", s.zone = "e", s.capacity = {96, 8, 384};
+  candidates[0].available = {10, 6, 300};
+  candidates[1].available = {14, 2, 300};
   JobSpec waits;
   JobSpec small;
-  waits.need = {16, 2, 50};
-  small.need = {1, 0, 1};
-  Demand gpus;
-  Demand none;
+  waits.request = {16, 2, 50};
+  small.request = {1, 0, 1};
+  PlacementRequest gpus;
+  PlacementRequest none;
   gpus.spec = &waits;
   gpus.tasks = {0};
-  ASSERT_TRUE(place(gpus, slots).empty());
-  hold_beside_gpus(gpus, slots);
+  ASSERT_TRUE(bin_pack(gpus, candidates).empty());
+  reserve_beside_gpus(gpus, candidates);
   none.spec = &small;
   for (uint32_t t = 0; t < 100; ++t) none.tasks.push_back(t);
-  const auto placed = place(none, slots);
-  EXPECT_EQ(placed.size(), 10u) << "the second machine, which lacks the least, is held";
-  for (const auto& p : placed) EXPECT_EQ(p.slot, 0u);
-  slots[1].free.cpus = 16;
-  EXPECT_EQ(place(gpus, slots).size(), 1u) << "once enough is free they take it";
+  const auto assignments = bin_pack(none, candidates);
+  EXPECT_EQ(assignments.size(), 10u) << "the second machine, which lacks the least, is held";
+  for (const auto& p : assignments) EXPECT_EQ(p.candidate, 0u);
+  candidates[1].available.cpus = 16;
+  EXPECT_EQ(bin_pack(gpus, candidates).size(), 1u) << "once enough is free they take it";
 }
 
 TEST(Provision, CountsBootingMachinesAndAvoidsWhatWasRefused) {
   MachineType g;
   g.name = "g";
-  g.room = {8, 8, 64};
+  g.capacity = {8, 8, 64};
   g.zones = {"e", "w"};
   JobSpec spec;
-  spec.need = {4, 4, 4};
+  spec.request = {4, 4, 4};
   spec.tasks = 4;
   spec.kind = JobKind::Service;
-  Demand d;
+  PlacementRequest d;
   d.spec = &spec;
   d.tasks = {0, 1, 2, 3};
-  std::vector<Slot> booting{slot("b", "e", g.room)};
+  std::vector<CandidateMachine> booting{candidate("b", "e", g.capacity)};
   std::vector<Offer> offers{
       {&g, "e", false, 10, true}, {&g, "w", false, 10, false}, {&g, "w", true, 1, false}};
   const auto r = rentals({d}, booting, offers, 10);
--- a/tests/dependents_leader_test.cpp
+++ b/tests/dependents_leader_test.cpp
@@ -29,7 +29,7 @@
     JobRecord record;
     record.spec.id = id;
     record.spec.team = "t";
-    record.spec.need = {1, 1, 1};
+    record.spec.request = {1, 1, 1};
     record.spec.dependencies = std::move(dependencies);
     record.submitted_ms = 1;
     return record;
--- a/tests/dependents_test.cpp
+++ b/tests/dependents_test.cpp
@@ -25,7 +25,7 @@
     team.cpus_max = 6;
     settings_.teams = {team};
     type_.name = "g";
-    type_.room = {8, 4, 64};
+    type_.capacity = {8, 4, 64};
     type_.zones = {"e"};
     new_leader(1);
   }
@@ -43,7 +43,7 @@
     record.spec.team = "t";
     record.spec.kind = JobKind::Array;
     record.spec.tasks = 2;
-    record.spec.need = {1, 0, 1};
+    record.spec.request = {1, 0, 1};
     record.spec.dependencies = std::move(dependencies);
     record.submitted_ms = 1;
     return record;
@@ -76,7 +76,7 @@
       }
   }
 
-  bool placed(const std::string& id) const {
+  bool assignments(const std::string& id) const {
     const auto found = scheduler_->jobs().find(id);
     return found != scheduler_->jobs().end() && !found->second.possible_placements.empty();
   }
@@ -120,26 +120,26 @@
   store(job("job-1"));
   store(job("job-2", {"job-1"}));
   round();
-  EXPECT_TRUE(placed("job-1"));
-  EXPECT_FALSE(placed("job-2"));
+  EXPECT_TRUE(assignments("job-1"));
+  EXPECT_FALSE(assignments("job-2"));
   finish("job-1");
   scheduler_->request_round();
   scheduler_->tick(now_ += 0.5);
-  EXPECT_FALSE(placed("job-2")) << "nothing of it is durable yet";
+  EXPECT_FALSE(assignments("job-2")) << "nothing of it is durable yet";
   round();
   round();
-  EXPECT_TRUE(placed("job-2"));
+  EXPECT_TRUE(assignments("job-2"));
 }
 
 TEST_F(DependentJobs, StartTheSameWayUnderALeaderThatNeverSawTheDependency) {
   new_leader(2);
   store(job("job-2", {"job-1"}));
   round();
-  EXPECT_FALSE(placed("job-2"));
+  EXPECT_FALSE(assignments("job-2"));
   EXPECT_EQ(scheduler_->unknown_dependencies(), std::set<std::string>{"job-1"});
   scheduler_->dependency_finished("job-1", {JobState::Done, 2, 5000});
   round();
-  EXPECT_TRUE(placed("job-2"));
+  EXPECT_TRUE(assignments("job-2"));
 }
 
 TEST_F(DependentJobs, AreWrittenDownAsCancelledWithTheirDependency) {
@@ -216,8 +216,8 @@
   store(younger);
   scheduler_->dependency_finished("job-1", {JobState::Done, 2, 900000});
   round();
-  EXPECT_TRUE(placed("job-3"));
-  EXPECT_FALSE(placed("job-2"));
+  EXPECT_TRUE(assignments("job-3"));
+  EXPECT_FALSE(assignments("job-2"));
 }
 
 /// Users set the priority that they care about on the last job of a pipeline only.
@@ -235,7 +235,7 @@
   plain.submitted_ms = 0;
   store(plain);
   round();
-  EXPECT_TRUE(placed("job-1"));
+  EXPECT_TRUE(assignments("job-1"));
   EXPECT_EQ(scheduler_->jobs().at("job-5").possible_placements.size(), 4u)
       << "what the limit of 6 CPUs leaves";
 }
--- a/tests/guarantees_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -1,5 +1,5 @@
 // Guarantees of teams: who is within them, what gives way to them, and that it comes to rest.
-#include "jobs/guarantees.h"
+#include "jobs/fair_share.h"
 
 #include <gtest/gtest.h>
 
@@ -23,18 +23,18 @@
   return t;
 }
 
-JobSpec spec(const std::string& id, const std::string& team, uint32_t tasks, Amounts need,
+JobSpec spec(const std::string& id, const std::string& team, uint32_t tasks, Resources request,
              Priority priority = Priority::Normal) {
   JobSpec s;
   s.id = id;
   s.team = team;
   s.tasks = tasks;
-  s.need = need;
+  s.request = request;
   s.priority = priority;
   return s;
 }
 
-constexpr Amounts kOneGpu{2, 1, 4};
+constexpr Resources kOneGpu{2, 1, 4};
 
 TEST(Guarantees, AJobIsWithinIfItFitsTogetherWithTheTeamsEarlierOnes) {
   const std::vector<TeamSettings> teams{team("a", 0, 4), team("b", 0, 1)};
@@ -42,14 +42,14 @@
   const JobSpec second = spec("job-5", "a", 2, kOneGpu);
   const JobSpec third = spec("job-1", "a", 1, kOneGpu);
   const JobSpec other = spec("job-2", "b", 1, kOneGpu);
-  EXPECT_EQ(within_guarantee(teams,
-                             {{&third, 1, 30}, {&second, 2, 20}, {&other, 1, 40}, {&first, 2, 10}}),
+  EXPECT_EQ(within_fair_share(
+                teams, {{&third, 1, 30}, {&second, 2, 20}, {&other, 1, 40}, {&first, 2, 10}}),
             (JobIds{"job-9", "job-5", "job-2"}));
-  EXPECT_EQ(within_guarantee(teams, {{&third, 1, 30}, {&second, 2, 20}, {&first, 1, 10}}),
+  EXPECT_EQ(within_fair_share(teams, {{&third, 1, 30}, {&second, 2, 20}, {&first, 1, 10}}),
             (JobIds{"job-9", "job-5", "job-1"}))
       << "a task that has ended takes nothing";
   const JobSpec large = spec("job-3", "a", 5, kOneGpu);
-  EXPECT_EQ(within_guarantee(teams, {{&large, 5, 1}, {&first, 2, 10}}), JobIds{})
+  EXPECT_EQ(within_fair_share(teams, {{&large, 5, 1}, {&first, 2, 10}}), JobIds{})
       << "what doesn't fit itself counts for those after it";
 }
 
@@ -62,12 +62,12 @@
   const JobSpec cpus_alone = spec("cpus_alone", "cpus", 1, {2, 0, 4});
   const JobSpec gpu_of_others = spec("gpu_of_others", "cpus", 1, kOneGpu);
   const JobSpec wide = spec("wide", "both", 1, {10, 1, 4});
-  EXPECT_EQ(within_guarantee(teams, {{&guest, 1, 1},
-                                     {&with_gpu, 1, 2},
-                                     {&without_gpu, 1, 3},
-                                     {&cpus_alone, 1, 4},
-                                     {&gpu_of_others, 1, 5},
-                                     {&wide, 1, 6}}),
+  EXPECT_EQ(within_fair_share(teams, {{&guest, 1, 1},
+                                      {&with_gpu, 1, 2},
+                                      {&without_gpu, 1, 3},
+                                      {&cpus_alone, 1, 4},
+                                      {&gpu_of_others, 1, 5},
+                                      {&wide, 1, 6}}),
             (JobIds{"with_gpu", "cpus_alone"}));
 }
 
@@ -76,12 +76,13 @@
   RunningResources running(teams);
   running.add("a", {100, 6, 0});
   running.add("guest", {10, 1, 0});
-  EXPECT_TRUE(running.can_spare("a", {50, 2, 0}));
-  EXPECT_FALSE(running.can_spare("a", {1, 3, 0}));
-  EXPECT_TRUE(running.can_spare("guest", {10, 1, 0}));
-  EXPECT_FALSE(running.can_spare("unknown", {}));
+  EXPECT_TRUE(running.keeps_fair_share_without("a", {50, 2, 0}));
+  EXPECT_FALSE(running.keeps_fair_share_without("a", {1, 3, 0}));
+  EXPECT_TRUE(running.keeps_fair_share_without("guest", {10, 1, 0}));
+  EXPECT_FALSE(running.keeps_fair_share_without("unknown", {}));
   running.remove("a", {2, 1, 0});
-  EXPECT_FALSE(running.can_spare("a", {50, 2, 0})) << "what is being stopped already counts";
+  EXPECT_FALSE(running.keeps_fair_share_without("a", {50, 2, 0}))
+      << "what is being stopped already counts";
 }
 
 /// Two teams, one full machine of 8 GPUs.
@@ -89,18 +90,18 @@
   std::vector<TeamSettings> teams{team("gains", 0, 8), team("loses", 0, 2)};
   RunningResources running{teams};
   JobSpec job = spec("job", "gains", 1, {1, 1, 1});
-  Demand demand;
-  std::vector<Slot> slots{1};
+  PlacementRequest placement_request;
+  std::vector<CandidateMachine> candidates{1};
   std::vector<Victim> victims;
 
   GivesWay() {
-    demand.spec = &job;
-    demand.tasks = {0};
-    demand.within_guarantee = true;
-    slots[0].machine = "m";
-    slots[0].type = "g";
-    slots[0].zone = "e";
-    slots[0].room = {8, 8, 8};
+    placement_request.spec = &job;
+    placement_request.tasks = {0};
+    placement_request.within_fair_share = true;
+    candidates[0].machine = "m";
+    candidates[0].type = "g";
+    candidates[0].zone = "e";
+    candidates[0].capacity = {8, 8, 8};
     add_victim(1, 5);
     running.add("loses", {8, 8, 8});
   }
@@ -109,13 +110,15 @@
     v.job = "other";
     v.team = "loses";
     v.priority = Priority::Normal;
-    v.need = v.stops = {gpus, gpus, gpus};
+    v.request = v.stops = {gpus, gpus, gpus};
     v.loss_s = loss_s;
-    v.beyond_guarantee = true;
+    v.beyond_fair_share = true;
     victims.push_back(v);
     return victims.back();
   }
-  std::optional<Preemption> found() const { return preempt(demand, slots, victims, running); }
+  std::optional<Preemption> found() const {
+    return preempt(placement_request, candidates, victims, running);
+  }
 };
 
 TEST_F(GivesWay, WorkBeyondAGuaranteeToAnotherTeamsGuarantee) {
@@ -123,11 +126,11 @@
   EXPECT_EQ(found()->victims, std::vector<size_t>{0});
 }
 TEST_F(GivesWay, NotToAJobBeyondItsOwnGuarantee) {
-  demand.within_guarantee = false;
+  placement_request.within_fair_share = false;
   EXPECT_FALSE(found().has_value());
 }
 TEST_F(GivesWay, NotIfItIsWithinItsGuarantee) {
-  victims[0].beyond_guarantee = false;
+  victims[0].beyond_fair_share = false;
   EXPECT_FALSE(found().has_value());
 }
 TEST_F(GivesWay, NotToItsOwnTeam) {
@@ -144,7 +147,7 @@
   EXPECT_FALSE(found().has_value());
 }
 TEST_F(GivesWay, NotIfSeveralTogetherWouldTakeItsTeamBelow) {
-  job.need = {2, 2, 2};
+  job.request = {2, 2, 2};
   add_victim(1, 6);
   ASSERT_EQ(found()->victims.size(), 2u);
   running.remove("loses", {5, 5, 5});  // 3 are left, 2 are guaranteed
@@ -158,16 +161,16 @@
   EXPECT_TRUE(found().has_value());
 }
 TEST_F(GivesWay, NotWhileEnoughIsStoppingAlready) {
-  slots[0].coming = {1, 1, 1};
+  candidates[0].releasing = {1, 1, 1};
   ASSERT_TRUE(found().has_value());
-  EXPECT_TRUE(found()->on_its_way);
+  EXPECT_TRUE(found()->already_releasing);
 }
 TEST_F(GivesWay, WhatLosesLeast) {
   add_victim(1, 2);
   EXPECT_EQ(found()->victims, std::vector<size_t>{1});
 }
 TEST_F(GivesWay, NothingMoreThanIsNeeded) {
-  job.need = {4, 4, 4};
+  job.request = {4, 4, 4};
   add_victim(4, 50);
   EXPECT_EQ(found()->victims, std::vector<size_t>{1})
       << "with the large one the small one is spared";
@@ -186,25 +189,25 @@
     std::vector<UnfinishedJob> unfinished;
     unfinished.reserve(jobs.size());
     for (const auto& job : jobs) unfinished.push_back({&job, job.tasks, 1});
-    const JobIds within = within_guarantee(teams, unfinished);
+    const JobIds within = within_fair_share(teams, unfinished);
     RunningResources running(teams);
-    for (const auto& job : jobs) running.add(job.team, job.need.times(job.tasks));
+    for (const auto& job : jobs) running.add(job.team, job.request.times(job.tasks));
 
-    std::vector<Slot> slots(1);
-    slots[0].room = kOneGpu;
+    std::vector<CandidateMachine> candidates(1);
+    candidates[0].capacity = kOneGpu;
     std::vector<std::vector<bool>> stops(jobs.size(), std::vector<bool>(jobs.size()));
     for (size_t i = 0; i < jobs.size(); ++i)
       for (size_t j = 0; j < jobs.size(); ++j) {
-        Demand demand;
-        demand.spec = &jobs[i];
-        demand.tasks = {0};
-        demand.within_guarantee = within.contains(jobs[i].id);
+        PlacementRequest placement_request;
+        placement_request.spec = &jobs[i];
+        placement_request.tasks = {0};
+        placement_request.within_fair_share = within.contains(jobs[i].id);
         Victim victim;
         victim.team = jobs[j].team;
-        victim.need = victim.stops = kOneGpu;
+        victim.request = victim.stops = kOneGpu;
         victim.priority = jobs[j].priority;
-        victim.beyond_guarantee = !within.contains(jobs[j].id);
-        stops[i][j] = preempt(demand, slots, {victim}, running).has_value();
+        victim.beyond_fair_share = !within.contains(jobs[j].id);
+        stops[i][j] = preempt(placement_request, candidates, {victim}, running).has_value();
       }
     for (size_t k = 0; k < jobs.size(); ++k)
       for (size_t i = 0; i < jobs.size(); ++i)
@@ -225,15 +228,15 @@
     settings_.lease_s = 10;
     settings_.teams = {team("a", 0, 4), team("b", 0, 2)};
     type_.name = "g";
-    type_.room = {16, 4, 64};
+    type_.capacity = {16, 4, 64};
     type_.zones = {"e"};
     scheduler_ = std::make_unique<Scheduler>(settings_, 1, now_, now_);
     scheduler_->set_types({type_});
   }
 
   void submit(JobSpec job, uint32_t done = 0) {
-    job.checkpoint_s = 10;
-    job.save_s = 1;
+    job.checkpoint_interval_s = 10;
+    job.checkpoint_duration_s = 1;
     JobRecord record;
     record.spec = std::move(job);
     for (uint32_t task = 0; task < done; ++task) record.done.add(task);
@@ -409,7 +412,7 @@
 TEST_F(TeamsAtWork, NothingIsStoppedForAWarmMachineWhileAnotherHasRoom) {
   type_.fetch_gb_per_s = 1;
   scheduler_->set_types({type_});
-  Objective soon;
+  ServiceLevelObjective soon;
   soon.kind = "wait";
   soon.job_class = "replicas";
   soon.within_s = 5;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -19,7 +19,7 @@
     team.name = "t";
     settings_.teams = {team};
     type_.name = "g";
-    type_.room = {16, 4, 64};
+    type_.capacity = {16, 4, 64};
     type_.zones = {"e", "w"};
     scheduler_ = std::make_unique<Scheduler>(settings_, 2, now_, now_ + settings_.answers_s());
     scheduler_->set_types({type_});
@@ -37,14 +37,14 @@
   static std::string job(int i) { return "job-" + std::to_string(100000 + i); }
   static std::string zone(int i) { return i % 2 ? "w" : "e"; }
 
-  JobRecord record(const std::string& name, JobKind kind, uint32_t tasks, Amounts need) const {
+  JobRecord record(const std::string& name, JobKind kind, uint32_t tasks, Resources request) const {
     JobRecord r;
     r.spec.id = name;
     r.spec.team = "t";
     r.spec.kind = kind;
     r.spec.priority = kind == JobKind::Service ? Priority::Production : Priority::High;
     r.spec.tasks = tasks;
-    r.spec.need = need;
+    r.spec.request = request;
     r.spec.one_zone = kind == JobKind::Gang;
     r.submitted_ms = static_cast<uint64_t>(now_ * 1000);
     return r;
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -452,12 +452,12 @@
 TEST(Jobs, WhatCanNeverRunIsToldApart) {
   MachineType g;
   g.name = "g";
-  g.room = {8, 2, 32};
+  g.capacity = {8, 2, 32};
   g.zones = {"east"};
   TeamSettings team;
   team.gpus_max = 4;
   JobSpec s;
-  s.need = {4, 1, 16};
+  s.request = {4, 1, 16};
   s.tasks = 100;
   EXPECT_EQ(never_runs(s, {g}, &team), "") << "an array needs room for one task";
   s.kind = JobKind::Gang;
--- a/tests/generators.h
+++ b/tests/generators.h
@@ -38,8 +38,8 @@
     s.priority =
         *rc::gen::element(Priority::Low, Priority::Normal, Priority::High, Priority::Production);
     s.tasks = static_cast<uint32_t>(*rc::gen::inRange(1, 100001));
-    s.need = {*rc::gen::inRange(0, 96) * 0.5, *rc::gen::inRange(0, 9) * 1.0,
-              *rc::gen::inRange(0, 300) * 1.0};
+    s.request = {*rc::gen::inRange(0, 96) * 0.5, *rc::gen::inRange(0, 9) * 1.0,
+                 *rc::gen::inRange(0, 300) * 1.0};
     s.image_gb = *rc::gen::inRange(0, 100) * 0.1;
     if (*rc::gen::arbitrary<bool>())
       s.types = *rc::gen::container<std::vector<std::string>>(name());
@@ -49,8 +49,8 @@
     s.spread = *rc::gen::arbitrary<bool>();
     s.spot = *rc::gen::arbitrary<bool>();
     s.estimate_s = *rc::gen::inRange(0, 1000) * 1.0;
-    s.checkpoint_s = *rc::gen::inRange(0, 100) * 1.0;
-    s.save_s = *rc::gen::inRange(0, 10) * 1.0;
+    s.checkpoint_interval_s = *rc::gen::inRange(0, 100) * 1.0;
+    s.checkpoint_duration_s = *rc::gen::inRange(0, 10) * 1.0;
     if (*rc::gen::arbitrary<bool>()) s.deadline_s = *rc::gen::inRange(0, 1000) * 1.0;
     const auto dependencies = *rc::gen::container<std::set<int>>(rc::gen::inRange(0, 1000));
     for (int number : dependencies) s.dependencies.push_back("job-" + std::to_string(number));
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -67,15 +67,15 @@
   spec.kind = JobKind::Gang;
   spec.priority = Priority::High;
   spec.tasks = 300;
-  spec.need = {4, 0.5, 16.25};
+  spec.request = {4, 0.5, 16.25};
   spec.image_gb = 7.5;
   spec.types = std::vector<std::string>{"small", "large"};
   spec.zone = "east";
   spec.one_zone = true;
   spec.spot = true;
   spec.estimate_s = 120;
-  spec.checkpoint_s = 30;
-  spec.save_s = 2.5;
+  spec.checkpoint_interval_s = 30;
+  spec.checkpoint_duration_s = 2.5;
   spec.deadline_s = 3600;
   spec.dependencies = {"job-3", "job-12"};
   return spec;
@@ -141,7 +141,7 @@
 std::vector<MachineType> machine_types() {
   MachineType type;
   type.name = "small";
-  type.room = {8, 2, 32.5};
+  type.capacity = {8, 2, 32.5};
   type.cache_gb = 100;
   type.fetch_gb_per_s = 1.5;
   type.price = 3.25;
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -25,13 +25,13 @@
     team.gpus_max = 4;
     settings.teams = {team};
     type.name = "g";
-    type.room = {16, 4, 64};
+    type.capacity = {16, 4, 64};
     type.zones = {"e"};
     record.spec.id = "job-1";
     record.spec.team = "t";
     record.spec.tasks = 2;
     record.spec.kind = JobKind::Service;
-    record.spec.need = {1, 1, 1};
+    record.spec.request = {1, 1, 1};
     record.submitted_ms = 1;
   }
 
@@ -107,7 +107,7 @@
 TEST_F(Fixture, NothingIsStartedWhereAWriteUnderWayDropsTheMachineFromTheRecord) {
   // Its answer may be lost and the write be applied minutes later: the next leader would look
   // everywhere but there.
-  type.room = {16, 1, 64};
+  type.capacity = {16, 1, 64};
   record.started = true;
   record.hosts = {"i-8", "i-9"};
   record.spec.kind = JobKind::Array;
@@ -302,7 +302,7 @@
 
   Zones() {
     settings.teams[0].gpus_max = 0;
-    type.room = {16, 1, 64};
+    type.capacity = {16, 1, 64};
     type.zones = {"e", "n", "w"};
     record.started = true;
     record.spec.tasks = 12;
@@ -350,7 +350,7 @@
 TEST_F(Fixture, RoomForArrivalsIsGivenUpWhenNoneCome) {
   record.submitted_ms = static_cast<uint64_t>(now * 1000);
   record.spec.priority = Priority::Production;
-  record.spec.need = {4, 4, 4};
+  record.spec.request = {4, 4, 4};
   auto scheduler = leader(1, 0);
   scheduler->job_stored(record, 5, now);
   auto rented = [&](double at) {
@@ -417,7 +417,7 @@
   record.spec.kind = JobKind::Gang;
   record.spec.one_zone = true;
   record.spec.priority = Priority::High;
-  record.spec.need = type.room;
+  record.spec.request = type.capacity;
   record.submitted_ms = static_cast<uint64_t>(now * 1000);
   scheduler->job_stored(record, ++revision, now);
   JobRecord array = record;
@@ -557,7 +557,7 @@
     settings.teams[0].gpus_max = 0;
     type.boot_s = 1000;  // no machine is given back for being idle
     record.spec.kind = JobKind::Array;
-    record.spec.need = {4, 1, 4};
+    record.spec.request = {4, 1, 4};
     scheduler = leader(1, 0);
     for (int i = 1; i <= 12; ++i) workers["i-" + std::to_string(i)];
   }
@@ -770,7 +770,7 @@
 
 TEST_F(Cancelled, NoNumberOfStartsCrowdsOutAStop) {
   settings.teams[0].gpus_max = 0;
-  type.room = {2000, 4, 2000};
+  type.capacity = {2000, 4, 2000};
   scheduler->set_types({type});
   cancel();
   JobRecord crowd = record;
@@ -778,7 +778,7 @@
   crowd.started = false;
   crowd.spec.id = "job-0";
   crowd.spec.kind = JobKind::Array;
-  crowd.spec.need = {1, 0, 1};
+  crowd.spec.request = {1, 0, 1};
   crowd.spec.tasks = 500;
   scheduler->job_stored(crowd, 6, now + 1);
   scheduler->on_heartbeat(running(5), true, now + 1.1);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -36,7 +36,9 @@
     heartbeats += 2;
   }
 
-  size_t placed(int i) const { return scheduler->jobs().at(job_id(i)).possible_placements.size(); }
+  size_t assignments(int i) const {
+    return scheduler->jobs().at(job_id(i)).possible_placements.size();
+  }
 
   uint64_t heartbeats = 0;
 };
@@ -46,11 +48,11 @@
     JobKind kind;
     int machines;
     uint32_t tasks;
-    Amounts need;
-    size_t placed;
+    Resources request;
+    size_t assignments;
   };
-  constexpr Amounts kSmall{1, 1, 1};
-  constexpr Amounts kWholeMachine{4, 4, 4};
+  constexpr Resources kSmall{1, 1, 1};
+  constexpr Resources kWholeMachine{4, 4, 4};
   const std::vector<Case> cases = {
       {JobKind::Array, kMachines, kMachines, kSmall, kMachines},
       {JobKind::Gang, kMachines, kMachines, kWholeMachine, kMachines},
@@ -61,10 +63,10 @@
     add_machines(c.machines);
     JobRecord record = job(job_id(1), c.tasks);
     record.spec.kind = c.kind;
-    record.spec.need = c.need;
+    record.spec.request = c.request;
     scheduler->job_stored(record, 5, kNow);
     scheduler->tick(kNow);
-    EXPECT_EQ(placed(1), c.placed) << c.machines << " machines, " << c.tasks << " tasks";
+    EXPECT_EQ(assignments(1), c.assignments) << c.machines << " machines, " << c.tasks << " tasks";
   }
 }
 
@@ -146,7 +148,7 @@
         RC_ASSERT(scheduler->all_accounted());
         scheduler->tick(kNow);
         size_t started = 0;
-        for (int i = 0; i < waiting; ++i) started += placed(kMachines + i);
+        for (int i = 0; i < waiting; ++i) started += assignments(kMachines + i);
         RC_ASSERT(started == static_cast<size_t>(waiting));
       },
       3));
--- a/tests/record_room_test.cpp
+++ b/tests/record_capacity_test.cpp
@@ -1,5 +1,5 @@
 // Records of jobs within the limit on values, whatever is to be written in them.
-#include "wire/record_room.h"
+#include "wire/record_capacity.h"
 
 #include <gtest/gtest.h>
 
@@ -52,12 +52,12 @@
   return record;
 }
 
-TEST(RecordRoom, WhatFitsIsWithinTheLimitWhateverItHolds) {
+TEST(RecordCapacity, WhatFitsIsWithinTheLimitWhateverItHolds) {
   int with_room = 0;
   for (const size_t most_bytes : {size_t{2048}, size_t{8192}})
     EXPECT_TRUE(holds("records fit", [&] {
       const JobRecord record = hostile_record();
-      const wire::RecordRoom room = wire::record_room(record, most_bytes);
+      const wire::RecordCapacity room = wire::record_capacity(record, most_bytes);
       RC_ASSERT(room.any() || 2 * room.described > most_bytes);
       if (!room.any()) return;
       ++with_room;
@@ -76,7 +76,7 @@
   EXPECT_GT(with_room, 200);
 }
 
-TEST(RecordRoom, ASmallJobsRecordHoldsAllOfIt) {
+TEST(RecordCapacity, ASmallJobsRecordHoldsAllOfIt) {
   JobRecord record;
   record.spec.id = "job-000398";
   record.spec.tasks = 100;
@@ -86,12 +86,12 @@
   EXPECT_EQ(wire::fitting_record(record, 2048), record) << "50 spans and 60 hosts";
 }
 
-TEST(RecordRoom, WhereTheDescriptionTakesAllThereIsNone) {
+TEST(RecordCapacity, WhereTheDescriptionTakesAllThereIsNone) {
   JobRecord record;
   record.spec.id = "job-1";
   record.spec.types = std::vector<std::string>(10, std::string(200, 'x'));
-  EXPECT_FALSE(wire::record_room(record, 2048).any());
-  EXPECT_TRUE(wire::record_room(record, 8192).any());
+  EXPECT_FALSE(wire::record_capacity(record, 2048).any());
+  EXPECT_TRUE(wire::record_capacity(record, 8192).any());
 }
 
 TEST(Ranges, WhatIsKeptGoesFirst) {
@@ -135,13 +135,13 @@
     record.spec.team = "t";
     record.spec.kind = JobKind::Array;
     record.spec.tasks = 4000;
-    record.spec.need = {1, 0, 1};
+    record.spec.request = {1, 0, 1};
     record.submitted_ms = 1;
     record.started = true;
     scheduler = std::make_unique<Scheduler>(settings, 2, now, now);
     MachineType type;
     type.name = "g";
-    type.room = {16, 4, 64};
+    type.capacity = {16, 4, 64};
     type.zones = {"e"};
     scheduler->set_types({type});
     scheduler->host_stored({"i-9", "10.0.0.1:9", "g", "e", false}, now);
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -23,7 +23,7 @@
     team.name = "t";
     settings.teams = {team};
     type.name = "g";
-    type.room = {4, 4, 16};
+    type.capacity = {4, 4, 16};
     type.zones = {"e"};
     new_scheduler();
   }
@@ -38,7 +38,7 @@
     record.spec.id = id;
     record.spec.team = "t";
     record.spec.tasks = tasks;
-    record.spec.need = {1, 1, 1};
+    record.spec.request = {1, 1, 1};
     record.submitted_ms = 1;
     return record;
   }
--- a/tests/standin_test.cpp
+++ b/tests/standin_test.cpp
@@ -175,7 +175,7 @@
     spec.id = "job-1";
     spec.team = "t";
     spec.tasks = 3;
-    spec.need = {1, 1, 1};
+    spec.request = {1, 1, 1};
   }
   std::string first_violation() const {
     return checker->violations().empty() ? "" : checker->violations()[0];
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -216,7 +216,7 @@
   JobRecord r;
   r.spec.id = id;
   r.spec.team = "t";
-  r.spec.need = {1, 1, 1};
+  r.spec.request = {1, 1, 1};
   const std::string bytes = wire::encode_job(r);
   const auto whole = msgpack::unpack(bytes.data(), bytes.size());
   Fields fields;
@@ -284,7 +284,7 @@
     s.settings.state_rps = 1000, s.settings.state_write_rps = 300;  // no waits for the budget
     MachineType g;
     g.name = "g";
-    g.room = {8, 8, 64};
+    g.capacity = {8, 8, 64};
     g.zones = {"e"};
     s.types = {g};
     s.frontend.reset(), s.mirror.reset(), s.store.reset();
@@ -396,7 +396,7 @@
   prepare(b, 1);  // jobs that are over soon leave its memory
   b.mirror->start();
   until([&] { return b.mirror->loaded(); });
-  c.types[0].room = {0, 0, 0};
+  c.types[0].capacity = {0, 0, 0};
   for (const char* id : {"job-1", "job-2", "job-3"})
     EXPECT_EQ(ask(a, "POST", "/work", submission(id)), "201 pending");
   const auto refusable = [](const std::string& id) {
@@ -961,7 +961,7 @@
   record.spec.id = id;
   record.spec.team = "t";
   record.spec.tasks = 1000;
-  record.spec.need = {1, 1, 1};
+  record.spec.request = {1, 1, 1};
   record.submitted_ms = 1;
   record.started = true;
   record.hosts.emplace();
--- a/tests/world/checker.cpp
+++ b/tests/world/checker.cpp
@@ -34,7 +34,7 @@
       options_(options),
       fleet_(fleet),
       jobs_(jobs),
-      machine_room_(machine_type(options).room) {}
+      machine_room_(machine_type(options).capacity) {}
 
 void Checker::violated(const std::string& rule, const TaskKey& key, const std::string& where) {
   violated(rule + " " + key.job + "/" + std::to_string(key.task) + " on " + where);
@@ -144,7 +144,7 @@
   std::map<std::string, double> gpus;
   fleet_.each_present([&](const SimulatedMachine& machine, const TaskKey& key) {
     const ObservedJob& job = jobs_.at(key.job);
-    gpus[job.spec.team] += job.spec.need.gpus;
+    gpus[job.spec.team] += job.spec.request.gpus;
     // A hung machine and a cut one have no time on top.
     if (job.cancelled_at && loop_.now() > *job.cancelled_at + options_.cancel_s)
       violated("ran_cancelled", key, machine.id);
@@ -171,8 +171,8 @@
   Usage out;
   fleet_.each_present([&](const SimulatedMachine& machine, const TaskKey& key) {
     const JobSpec& spec = jobs_.at(key.job).spec;
-    out.team_gpus[spec.team] += spec.need.gpus;
-    out.machine_used[machine.id] += spec.need;
+    out.team_gpus[spec.team] += spec.request.gpus;
+    out.machine_used[machine.id] += spec.request;
     ++out.job_zones[key.job][machine.zone];
     out.present.insert(key);
   });
@@ -198,7 +198,7 @@
   if (spec.team != kLimitedTeam) return true;
   const auto team = used.team_gpus.find(kLimitedTeam);
   const double team_gpus = team == used.team_gpus.end() ? 0 : team->second;
-  return team_gpus + static_cast<double>(wants) * spec.need.gpus <= kLimitedTeamGpus;
+  return team_gpus + static_cast<double>(wants) * spec.request.gpus <= kLimitedTeamGpus;
 }
 
 size_t Checker::room_for(const std::string& id, const JobSpec& spec, const Usage& used) const {
@@ -209,11 +209,11 @@
   size_t all = 0;
   for (const auto& [name, machine] : fleet_.machines()) {
     if (!may_use(machine, spec, zones)) continue;
-    Amounts room = machine_room_;
+    Resources room = machine_room_;
     const auto taken = used.machine_used.find(name);
     if (taken != used.machine_used.end()) room -= taken->second;
-    while (spec.need.fits_in(room)) {
-      room -= spec.need;
+    while (spec.request.fits_in(room)) {
+      room -= spec.request;
       ++places[machine.zone];
       ++all;
     }
--- a/tests/world/checker.h
+++ b/tests/world/checker.h
@@ -54,7 +54,7 @@
   /// What the tasks on all machines take up.
   struct Usage {
     std::map<std::string, double> team_gpus;
-    std::map<std::string, Amounts> machine_used;
+    std::map<std::string, Resources> machine_used;
     std::map<std::string, std::map<std::string, uint32_t>> job_zones;
     std::set<TaskKey> present;
   };
@@ -76,7 +76,7 @@
   const WorldOptions& options_;
   const Fleet& fleet_;
   ObservedJobs& jobs_;
-  const Amounts machine_room_;
+  const Resources machine_room_;
   std::vector<std::string> violations_;
   std::map<uint64_t, uint64_t> terms_;  ///< the nonce of the process that wrote under each term
   bool quiet_ = false;
--- a/tests/world/options.cpp
+++ b/tests/world/options.cpp
@@ -9,7 +9,7 @@
 MachineType machine_type(const WorldOptions& options) {
   MachineType type;
   type.name = "g";
-  type.room = {16, 4, 64};
+  type.capacity = {16, 4, 64};
   type.zones = {kEast, kWest};
   type.boot_s = options.nominal_boot_s;
   type.price = 10;
--- a/tests/world/users.cpp
+++ b/tests/world/users.cpp
@@ -18,13 +18,13 @@
   spec.priority = std::array{Priority::Low, Priority::High, Priority::Production}[random.below(3)];
   spec.tasks = 1 + static_cast<uint32_t>(random.below(4));
   spec.team = random.chance(0.5) ? kLimitedTeam : kOpenTeam;
-  spec.need = {2, 1, 4};
+  spec.request = {2, 1, 4};
   spec.image = "img";
   spec.spread = spec.kind == JobKind::Service;
   spec.one_zone = spec.kind == JobKind::Gang && random.chance(0.5);
   spec.spot = random.chance(0.3);
-  spec.checkpoint_s = random.chance(0.5) ? 2 : 0;
-  spec.save_s = 1;
+  spec.checkpoint_interval_s = random.chance(0.5) ? 2 : 0;
+  spec.checkpoint_duration_s = 1;
   return spec;
 }
 
