--- a/src/provision/provision.cpp
+++ b/src/autoscaling/scale_out_planner.cpp
@@ -1,4 +1,4 @@
-#include "provision/provision.h"
+#include "autoscaling/scale_out_planner.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,7 +19,7 @@
 
 /// What renting this for `tasks` costs: the part that they use, half of the part that they leave
 /// (others may use it), and the wait for boot and image on top.
-double cost(const Offer& offering, const JobSpec& spec, size_t tasks) {
+double cost(const InstanceOffering& offering, const JobSpec& spec, size_t tasks) {
   const auto desired_running = static_cast<double>(tasks);
   const double each = dominant(spec.request, offering.type->capacity);
   const double per_machine = std::max(1.0, std::floor(1 / each + 1e-9));
@@ -31,7 +31,7 @@
          (1 + (offering.type->boot_s + fetch) / kWaitScale);
 }
 
-CandidateMachine new_candidate(const Offer& offering) {
+CandidateMachine new_candidate(const InstanceOffering& offering) {
   CandidateMachine s;
   s.type = offering.type->name;
   s.zone = offering.zone;
@@ -40,7 +40,7 @@
   return s;
 }
 
-bool one_task_fits(const PlacementRequest& placement_request, const Offer& offering) {
+bool one_task_fits(const PlacementRequest& placement_request, const InstanceOffering& offering) {
   std::vector<CandidateMachine> one{new_candidate(offering)};
   PlacementRequest probe = placement_request;
   JobSpec spec = *placement_request.spec;
@@ -60,10 +60,11 @@
   std::erase_if(placement_request.tasks, [&](uint32_t t) { return gone.contains(t); });
 }
 
-const Offer* cheapest(const PlacementRequest& placement_request, const std::vector<Offer>& offers) {
-  const Offer* best = nullptr;
+const InstanceOffering* cheapest(const PlacementRequest& placement_request,
+                                 const std::vector<InstanceOffering>& offerings) {
+  const InstanceOffering* best = nullptr;
   double best_cost = 0;
-  for (const auto& offering : offers) {
+  for (const auto& offering : offerings) {
     if (offering.blocked ||
         !allowed(*placement_request.spec, offering.type->name, offering.zone, offering.spot))
       continue;
@@ -76,9 +77,10 @@
 
 }  // namespace
 
-std::vector<Rental> rentals(std::vector<PlacementRequest> unplaced,
-                            std::vector<CandidateMachine>& booting,
-                            const std::vector<Offer>& offers, int most) {
+std::vector<ScaleOutRequest> plan_scale_out(std::vector<PlacementRequest> unplaced,
+                                            std::vector<CandidateMachine>& booting,
+                                            const std::vector<InstanceOffering>& offerings,
+                                            int most) {
   std::map<std::tuple<std::string, std::string, bool>, int> counts;
   int rented = 0;
   for (auto& placement_request : unplaced) {
@@ -89,14 +91,14 @@
       if (placement_request.tasks.empty() || rented >= most ||
           booting.size() - before > placement_request.tasks.size())
         break;
-      const Offer* offering = cheapest(placement_request, offers);
+      const InstanceOffering* offering = cheapest(placement_request, offerings);
       if (!offering) break;
       booting.push_back(new_candidate(*offering));
       ++counts[{offering->type->name, offering->zone, offering->spot}];
       ++rented;
     }
   }
-  std::vector<Rental> out;
+  std::vector<ScaleOutRequest> out;
   out.reserve(counts.size());
   for (const auto& [key, n] : counts)
     out.push_back({std::get<0>(key), std::get<1>(key), std::get<2>(key), n});
--- a/src/provision/provision.h
+++ b/src/autoscaling/scale_out_planner.h
@@ -8,7 +8,7 @@
 namespace sumacquay {
 
 /// One kind of machine that can be rented.
-struct Offer {
+struct InstanceOffering {
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
@@ -16,7 +16,7 @@
   bool blocked = false;  ///< the cloud refused it not long ago
 };
 
-struct Rental {
+struct ScaleOutRequest {
   std::string type, zone;
   bool spot = false;
   int count = 0;
@@ -24,8 +24,9 @@
 
 /// The machines to rent for demands that found no room, beyond those that are booting already.
 /// `booting` is changed: room on booting and on newly rented machines is taken.
-std::vector<Rental> rentals(std::vector<PlacementRequest> unplaced,
-                            std::vector<CandidateMachine>& booting,
-                            const std::vector<Offer>& offers, int most);
+std::vector<ScaleOutRequest> plan_scale_out(std::vector<PlacementRequest> unplaced,
+                                            std::vector<CandidateMachine>& booting,
+                                            const std::vector<InstanceOffering>& offerings,
+                                            int most);
 
 }  // namespace sumacquay
--- a/src/dispatch/actions.h
+++ b/src/dispatch/actions.h
@@ -21,19 +21,19 @@
   uint64_t fencing_token = 0, agent_epoch = 0;
 };
 /// A request for machines. Sent again under the same name it rents nothing more.
-struct Rent {
+struct ScaleOut {
   std::string request, type, zone;
   bool spot = false;
   int count = 0;
 };
 /// What the cloud answered to a request for machines; unknown if no answer came.
-enum class RentOutcome { Rented, Refused, Unknown };
+enum class ScaleOutOutcome { Granted, Refused, Unknown };
 
 /// Machines for the cloud to take back, with whatever they run.
-struct Release {
+struct ScaleIn {
   std::vector<std::string> machines;
 };
 /// What the node is to do. It reports the outcome of each action back to the leader's scheduler.
-using Action = std::variant<SendCommands, Probe, Rent, Release>;
+using Action = std::variant<SendCommands, Probe, ScaleOut, ScaleIn>;
 
 }  // namespace sumacquay
--- a/src/dispatch/backlog.cpp
+++ b/src/dispatch/backlog.cpp
@@ -16,7 +16,7 @@
 }
 
 void Scheduler::note_machine_record(const Machine& machine) {
-  if (prompt() && machine.record == Machine::Record::Wanted)
+  if (prompt() && machine.record == HostRecordState::Requested)
     backlog_.machine_records.put(machine.info.id);
 }
 
--- a/src/dispatch/commands.cpp
+++ b/src/dispatch/commands.cpp
@@ -14,7 +14,7 @@
 bool Scheduler::startable(const Machine& machine, const TaskAttemptId& key,
                           const TaskAttempt& attempt) const {
   if (!attempt.desired_running || attempt.state != TaskAttemptState::Scheduled ||
-      machine.record != Machine::Record::Durable)
+      machine.record != HostRecordState::Durable)
     return false;
   const Job* job = find_job(key.task.job);
   return job && job->runnable() && job->next_leader_knows(machine.info.id);
@@ -69,7 +69,7 @@
 void Scheduler::dispatch_starts_to(const std::string& id, Machine& machine, Seconds now,
                                    std::vector<Action>& out) {
   ++work_.dispatch_checks;
-  if (machine.stage != Machine::Stage::Up || machine.commands_in_flight ||
+  if (machine.state != MachineState::Up || machine.commands_in_flight ||
       now < machine.next_commands_at)
     return;
   if (machine.info.addr.empty() || !machine.fencing_token_acknowledged || !has_commands(machine))
--- a/src/dispatch/fleet_summary.cpp
+++ b/src/dispatch/fleet_summary_log.cpp
@@ -19,10 +19,10 @@
     Resources capacity;
     for (const auto& [id, machine] : machines_) {
       if (machine.info.type != t.name) continue;
-      if (machine.stage == Machine::Stage::Booting) ++booting;
-      if (machine.stage == Machine::Stage::Returning || machine.stage == Machine::Stage::Expired)
+      if (machine.state == MachineState::Booting) ++booting;
+      if (machine.state == MachineState::Releasing || machine.state == MachineState::LeaseExpired)
         ++leaving;
-      if (machine.stage != Machine::Stage::Up) continue;
+      if (machine.state != MachineState::Up) continue;
       ++up;
       if (!machine.has_possible_attempts()) ++idle;
       capacity += t.capacity;
--- a/src/dispatch/host_record_writes.h
+++ b/src/dispatch/host_record_writes.h
@@ -10,16 +10,16 @@
 class HostRecordWrites {
  public:
   /// Before a write of the machine's record is sent. False if one is under way already.
-  bool begin(const std::string& machine) { return under_way_.insert(machine).second; }
+  bool begin(const std::string& machine) { return in_flight_.insert(machine).second; }
   /// The answer to a write has come, or none will.
-  void end(const std::string& machine) { under_way_.erase(machine); }
+  void end(const std::string& machine) { in_flight_.erase(machine); }
 
   void want_deletion(const std::string& machine) { to_delete_.insert(machine); }
   void deleted(const std::string& machine) { to_delete_.erase(machine); }
   const std::set<std::string>& to_delete() const { return to_delete_; }
 
  private:
-  std::set<std::string> under_way_;
+  std::set<std::string> in_flight_;
   std::set<std::string> to_delete_;
 };
 
--- a/src/dispatch/job_state.h
+++ b/src/dispatch/job_state.h
@@ -37,13 +37,13 @@
   std::map<uint32_t, std::set<TaskPlacement>> possible_placements;
   /// Its own, or the highest of those that depend on it.
   Priority priority = Priority::Low;
-  bool counted_as_arrival = false;  ///< by the forecast: once it is ready
-  uint64_t gang_attempt = 0;        ///< the attempt that all tasks of a gang share
-  std::set<std::string> failed_on;  ///< machines on which tasks failed: avoided
+  bool counted_as_arrival = false;        ///< by the forecast: once it is ready
+  uint64_t gang_attempt = 0;              ///< the attempt that all tasks of a gang share
+  std::set<std::string> failed_machines;  ///< machines on which tasks failed: avoided
   /// Machines on which it failed since it last was seen to work.
-  std::set<std::string> failed_since_success;
-  int trials_failed = 0;  ///< since it was first held to be at fault
-  Seconds retry_at = 0;   ///< nothing of the job is placed before
+  std::set<std::string> failed_machines_since_success;
+  int failed_retries = 0;     ///< since it was first held to be at fault
+  Seconds backoff_until = 0;  ///< nothing of the job is placed before
 
   const JobSpec& spec() const { return stored.spec; }
   /// Whether the next leader will know that a task may be on the machine.
--- a/src/dispatch/placement_round.cpp
+++ b/src/dispatch/placement_round.cpp
@@ -10,7 +10,7 @@
 
 /// Silence after which nothing new is started on a machine / heartbeat period. Reports come up to a
 /// quarter late, and one may be lost and sent again.
-constexpr double kSilence = 2.5;
+constexpr double kHeartbeatTimeout = 2.5;
 /// Tasks of one array that a round looks at: so many in any fleet, in a large one so many for each
 /// machine. It keeps a round from looking at all tasks of an array that no fleet could start at
 /// once; the next round looks at the next ones.
@@ -19,10 +19,10 @@
 
 }  // namespace
 
-bool Scheduler::usable(const Machine& machine, Seconds now) const {
-  return machine.stage == Machine::Stage::Up && machine.fencing_token_acknowledged &&
-         !machine.sick() && !machine.draining && !machine.reclaim_at &&
-         now - machine.last_heartbeat < kSilence * settings_.heartbeat_period_s + 0.5;
+bool Scheduler::schedulable(const Machine& machine, Seconds now) const {
+  return machine.state == MachineState::Up && machine.fencing_token_acknowledged &&
+         !machine.quarantined() && !machine.draining && !machine.reclaim_at &&
+         now - machine.last_heartbeat < kHeartbeatTimeout * settings_.heartbeat_period_s + 0.5;
 }
 
 std::vector<CandidateMachine> Scheduler::capacity_snapshot(Seconds now, bool booting) const {
@@ -30,9 +30,9 @@
   for (const auto& [id, machine] : machines_) {
     const MachineType* t = type(machine.info.type);
     if (!t) continue;
-    const bool already_releasing = machine.stage == Machine::Stage::Booting;
+    const bool already_releasing = machine.state == MachineState::Booting;
     if (booting != already_releasing) continue;
-    if (!booting && machine.stage != Machine::Stage::Up) continue;
+    if (!booting && machine.state != MachineState::Up) continue;
     CandidateMachine candidate;
     candidate.machine = id;
     candidate.of = &machine;
@@ -40,7 +40,7 @@
     candidate.zone = machine.info.zone;
     candidate.spot = machine.info.spot;
     candidate.capacity = candidate.available = t->capacity;
-    candidate.usable = booting || usable(machine, now);
+    candidate.schedulable = booting || schedulable(machine, now);
     for (const auto& [key, attempt] : machine.attempts) {
       if (!attempt.possibly_present()) continue;
       candidate.available -= attempt.request;
@@ -54,7 +54,8 @@
 /// What is still silent some reports after the takeover may be so for long, and the fleet is rented
 /// and returned without it: in a large one some machine always is.
 bool Scheduler::capacity_settled(Seconds now) const {
-  return all_accounted() || now - failover_at_ > kSilence * settings_.heartbeat_period_s + 0.5;
+  return all_reconciled() ||
+         now - failover_at_ > kHeartbeatTimeout * settings_.heartbeat_period_s + 0.5;
 }
 
 /// Whether a fetch on a machine that lacks the image costs what users were promised: a replica that
@@ -109,7 +110,7 @@
   placement_request.spec = &job.spec();
   const bool gang = job.spec().kind == JobKind::Gang;
   if (gang && max_tasks < job.spec().tasks) return std::nullopt;
-  if (!gang && at_fault(job)) max_tasks = std::min<size_t>(max_tasks, 1);
+  if (!gang && crash_looping(job)) max_tasks = std::min<size_t>(max_tasks, 1);
   const size_t limit = gang ? job.spec().tasks : std::min(max_tasks, max_tasks_per_round());
   auto there = job.possible_placements.begin();  // both in order: one pass over what is somewhere
   for (uint32_t t = job.done.next_missing(0);
@@ -131,7 +132,7 @@
   placement_request.image_first = image_fetch_misses_objective(job);
   placement_request.within_fair_share = within_fair_share_.contains(job.spec().id);
   placement_request.avoid = [&job](const CandidateMachine& candidate) {
-    return job.failed_on.contains(candidate.machine);
+    return job.failed_machines.contains(candidate.machine);
   };
   placement_request.has_image = [&job](const CandidateMachine& candidate) {
     return candidate.of && candidate.of->images.has(job.spec().image);
@@ -149,12 +150,12 @@
     const size_t left = std::min(remaining_quota(*job), token_allocator_.attempts_left());
     auto placement_request = left > 0 ? create_placement_request(*job, left) : std::nullopt;
     if (!placement_request) continue;
-    if (placement_request->image_first && !at_fault(*job))
+    if (placement_request->image_first && !crash_looping(*job))
       place_where_image_cached(*job, *placement_request, candidates, now);
     if (!placement_request->tasks.empty())
       place_what_fits(*job, *placement_request, candidates, now);
     if (placement_request->tasks.empty()) continue;
-    if (at_fault(*job)) {
+    if (crash_looping(*job)) {
       unplaced_.push_back(std::move(*placement_request));
       continue;
     }
--- a/src/dispatch/preemption.cpp
+++ b/src/dispatch/preemption.cpp
@@ -76,7 +76,7 @@
 /// The soonest that the job can run on a machine rented now; none: nothing can be rented for it.
 std::optional<Seconds> Scheduler::earliest_on_new_machine(const JobSpec& spec, Seconds now) const {
   std::optional<Seconds> soonest;
-  for (const auto& offering : offers(now)) {
+  for (const auto& offering : offerings(now)) {
     if (offering.blocked || !allowed(spec, offering.type->name, offering.zone, offering.spot) ||
         !spec.request.fits_in(offering.type->capacity))
       continue;
@@ -106,7 +106,7 @@
     if (!preemption) return false;
     for (size_t index : preemption->victims)
       running.remove(victims[index].team, victims[index].stops);
-    candidates[preemption->candidate].usable = false;
+    candidates[preemption->candidate].schedulable = false;
     ++placement_request.zones[candidates[preemption->candidate].zone];
   }
   return true;
@@ -125,7 +125,7 @@
   const auto avoid = placement_request.avoid;
   if (!hurry)
     placement_request.avoid = [&](const CandidateMachine& candidate) {
-      return avoid(candidate) || (candidate.of->stage == Machine::Stage::Up &&
+      return avoid(candidate) || (candidate.of->state == MachineState::Up &&
                                   candidate.of->up_since.value_or(kNever) < arrival(job));
     };
   reserve_for_gang(placement_request, candidates, capacity_snapshot(now, true));
--- a/src/dispatch/rebalancing.cpp
+++ b/src/dispatch/rebalancing.cpp
@@ -53,7 +53,7 @@
     // Nothing is moved to an empty machine: that would only go back and forth.
     placement_request.avoid = [job](const CandidateMachine& candidate) {
       return empty(candidate) || !candidate.of->images.has(job->spec().image) ||
-             job->failed_on.contains(candidate.machine);
+             job->failed_machines.contains(candidate.machine);
     };
     if (!elsewhere.fits(placement_request)) return false;
   }
@@ -71,7 +71,7 @@
 size_t Scheduler::finish_evictions(Seconds now) {
   size_t draining = 0;
   for (auto& [id, machine] : machines_) {
-    if (!machine.draining || machine.stage != Machine::Stage::Up) continue;
+    if (!machine.draining || machine.state != MachineState::Up) continue;
     if (machine.has_possible_attempts()) {
       ++draining;
       continue;
@@ -91,7 +91,7 @@
   for (size_t i = 0; i < candidates.size(); ++i) {
     const MachineType* t = type(candidates[i].type);
     const bool dear = t && t->price >= kWorthMoving * dearest;
-    if (candidates[i].usable && !empty(candidates[i]) && dear) order.push_back(i);
+    if (candidates[i].schedulable && !empty(candidates[i]) && dear) order.push_back(i);
   }
   std::sort(order.begin(), order.end(), [&](size_t a, size_t b) {
     return used_part(candidates[a]) < used_part(candidates[b]);
@@ -119,14 +119,14 @@
       if (bin_pack(*gang, alone).empty()) continue;
     }
     Machine& machine = machines_.at(candidates[i].machine);
-    candidates[i].usable = false;
+    candidates[i].schedulable = false;
     TentativePlacement elsewhere(candidates);
     if (evictable(machine, elsewhere, now) && (gang || has_headroom(elsewhere, now))) {
       for (size_t candidate : elsewhere.keep()) taken.insert(candidate);
       drain(machine, gang ? "a gang needs the whole machine" : "it can be returned", now);
       if (++draining >= most) return;
     } else {
-      candidates[i].usable = true;
+      candidates[i].schedulable = true;
     }
   }
 }
--- a/src/dispatch/reconciliation.cpp
+++ b/src/dispatch/reconciliation.cpp
@@ -37,17 +37,18 @@
 /// What the heartbeat lacks of the machine's attempts, but for those that are still to be started.
 /// Both are walked in the same order, since a heartbeat of a full machine has hundreds of tasks.
 std::vector<TaskAttemptId> absent_attempts(const Machine& machine, const WorkerHeartbeat& r) {
-  std::vector<const TaskStatus*> listed;
-  listed.reserve(r.tasks.size());
-  for (const auto& t : r.tasks) listed.push_back(&t);
-  std::sort(listed.begin(), listed.end(), [](const TaskStatus* a, const TaskStatus* b) {
-    return std::tie(a->key, a->attempt) < std::tie(b->key, b->attempt);
-  });
+  std::vector<const TaskStatus*> on_machines_listed;
+  on_machines_listed.reserve(r.tasks.size());
+  for (const auto& t : r.tasks) on_machines_listed.push_back(&t);
+  std::sort(on_machines_listed.begin(), on_machines_listed.end(),
+            [](const TaskStatus* a, const TaskStatus* b) {
+              return std::tie(a->key, a->attempt) < std::tie(b->key, b->attempt);
+            });
   std::vector<TaskAttemptId> absent;
-  auto next = listed.begin();
+  auto next = on_machines_listed.begin();
   for (const auto& [key, attempt] : machine.attempts) {
-    while (next != listed.end() && goes_before(**next, key)) ++next;
-    const bool shown = next != listed.end() && same_start(**next, key);
+    while (next != on_machines_listed.end() && goes_before(**next, key)) ++next;
+    const bool shown = next != on_machines_listed.end() && same_start(**next, key);
     const bool to_be_started =
         attempt.state == TaskAttemptState::Scheduled && attempt.desired_running;
     if (!shown && !to_be_started) absent.push_back(key);
@@ -63,7 +64,7 @@
   if (added) {
     machine.first_seen = now;
     machine.info.id = r.machine;
-    machine.accounted = true;  // no record: no start was ever ordered there
+    machine.reconciled = true;  // no record: no start was ever ordered there
   }
   machine.info.addr = r.addr;
   machine.info.type = r.type;
@@ -72,24 +73,24 @@
   return machine;
 }
 
-void Scheduler::mark_accounted(Machine& machine) {
-  if (machine.accounted) return;
-  machine.accounted = true;
-  --unaccounted_;
-  if (unaccounted_ == 0) spdlog::info("every machine is accounted for");
+void Scheduler::mark_reconciled(Machine& machine) {
+  if (machine.reconciled) return;
+  machine.reconciled = true;
+  --unreconciled_machines_;
+  if (unreconciled_machines_ == 0) spdlog::info("every machine is accounted for");
 }
 
 Scheduler::HeartbeatAnswer Scheduler::on_heartbeat(const WorkerHeartbeat& r, bool may_act,
                                                    Seconds now) {
   record_progress(now);
-  if (returned_.contains(r.machine)) return {};  // held on its way until the machine was gone
+  if (released_.contains(r.machine)) return {};  // held on its way until the machine was gone
   Machine& machine = find_or_add_machine(r, now);
   HeartbeatAnswer answer;
   if (r.sequence() <= machine.latest_own || r.agent_epoch < machine.latest.agent_epoch)
     return answer;
   machine.latest_own = r.sequence();
   answer.fresh = true;
-  machine.last_answered = now;
+  machine.last_lease_renewal = now;
   machine.last_heartbeat = latest_heartbeat_ = now;
   const bool newest = r.sequence() > machine.latest;
   const bool no_commands_in_flight = !machine.commands_in_flight;
@@ -148,21 +149,21 @@
 /// A new agent epoch begins with nothing: the old one's tasks ended with its lease.
 void Scheduler::begin_agent_epoch(Machine& machine, Seconds now) {
   remove_all_attempts(machine);
-  machine.error_jobs.clear();
+  machine.failed_jobs.clear();
   machine.fencing_token_acknowledged = false;
   // Its lease counts from when it began. Learnt from an answer to an command or a probe, the last
   // answer to a heartbeat would say that it is over while new tasks run.
-  machine.last_answered = std::max(machine.last_answered, now);
+  machine.last_lease_renewal = std::max(machine.last_lease_renewal, now);
 }
 
 void Scheduler::mark_up(Machine& machine, Seconds now) {
-  if (machine.stage == Machine::Stage::Booting) {
+  if (machine.state == MachineState::Booting) {
     machine.up_since = now;
     auto& newest = newest_booted_[machine.info.type];
     newest = std::max(newest, machine.first_seen);
   }
-  if (machine.stage == Machine::Stage::Booting || machine.stage == Machine::Stage::Expired)
-    set_stage(machine, Machine::Stage::Up);
+  if (machine.state == MachineState::Booting || machine.state == MachineState::LeaseExpired)
+    set_machine_state(machine, MachineState::Up);
 }
 
 /// What a worker that has shown the fencing token in force does not list is gone, but for starts
@@ -180,10 +181,10 @@
 /// The worker follows this leader: an earlier one's answers are dropped from here on.
 void Scheduler::accept_worker(Machine& machine, Seconds now) {
   // The last answer of an earlier leader can't have been later.
-  if (machine.earlier_leader_may_answer)
-    machine.last_answered = std::max(machine.last_answered, now);
-  machine.earlier_leader_may_answer = false;
-  mark_accounted(machine);
+  if (machine.previous_leader_may_answer)
+    machine.last_lease_renewal = std::max(machine.last_lease_renewal, now);
+  machine.previous_leader_may_answer = false;
+  mark_reconciled(machine);
 }
 
 /// Called with heartbeats that are newer than all that were applied. Whatever a heartbeat lists is
--- a/src/dispatch/record_writes.cpp
+++ b/src/dispatch/record_writes.cpp
@@ -90,7 +90,7 @@
       }
   }
   if (record.state != JobState::Pending) stop_job(job, false, now);
-  if (record.state == JobState::Cancelled) withdraw_blame(job);
+  if (record.state == JobState::Cancelled) clear_failures(job);
   if (starts_released) enqueue_commands_of(job);
   note_job_record(job, now);
 }
@@ -105,7 +105,7 @@
       auto attempt = machine->second.attempts.find({{id, task}, attempt_number});
       if (attempt != machine->second.attempts.end()) attempt->second.desired_running = false;
     }
-  if (!it->second.complete()) withdraw_blame(it->second);
+  if (!it->second.complete()) clear_failures(it->second);
   jobs_.erase(it);
   dependencies_.forget(id);
 }
@@ -113,10 +113,10 @@
 void Scheduler::host_stored(const HostRecord& host, Seconds now) {
   Machine& machine = machines_[host.id];
   machine.info = host;
-  set_stage(machine, Machine::Stage::Up);
-  machine.record = Machine::Record::Durable;
+  set_machine_state(machine, MachineState::Up);
+  machine.record = HostRecordState::Durable;
   machine.first_seen = machine.last_heartbeat = now;  // until its worker has found this leader
-  ++unaccounted_;
+  ++unreconciled_machines_;
 }
 
 /// Whether a job's record is to be written, and how urgently.
@@ -159,7 +159,7 @@
   std::set<std::string> hosts(machines.begin(), machines.end());
   for (const auto& id : job.stored.hosts.value_or(std::vector<std::string>{})) {
     const auto machine = machines_.find(id);
-    if (machine != machines_.end() && !machine->second.accounted) hosts.insert(id);
+    if (machine != machines_.end() && !machine->second.reconciled) hosts.insert(id);
   }
   std::vector<std::string> sorted(hosts.begin(), hosts.end());
   if (!job.record_capacity.holds(sorted)) return std::nullopt;
@@ -215,7 +215,7 @@
 
 void Scheduler::add_host_write(WriteBatch& batch, const std::string& id, const Machine& machine) {
   ++work_.dispatch_checks;
-  if (machine.record != Machine::Record::Wanted || !host_record_writes_.begin(id)) return;
+  if (machine.record != HostRecordState::Requested || !host_record_writes_.begin(id)) return;
   RecordWrite write;
   write.host = id;
   write.host_record = machine.info;
@@ -280,7 +280,7 @@
     if (committed && !w.host_record) host_record_writes_.deleted(w.host);
     const auto machine = machines_.find(w.host);
     if (machine == machines_.end()) return;
-    if (committed && w.host_record) machine->second.record = Machine::Record::Durable;
+    if (committed && w.host_record) machine->second.record = HostRecordState::Durable;
     note_machine_record(machine->second);
     return enqueue_commands(machine->second);
   }
--- a/src/dispatch/releases.cpp
+++ b/src/dispatch/scale_in.cpp
@@ -9,7 +9,7 @@
 namespace sumacquay {
 namespace {
 
-constexpr size_t kMostReleased = 100;
+constexpr size_t kMaxMachinesPerScaleIn = 100;
 
 }  // namespace
 
@@ -23,10 +23,10 @@
                      });
 }
 
-void Scheduler::return_idle(Seconds now) {
-  if (!capacity_settled(now) || rental_requests_.any_open()) return;
+void Scheduler::scale_in_idle(Seconds now) {
+  if (!capacity_settled(now) || scale_out_requests_.any_in_flight()) return;
   for (auto& [id, machine] : machines_) {
-    const bool idle = machine.stage == Machine::Stage::Up && !machine.has_possible_attempts();
+    const bool idle = machine.state == MachineState::Up && !machine.has_possible_attempts();
     if (!idle)
       machine.idle_since.reset();
     else if (!machine.idle_since)
@@ -38,47 +38,48 @@
     const MachineType* t = type(machine.info.type);
     if (!machine.idle_since || !t || now - *machine.idle_since < settings_.tuning.idle * t->boot_s)
       continue;
-    const bool usable = std::exchange(candidate.usable, false);
+    const bool schedulable = std::exchange(candidate.schedulable, false);
     TentativePlacement without(others);
-    if (machine.sick() || machine.reclaim_at || has_headroom(without, now))
-      set_stage(machine, Machine::Stage::Returning);
+    if (machine.quarantined() || machine.reclaim_at || has_headroom(without, now))
+      set_machine_state(machine, MachineState::Releasing);
     else
-      candidate.usable = usable;
+      candidate.schedulable = schedulable;
   }
 }
 
-void Scheduler::return_machines(Seconds now, std::vector<Action>& out) {
-  if (releasing_ || now < next_release_) return;
-  next_release_ = now + settings_.heartbeat_period_s * 0.5;
-  find_cut_zones(now);
+void Scheduler::scale_in(Seconds now, std::vector<Action>& out) {
+  if (scale_in_in_flight_ || now < next_scale_in_) return;
+  next_scale_in_ = now + settings_.heartbeat_period_s * 0.5;
+  update_partitioned_zones(now);
   for (auto& [id, machine] : machines_)
-    if (should_give_up(machine, now)) {
-      spdlog::info("gives {} back: stage {}, silent {:.1f} s", id, name(machine.stage),
+    if (should_release(machine, now)) {
+      spdlog::info("gives {} back: stage {}, silent {:.1f} s", id, name(machine.state),
                    now - machine.last_heard);
-      set_stage(machine, Machine::Stage::Returning);
+      set_machine_state(machine, MachineState::Releasing);
     }
-  return_idle(now);
-  Release release;
+  scale_in_idle(now);
+  ScaleIn release;
   for (const auto& [id, machine] : machines_)
-    if (machine.stage == Machine::Stage::Returning && release.machines.size() < kMostReleased)
+    if (machine.state == MachineState::Releasing &&
+        release.machines.size() < kMaxMachinesPerScaleIn)
       release.machines.push_back(id);
   if (release.machines.empty()) return;
-  releasing_ = true;
+  scale_in_in_flight_ = true;
   out.emplace_back(std::move(release));
 }
 
-void Scheduler::release_done(const Release& release, bool ok, Seconds now) {
-  releasing_ = false;
-  next_release_ = now + settings_.heartbeat_period_s * (ok ? 0.1 : 0.5);
+void Scheduler::on_scale_in_answered(const ScaleIn& release, bool ok, Seconds now) {
+  scale_in_in_flight_ = false;
+  next_scale_in_ = now + settings_.heartbeat_period_s * (ok ? 0.1 : 0.5);
   if (!ok) return;
   for (const auto& id : release.machines) {
     const auto it = machines_.find(id);
     if (it == machines_.end()) continue;
     Machine& machine = it->second;
     remove_all_attempts(machine);
-    mark_accounted(machine);
-    if (machine.record != Machine::Record::None) host_record_writes_.want_deletion(id);
-    returned_[id] = now;
+    mark_reconciled(machine);
+    if (machine.record != HostRecordState::None) host_record_writes_.want_deletion(id);
+    released_[id] = now;
     machines_.erase(it);
   }
 }
--- a/src/dispatch/rental_requests.cpp
+++ b/src/dispatch/scale_out_requests.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/rental_requests.h"
+#include "dispatch/scale_out_requests.h"
 
 #include <algorithm>
 
@@ -11,16 +11,16 @@
 
 }  // namespace
 
-Rent RentalRequests::open(const OfferKey& offer, int count) {
+ScaleOut ScaleOutRequests::open(const OfferingKey& offering, int count) {
   // The term is this leader's alone, so no node ever repeats a name.
   const std::string name = "sq-" + std::to_string(term_) + "-" + std::to_string(next_number_++);
-  Rent rent{name, offer.type, offer.zone, offer.spot, count};
+  ScaleOut rent{name, offering.type, offering.zone, offering.spot, count};
   open_[name] = {rent, std::nullopt};
   return rent;
 }
 
-std::vector<Rent> RentalRequests::due_again(Seconds now) {
-  std::vector<Rent> out;
+std::vector<ScaleOut> ScaleOutRequests::due_for_retry(Seconds now) {
+  std::vector<ScaleOut> out;
   for (auto& [name, request] : open_) {
     if (!request.repeat_at || now < *request.repeat_at) continue;
     request.repeat_at.reset();
@@ -29,12 +29,12 @@
   return out;
 }
 
-void RentalRequests::repeat(const Rent& rent, Seconds now, Seconds delay) {
+void ScaleOutRequests::retry_after(const ScaleOut& rent, Seconds now, Seconds delay) {
   const auto request = open_.find(rent.request);
   if (request != open_.end()) request->second.repeat_at = now + delay;
 }
 
-bool RentalRequests::settle(const Rent& rent, size_t rented, Seconds now) {
+bool ScaleOutRequests::complete(const ScaleOut& rent, size_t rented, Seconds now) {
   if (open_.erase(rent.request) == 0) return false;
   Refusals& refusals = refusals_[{rent.type, rent.zone, rent.spot}];
   if (static_cast<int>(rented) >= rent.count) {
@@ -46,8 +46,8 @@
   return true;
 }
 
-bool RentalRequests::backing_off(const OfferKey& offer, Seconds now) const {
-  const auto refusals = refusals_.find(offer);
+bool ScaleOutRequests::backing_off(const OfferingKey& offering, Seconds now) const {
+  const auto refusals = refusals_.find(offering);
   return refusals != refusals_.end() && now < refusals->second.until;
 }
 
--- a/src/dispatch/rental_requests.h
+++ b/src/dispatch/scale_out_requests.h
@@ -12,36 +12,36 @@
 namespace sumacquay {
 
 /// What can be rented: a type of machine in a zone, paid in full or as spot.
-struct OfferKey {
+struct OfferingKey {
   std::string type, zone;
   bool spot = false;
-  auto operator<=>(const OfferKey&) const = default;
+  auto operator<=>(const OfferingKey&) const = default;
 };
 
 /// The requests to the cloud for machines: names them, repeats those whose outcome is unknown, and
 /// backs off from offers that the cloud refused.
-class RentalRequests {
+class ScaleOutRequests {
  public:
-  explicit RentalRequests(uint64_t term) : term_(term) {}
+  explicit ScaleOutRequests(uint64_t term) : term_(term) {}
 
   /// A new request, under a name that no leader uses again; it is open until it is settled.
-  Rent open(const OfferKey& offer, int count);
+  ScaleOut open(const OfferingKey& offering, int count);
   /// Whether any request is open: what it brings is not known yet.
-  bool any_open() const { return !open_.empty(); }
+  bool any_in_flight() const { return !open_.empty(); }
   /// Open requests that are to be sent again by now. Each is returned once.
-  std::vector<Rent> due_again(Seconds now);
+  std::vector<ScaleOut> due_for_retry(Seconds now);
   /// The outcome is unknown: sent again after `delay`, under the same name, so that it rents
   /// nothing more if it was carried out.
-  void repeat(const Rent& rent, Seconds now, Seconds delay);
+  void retry_after(const ScaleOut& rent, Seconds now, Seconds delay);
   /// The cloud has answered with so many machines, none if it refused. False if the request is not
   /// open. Fewer than were asked for count as a refusal, each in a row of them for twice as long.
-  bool settle(const Rent& rent, size_t rented, Seconds now);
+  bool complete(const ScaleOut& rent, size_t rented, Seconds now);
   /// Whether the cloud refused this not long ago.
-  bool backing_off(const OfferKey& offer, Seconds now) const;
+  bool backing_off(const OfferingKey& offering, Seconds now) const;
 
  private:
   struct OpenRequest {
-    Rent rent;
+    ScaleOut rent;
     std::optional<Seconds> repeat_at;  ///< none: an answer is awaited
   };
   struct Refusals {
@@ -51,7 +51,7 @@
   uint64_t term_;
   uint64_t next_number_ = 1;
   std::map<std::string, OpenRequest> open_;  ///< by name
-  std::map<OfferKey, Refusals> refusals_;
+  std::map<OfferingKey, Refusals> refusals_;
 };
 
 }  // namespace sumacquay
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// The pause between two events that shows this process to have stood still / workers' lease.
-constexpr double kStoodStill = 0.1;
+constexpr double kStallThreshold = 0.1;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
       listening_since_(now),
       delegations_(term, settings.delegation_after_s()),
       token_allocator_(term),
-      rental_requests_(term) {}
+      scale_out_requests_(term) {}
 
 /// Ends whatever was ordered under the fencing token before, however late it arrives.
 void Scheduler::advance_fencing_token(Machine& machine) {
@@ -77,11 +77,11 @@
 void Scheduler::record_progress(Seconds now) {
   const Seconds pause = now - last_event_;
   last_event_ = std::max(last_event_, now);
-  if (pause <= settings_.lease_s * kStoodStill) return;
+  if (pause <= settings_.lease_s * kStallThreshold) return;
   listening_since_ += pause;
   for (auto& [id, machine] : machines_) {
     machine.last_heard += pause;
-    machine.zone_back += pause;
+    machine.partition_healed_at += pause;
   }
 }
 
@@ -89,16 +89,16 @@
   std::vector<Action> out;
   record_progress(now);
   if (now >= next_round_) {
-    expire(now);
+    expire_leases(now);
     next_round_ = now + settings_.tuning.round * settings_.heartbeat_period_s;
     run_placement_round(now);
     rebalance(now);
-    provision(now, out);
+    scale_out(now, out);
     log_fleet_summary(now);
     unplaced_.clear();
     fill_backlog(now);
   }
-  return_machines(now, out);
+  scale_in(now, out);
   dispatch_starts(now, out);
   probe(now, out);
   return out;
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -6,6 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "autoscaling/scale_out_planner.h"
 #include "backlog/dispatch_backlog.h"
 #include "config/settings.h"
 #include "dispatch/actions.h"
@@ -13,8 +14,8 @@
 #include "dispatch/host_record_writes.h"
 #include "dispatch/job_state.h"
 #include "dispatch/record_write.h"
-#include "dispatch/rental_requests.h"
-#include "dispatch/zone_reachability.h"
+#include "dispatch/scale_out_requests.h"
+#include "dispatch/zone_partition_detector.h"
 #include "fleet/machine.h"
 #include "jobs/dependency_graph.h"
 #include "jobs/fair_share.h"
@@ -22,7 +23,6 @@
 #include "leadership/fencing_token_allocator.h"
 #include "leadership/lease_delegation.h"
 #include "placement/placement.h"
-#include "provision/provision.h"
 
 namespace sumacquay {
 
@@ -85,15 +85,15 @@
   // Cloud.
 
   /// The catalog. Without one nothing is rented or placed.
-  void set_types(std::vector<MachineType> types) { types_ = std::move(types); }
+  void set_machine_types(std::vector<MachineType> types) { types_ = std::move(types); }
   /// The cloud's list of machines, which may lag behind rents and releases.
-  void listed(const std::vector<ListedMachine>& machines, Seconds now);
-  using RentOutcome = sumacquay::RentOutcome;
-  /// The outcome of a `Rent`, which is sent again while it is unknown.
-  void rent_done(const Rent& rent, RentOutcome outcome, const std::vector<std::string>& machines,
-                 Seconds now);
-  /// The outcome of a `Release`; `ok`: the cloud has taken all its machines back.
-  void release_done(const Release& release, bool ok, Seconds now);
+  void on_machines_listed(const std::vector<ListedMachine>& machines, Seconds now);
+  using ScaleOutOutcome = sumacquay::ScaleOutOutcome;
+  /// The outcome of a `ScaleOut`, which is sent again while it is unknown.
+  void on_scale_out_answered(const ScaleOut& rent, ScaleOutOutcome outcome,
+                             const std::vector<std::string>& machines, Seconds now);
+  /// The outcome of a `ScaleIn`; `ok`: the cloud has taken all its machines back.
+  void on_scale_in_answered(const ScaleIn& release, bool ok, Seconds now);
 
   /// Expired leases, a placement round, provisioning and orders. Only while the leader may act.
   std::vector<Action> tick(Seconds now);
@@ -103,7 +103,7 @@
   std::vector<Action> dispatch(Seconds now);
 
   /// Whether no worker gets through to this node any more, so that another should lead.
-  bool no_worker_reaches_us(Seconds now) const;
+  bool isolated_from_workers(Seconds now) const;
 
   /// Whether this term has few numbers left for attempts or for a machine's fencing tokens. They
   /// are never used twice, and those past the end are a later leader's: the node is to get a new
@@ -123,7 +123,7 @@
   /// Tasks that run, by job; for display.
   std::unordered_map<std::string, uint32_t> running_counts() const;
   /// Whether every machine known at the takeover has told what it has, or has lost its lease.
-  bool all_accounted() const { return unaccounted_ == 0; }
+  bool all_reconciled() const { return unreconciled_machines_ == 0; }
   const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
   const std::map<std::string, Machine>& machines() const { return machines_; }
   uint64_t term() const { return term_; }
@@ -175,7 +175,7 @@
   void remove_unlisted(Machine& machine, const WorkerHeartbeat& r, Seconds now);
   void accept_worker(Machine& machine, Seconds now);
   void reconcile_task(Machine& machine, const TaskStatus& t, Seconds now);
-  void mark_accounted(Machine& machine);
+  void mark_reconciled(Machine& machine);
 
   // task_runs.cpp
   void adopt_attempt(Machine& machine, const TaskAttemptId& key, TaskAttempt& attempt, Job& job,
@@ -216,13 +216,13 @@
   // failures.cpp
   /// Whether the job fails wherever it is started, as one that was submitted with a mistake does.
   /// It is tried with one task at a time, less and less often, and stops nobody.
-  bool at_fault(const Job& job) const;
-  void count_failure(Machine& machine, Job& job, Seconds now);
-  void count_success(Job& job, Seconds now);
-  void blame(Machine& machine, const Job& job, Seconds now);
-  void withdraw_blame(const Job& job);
+  bool crash_looping(const Job& job) const;
+  void record_task_failure(Machine& machine, Job& job, Seconds now);
+  void record_task_success(Job& job, Seconds now);
+  void attribute_failure(Machine& machine, const Job& job, Seconds now);
+  void clear_failures(const Job& job);
   bool runs_steadily(const Job& job, Seconds now) const;
-  bool sick_for_certain(const Machine& machine, Seconds now) const;
+  bool quarantine_confirmed(const Machine& machine, Seconds now) const;
 
   // waiting_jobs.cpp
   std::vector<Job*> scheduling_queue(Seconds now);
@@ -246,7 +246,7 @@
                        std::vector<CandidateMachine>& candidates, Seconds now);
   void start_assignments(Job& job, const std::vector<Assignment>& assignments,
                          const std::vector<CandidateMachine>& candidates, Seconds now);
-  bool usable(const Machine& machine, Seconds now) const;
+  bool schedulable(const Machine& machine, Seconds now) const;
 
   // preemption.cpp
   void preempt_for(Job& job, PlacementRequest& placement_request,
@@ -276,28 +276,28 @@
 
   // machine_lifecycle.cpp
   /// The only place that changes a machine's stage.
-  void set_stage(Machine& machine, Machine::Stage next);
-  void expire(Seconds now);
-  Seconds latest_lease_end(const Machine& machine, Seconds now) const;
-  void find_cut_zones(Seconds now);
-  void zone_reachable_again(const std::string& zone, Seconds now);
+  void set_machine_state(Machine& machine, MachineState next);
+  void expire_leases(Seconds now);
+  Seconds latest_lease_expiry(const Machine& machine, Seconds now) const;
+  void update_partitioned_zones(Seconds now);
+  void on_partition_healed(const std::string& zone, Seconds now);
   bool boot_failed(const Machine& machine, Seconds now) const;
-  bool seems_dead(const Machine& machine, Seconds now) const;
-  bool should_give_up(const Machine& machine, Seconds now) const;
+  bool suspected(const Machine& machine, Seconds now) const;
+  bool should_release(const Machine& machine, Seconds now) const;
   void probe(Seconds now, std::vector<Action>& out);
-  Seconds silence(const Machine& machine, Seconds now) const;
+  Seconds time_since_heartbeat(const Machine& machine, Seconds now) const;
   bool heartbeat_overdue(const Machine& machine, Seconds now) const;
 
   // renting.cpp
-  void provision(Seconds now, std::vector<Action>& out);
-  void request_machines(const Rental& rental, std::vector<Action>& out);
-  std::vector<Offer> offers(Seconds now) const;
-  Seconds longest_boot() const;
+  void scale_out(Seconds now, std::vector<Action>& out);
+  void request_instances(const ScaleOutRequest& scale_out_request, std::vector<Action>& out);
+  std::vector<InstanceOffering> offerings(Seconds now) const;
+  Seconds longest_boot_time() const;
 
   // releases.cpp
-  void return_idle(Seconds now);
+  void scale_in_idle(Seconds now);
   bool has_headroom(TentativePlacement& trial, Seconds now) const;
-  void return_machines(Seconds now, std::vector<Action>& out);
+  void scale_in(Seconds now, std::vector<Action>& out);
 
   // fleet_summary.cpp
   void log_fleet_summary(Seconds now);
@@ -314,27 +314,28 @@
       listening_since_;  ///< the takeover, later by all pauses since: nobody is silent for longer
   Delegations delegations_;
   FencingTokenAllocator token_allocator_;
-  size_t unaccounted_ = 0;  ///< machines of the takeover that have not told what they have
+  size_t unreconciled_machines_ =
+      0;  ///< machines of the takeover that have not told what they have
   std::unordered_map<std::string, Job> jobs_;
   DependencyGraph dependencies_;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, Seconds> returned_;  ///< machines the cloud took back: they are gone
+  std::map<std::string, Seconds> released_;  ///< machines the cloud took back: they are gone
   /// By type: when the last rented of those that this leader saw boot was rented.
   std::map<std::string, Seconds> newest_booted_;
-  ZoneReachability zone_reachability_;
+  ZonePartitionDetector zone_partition_detector_;
   HostRecordWrites host_record_writes_;
   DispatchBacklog backlog_;  ///< records with prompt dispatch alone
   std::vector<MachineType> types_;
-  RentalRequests rental_requests_;
+  ScaleOutRequests scale_out_requests_;
   std::unordered_map<std::string, Resources> quota_usage_;  ///< by team
   ArrivalForecast arrivals_;
   std::optional<std::vector<Victim>> victims_;  ///< of this round, once anybody has asked
   JobIds within_fair_share_;                ///< in this round: jobs within their team's guarantee
   RunningResources running_resources_;      ///< of this round, once the victims are listed
   std::vector<PlacementRequest> unplaced_;  ///< of the last round; used in the same tick only
-  Seconds next_round_ = 0, next_provision_ = 0, next_release_ = 0, next_rebalance_ = 0,
+  Seconds next_round_ = 0, next_scale_out_ = 0, next_scale_in_ = 0, next_rebalance_ = 0,
           next_summary_ = 0;
-  bool releasing_ = false;
+  bool scale_in_in_flight_ = false;
   Seconds latest_heartbeat_ = 0;  ///< of any machine
   Work work_;
 };
--- a/src/dispatch/scheduling_queue.cpp
+++ b/src/dispatch/scheduling_queue.cpp
@@ -67,11 +67,11 @@
 
 /// Whether tasks of the job may be on machines that nobody has accounted for since the takeover.
 bool Scheduler::placement_unknown(const Job& job) const {
-  if (!job.stored.started || all_accounted()) return false;
+  if (!job.stored.started || all_reconciled()) return false;
   if (!job.stored.hosts) return true;
   return std::any_of(job.stored.hosts->begin(), job.stored.hosts->end(), [this](const auto& id) {
     const auto machine = machines_.find(id);
-    return machine != machines_.end() && !machine->second.accounted;
+    return machine != machines_.end() && !machine->second.reconciled;
   });
 }
 
@@ -90,14 +90,15 @@
 
 /// Whether a round may start anything of the job.
 bool Scheduler::may_be_placed(Job& job, Seconds now) {
-  if (!job.runnable() || !ready(job) || now < job.retry_at || placement_unknown(job)) return false;
+  if (!job.runnable() || !ready(job) || now < job.backoff_until || placement_unknown(job))
+    return false;
   if (!job.start_recordable()) return false;
   count_arrival(job);
   if (job.possible_placements.size() + job.done.count() >= job.spec().tasks) return false;
   if (job.spec().kind == JobKind::Gang && !job.possible_placements.empty()) return false;
-  if (!at_fault(job) || job.possible_placements.empty()) return true;
+  if (!crash_looping(job) || job.possible_placements.empty()) return true;
   if (!runs_steadily(job, now)) return false;
-  count_success(job, now);
+  record_task_success(job, now);
   return true;
 }
 
--- a/src/dispatch/task_attempts.cpp
+++ b/src/dispatch/task_attempts.cpp
@@ -50,7 +50,7 @@
   attempt.desired_running = key.attempt == newest && job.runnable() && key.task.task < spec.tasks &&
                             !job.done.contains(key.task.task);
   // A task is started again only once its earlier start is certainly gone: a heartbeat that still
-  // shows that one is old, and must not stop the one that attempts.
+  // shows that one is old, and must not stop the one that runs.
   for (auto at = first; at != last; ++at)
     for (const auto& [machine_id, attempt_number] : at->second)
       if (attempt_number < newest)
@@ -92,9 +92,9 @@
   Job* job = find_job(key.task.job);
   if (!job) return;
   if (attempt.cause == ExitCause::Done) {
-    machine.error_jobs.clear();
-    machine.others_succeed = false;
-    count_success(*job, now);
+    machine.failed_jobs.clear();
+    machine.failed_jobs_succeed_elsewhere = false;
+    record_task_success(*job, now);
     if (job->spec().kind == JobKind::Service) return;
     const bool gang = job->spec().kind == JobKind::Gang;
     // The tasks of a gang complete together.
@@ -107,9 +107,9 @@
   spdlog::info("{}/{} try {} ended on {}: cause {}", key.task.job, key.task.task, key.attempt,
                machine.info.id, static_cast<int>(attempt.cause));
   if (attempt.cause == ExitCause::Error || attempt.cause == ExitCause::Unknown)
-    count_failure(machine, *job, now);
+    record_task_failure(machine, *job, now);
   if (attempt.cause == ExitCause::NoRoom || attempt.cause == ExitCause::Busy)
-    job->retry_at = now + settings_.heartbeat_period_s;
+    job->backoff_until = now + settings_.heartbeat_period_s;
   stop_gang_of(key.task, now);
 }
 
--- a/src/fleet/machine.cpp
+++ b/src/fleet/machine.cpp
@@ -20,15 +20,15 @@
   return "unknown";
 }
 
-std::string_view name(Machine::Stage stage) {
+std::string_view name(MachineState stage) {
   switch (stage) {
-    case Machine::Stage::Booting:
+    case MachineState::Booting:
       return "booting";
-    case Machine::Stage::Up:
+    case MachineState::Up:
       return "up";
-    case Machine::Stage::Expired:
+    case MachineState::LeaseExpired:
       return "expired";
-    case Machine::Stage::Returning:
+    case MachineState::Releasing:
       return "returning";
   }
   return "unknown";
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -75,32 +75,35 @@
   std::vector<CachedImage> kept_;  ///< the most recently used last
 };
 
+/// How far a machine is in its life.
+enum class MachineState {
+  Booting,       ///< rented, not heard yet
+  Up,            ///< reports
+  LeaseExpired,  ///< its worker's lease has certainly ended: nothing runs there
+  Releasing,     ///< the cloud was asked to take it back
+};
+
+/// Its record in the state service. Nothing is started on a machine before its record is durable.
+enum class HostRecordState { None, Requested, Durable };
+
 /// A machine as the leader knows it.
 struct Machine {
-  enum class Stage {
-    Booting,    ///< rented, not heard yet
-    Up,         ///< reports
-    Expired,    ///< its worker's lease has certainly ended: nothing attempts there
-    Returning,  ///< the cloud was asked to take it back
-  };
-  /// Its record in the state service. Nothing is started on a machine before its record is durable.
-  enum class Record { None, Wanted, Durable };
   HostRecord info;
-  Stage stage = Stage::Booting;
-  Record record = Record::None;
+  MachineState state = MachineState::Booting;
+  HostRecordState record = HostRecordState::None;
 
   HeartbeatSequence latest;      ///< of all heartbeats that were applied
   HeartbeatSequence latest_own;  ///< of those that the worker sent by itself
   uint64_t counter = 0;          ///< low part of the fencing token in force at this worker
   bool fencing_token_acknowledged = false;  ///< has shown the fencing token in force
-  bool accounted = false;  ///< since the takeover: told what it has, or certainly has nothing
+  bool reconciled = false;  ///< since the takeover: told what it has, or certainly has nothing
   Seconds last_heard = kNever;
   /// When a heartbeat of its own came; answers to commands don't count, and show no lease renewed.
   Seconds last_heartbeat = kNever;
-  Seconds zone_back = kNever;      ///< when its zone was heard again
-  Seconds last_answered = kNever;  ///< last answer that may renew
+  Seconds partition_healed_at = kNever;  ///< when its zone was heard again
+  Seconds last_lease_renewal = kNever;   ///< last answer that may renew
   /// An earlier leader may have answered it until the fence.
-  bool earlier_leader_may_answer = true;
+  bool previous_leader_may_answer = true;
   bool commands_in_flight = false;
   Seconds next_commands_at = 0, next_greeting_probe_at = 0;
   bool probe_in_flight = false;   ///< asked whether it is there
@@ -112,10 +115,10 @@
   std::optional<Seconds> reclaim_at;  ///< spot notice: when the cloud takes it
   std::optional<Seconds> idle_since;
   /// Fails what it starts: gets nothing new, and is returned once that is certain.
-  std::optional<Seconds> sick_since;
-  bool sick() const { return sick_since.has_value(); }
-  bool others_succeed = false;       ///< a job that failed here has succeeded elsewhere
-  std::set<std::string> error_jobs;  ///< jobs that failed here since one last succeeded
+  std::optional<Seconds> quarantined_since;
+  bool quarantined() const { return quarantined_since.has_value(); }
+  bool failed_jobs_succeed_elsewhere = false;  ///< a job that failed here has succeeded elsewhere
+  std::set<std::string> failed_jobs;           ///< jobs that failed here since one last succeeded
   ImageCache images;
   bool draining = false;  ///< its tasks are moved elsewhere: gets nothing new
 
@@ -123,10 +126,10 @@
 
   /// Something is to be started here.
   void request_host_record() {
-    if (record == Record::None) record = Record::Wanted;
+    if (record == HostRecordState::None) record = HostRecordState::Requested;
   }
   /// Since a takeover that may be so although none is known.
-  bool may_hold_tasks() const { return !accounted || has_possible_attempts(); }
+  bool may_run_tasks() const { return !reconciled || has_possible_attempts(); }
   bool has_possible_attempts() const {
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const auto& r) { return r.second.possibly_present(); });
@@ -135,6 +138,6 @@
 
 /// For logs.
 std::string_view name(TaskAttemptState state);
-std::string_view name(Machine::Stage stage);
+std::string_view name(MachineState stage);
 
 }  // namespace sumacquay
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -13,7 +13,7 @@
       return "campaigning";
     case LeaderElection::State::Leading:
       return "leading";
-    case LeaderElection::State::Expired:
+    case LeaderElection::State::LeaseExpired:
       return "expired";
   }
   return "?";
@@ -49,9 +49,9 @@
       if (now >= campaign_end_) enter(State::Follower);
       return;
     case State::Leading:
-      if (now >= valid_until_) enter(State::Expired);
+      if (now >= valid_until_) enter(State::LeaseExpired);
       break;
-    case State::Expired:
+    case State::LeaseExpired:
       if (now >= valid_until_ + config_.grace) return enter(State::Follower);
       break;
   }
@@ -72,7 +72,7 @@
       return campaign_end_;
     case State::Leading:
       return std::min(valid_until_, renewal);
-    case State::Expired:
+    case State::LeaseExpired:
       return std::min(valid_until_ + config_.grace, renewal);
   }
   return kNever;
@@ -103,25 +103,25 @@
                              bool ended) {
   if (lease != lease_) return;
   renewing_ = false;
-  if (state_ != State::Leading && state_ != State::Expired) return;
+  if (state_ != State::Leading && state_ != State::LeaseExpired) return;
   if (ended) return enter(State::Follower);
   if (!answered) {
     next_renew_ = std::min(next_renew_, now + config_.renew * 0.3);
     return;
   }
   valid_until_ = std::max(valid_until_, sent_at + config_.lease * (1 - config_.drift));
-  if (state_ == State::Expired && now < valid_until_) enter(State::Leading);
+  if (state_ == State::LeaseExpired && now < valid_until_) enter(State::Leading);
 }
 
 void LeaderElection::resign(Seconds now, Seconds rest) {
-  if (state_ != State::Leading && state_ != State::Expired) return;
+  if (state_ != State::Leading && state_ != State::LeaseExpired) return;
   rest_until_ = now + rest;
   enter(State::Follower);
 }
 
 void LeaderElection::observe_term(Seconds /*now*/, uint64_t term) {
   highest_ = std::max(highest_, term);
-  if ((state_ == State::Leading || state_ == State::Expired) && term > term_)
+  if ((state_ == State::Leading || state_ == State::LeaseExpired) && term > term_)
     enter(State::Follower);
 }
 
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -14,10 +14,10 @@
 class LeaderElection {
  public:
   enum class State {
-    Follower,     ///< somebody else leads, or nobody is known to
-    Campaigning,  ///< nobody leads: this node tries to
-    Leading,      ///< holds the lease
-    Expired,      ///< the lease may have ended: answers only, until the grace is over
+    Follower,      ///< somebody else leads, or nobody is known to
+    Campaigning,   ///< nobody leads: this node tries to
+    Leading,       ///< holds the lease
+    LeaseExpired,  ///< the lease may have ended: answers only, until the grace is over
   };
 
   struct Config {
@@ -63,7 +63,7 @@
   /// May answer workers. Counts from the last look at the records: whoever was cut off since then
   /// can't know what was cancelled, and would keep it running.
   bool may_answer(Seconds now) const {
-    return (state_ == State::Leading || state_ == State::Expired) && now < answers_until();
+    return (state_ == State::Leading || state_ == State::LeaseExpired) && now < answers_until();
   }
   Seconds answers_until() const { return std::min(known_at_, valid_until_) + config_.grace; }
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -76,7 +76,7 @@
 
   const std::shared_ptr<PendingRequest>& request() const { return request_; }
 
-  bool usable() {
+  bool schedulable() {
     if (state_ != State::Idle) return false;
     // A peer that restarted has closed its side: seen here instead of as a failed request.
     asio::error_code error;
@@ -200,7 +200,7 @@
   const auto alive = alive_;
   for (const auto& request : requests_in_progress()) {
     if (request->finished || now < request->deadline) continue;
-    expire(request);
+    expire_leases(request);
     if (!*alive) return;
   }
   for (const auto& request : requests_in_progress()) wake_by(request->deadline);
@@ -214,7 +214,7 @@
 }
 
 /// The deadline of a request has passed.
-void HttpClient::expire(const std::shared_ptr<PendingRequest>& request) {
+void HttpClient::expire_leases(const std::shared_ptr<PendingRequest>& request) {
   const auto queued = std::find(queue_.begin(), queue_.end(), request);
   if (queued != queue_.end()) {
     queue_.erase(queued);
@@ -243,7 +243,7 @@
   while (!idle_.empty()) {
     auto connection = idle_.back();
     idle_.pop_back();
-    if (connection->usable()) return connection;
+    if (connection->schedulable()) return connection;
     connection->close();
   }
   return std::make_shared<Connection>(*this, io_);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -40,7 +40,7 @@
   void wake_by(Clock::time_point deadline);
   void expire_overdue();
   std::vector<std::shared_ptr<PendingRequest>> requests_in_progress() const;
-  void expire(const std::shared_ptr<PendingRequest>& request);
+  void expire_leases(const std::shared_ptr<PendingRequest>& request);
   void start_next();
   std::shared_ptr<Connection> take_connection();
   void release(const std::shared_ptr<Connection>& connection, bool reusable);
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -116,38 +116,39 @@
                   });
 }
 
-void ActionExecutor::perform(const Rent& rent) {
+void ActionExecutor::perform(const ScaleOut& rent) {
   cloud_.request("POST", wire::path::kMachines,
                  wire::rent_body(rent.request, rent.type, rent.zone, rent.spot, rent.count),
                  settings_.lease_s * kCloudDeadlineLeaseShare,
                  [this, rent, generation = scheduler_.generation()](const HttpResult& result) {
                    Scheduler* scheduler = scheduler_.get(generation);
                    if (!scheduler) return;
-                   const RentResult rented = read_rent_answer(result);
-                   scheduler->rent_done(rent, rented.outcome, rented.machines, steady_now());
+                   const RentResult rented = read_scale_out_answer(result);
+                   scheduler->on_scale_out_answered(rent, rented.outcome, rented.machines,
+                                                    steady_now());
                  });
 }
 
-void ActionExecutor::perform(const Release& release) {
+void ActionExecutor::perform(const ScaleIn& release) {
   cloud_.request("POST", wire::path::kRelease, wire::release_body(release.machines),
                  settings_.lease_s * kCloudDeadlineLeaseShare,
                  [this, release, generation = scheduler_.generation()](const HttpResult& result) {
                    if (Scheduler* scheduler = scheduler_.get(generation))
-                     scheduler->release_done(release, result.ok(), steady_now());
+                     scheduler->on_scale_in_answered(release, result.ok(), steady_now());
                  });
 }
 
-RentResult read_rent_answer(const HttpResult& result) {
+RentResult read_scale_out_answer(const HttpResult& result) {
   RentResult rented;
   if (result.ok()) {
     if (auto machines = wire::parse_rented(result.body)) {
-      rented.outcome = Scheduler::RentOutcome::Rented;
+      rented.outcome = Scheduler::ScaleOutOutcome::Granted;
       rented.machines = std::move(*machines);
     }
     return rented;
   }
   const bool refused = result.status == kStatusUnavailable || result.status == kStatusBadRequest;
-  if (result.answered && refused) rented.outcome = Scheduler::RentOutcome::Refused;
+  if (result.answered && refused) rented.outcome = Scheduler::ScaleOutOutcome::Refused;
   return rented;
 }
 
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -43,8 +43,8 @@
   void give_up(const SendCommands& batch);
   Seconds command_deadline() const;
   void perform(const Probe& probe);
-  void perform(const Rent& rent);
-  void perform(const Release& release);
+  void perform(const ScaleOut& rent);
+  void perform(const ScaleIn& release);
   std::optional<WorkerHeartbeat> receive_heartbeat(const HttpResult& result);
 
   asio::io_context& io_;
@@ -59,9 +59,9 @@
 
 /// What the cloud's answer to a rent says. Without one it may still be carried out.
 struct RentResult {
-  Scheduler::RentOutcome outcome = Scheduler::RentOutcome::Unknown;
+  Scheduler::ScaleOutOutcome outcome = Scheduler::ScaleOutOutcome::Unknown;
   std::vector<std::string> machines;
 };
-RentResult read_rent_answer(const HttpResult& result);
+RentResult read_scale_out_answer(const HttpResult& result);
 
 }  // namespace sumacquay
--- a/src/node/leader_hints_source.cpp
+++ b/src/node/leader_hints_source.cpp
@@ -14,7 +14,7 @@
   for (const auto& [id, machine] : scheduler.machines()) {
     for (const auto& [image, gb] : machine.images.kept())
       heartbeat.images.push_back({id, image, gb});
-    if (machine.stage != Machine::Stage::Booting) continue;
+    if (machine.state != MachineState::Booting) continue;
     ListedMachine booting;
     booting.id = id;
     booting.type = machine.info.type;
--- a/src/node/machine_list_poller.cpp
+++ b/src/node/machine_list_poller.cpp
@@ -34,7 +34,7 @@
                      so_far->insert(so_far->end(), page->machines.begin(), page->machines.end());
                      if (page->more && !page->machines.empty())
                        return read_page(generation, page->machines.back().id, so_far);
-                     scheduler->listed(*so_far, steady_now());
+                     scheduler->on_machines_listed(*so_far, steady_now());
                    }
                    read_again_later(generation);
                  });
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -50,7 +50,7 @@
       machine_types_(
           io, settings, cloud_, [this] { return random(); },
           [this] {
-            if (scheduler_) scheduler_->set_types(machine_types_.types());
+            if (scheduler_) scheduler_->set_machine_types(machine_types_.types());
           }),
       machine_list_(io, settings, cloud_, scheduler_),
       executor_(io, settings, sockets_.worker_commands, cloud_, election_, scheduler_),
@@ -134,7 +134,7 @@
 std::optional<std::string> Node::reason_to_resign() const {
   if (!leads_now()) return std::nullopt;
   if (scheduler_->term_nearly_exhausted()) return "few attempts are left of its term";
-  if (!settings_.peers.empty() && scheduler_->no_worker_reaches_us(steady_now()))
+  if (!settings_.peers.empty() && scheduler_->isolated_from_workers(steady_now()))
     return "no worker gets through";
   return std::nullopt;
 }
@@ -222,7 +222,7 @@
   spdlog::info("leadership: {} -> {} (term {})", name(from), name(to), election_.term());
   request_tick();
   if (to == LeaderElection::State::Follower) return stop_leading();
-  if (to == LeaderElection::State::Leading && from != LeaderElection::State::Expired)
+  if (to == LeaderElection::State::Leading && from != LeaderElection::State::LeaseExpired)
     start_leading();
 }
 
@@ -251,15 +251,15 @@
   const Seconds wall_offset = static_cast<double>(time_of_day_ms()) / 1000 - steady_now();
   auto scheduler = std::make_unique<Scheduler>(settings_, election_.term(), now,
                                                previous_leader_fenced_at, wall_offset);
-  scheduler->set_types(machine_types_.types());
+  scheduler->set_machine_types(machine_types_.types());
   for (const auto& [id, host] : mirror_.hosts()) scheduler->host_stored(host.value, steady_now());
   for (const auto& [id, job] : mirror_.live())
     scheduler->job_stored(job.value, job.version, steady_now());
-  tell_finished_dependencies(*scheduler);
+  report_finished_dependencies(*scheduler);
   for (const auto& held : peer_heartbeats_.leader_hints().images())
     scheduler->on_cached_image(held.machine, held.image, held.gb);
   // The cloud's list is late: without this, what the leader before rented is rented once more.
-  scheduler->listed(peer_heartbeats_.leader_hints().booting(), steady_now());
+  scheduler->on_machines_listed(peer_heartbeats_.leader_hints().booting(), steady_now());
   return scheduler;
 }
 
@@ -274,12 +274,12 @@
     scheduler_->job_stored(record->value, record->version, steady_now());
   else
     scheduler_->job_finished(id);
-  tell_finished_dependencies(*scheduler_);
+  report_finished_dependencies(*scheduler_);
   scheduler_->request_round();
 }
 
 /// The scheduler reads no records: it is told of finished jobs as far as others depend on them.
-void Node::tell_finished_dependencies(Scheduler& scheduler) const {
+void Node::report_finished_dependencies(Scheduler& scheduler) const {
   const std::set<std::string> unknown = scheduler.unknown_dependencies();
   for (const auto& id : unknown)
     if (const auto record = mirror_.dependency_end(id)) scheduler.dependency_finished(id, *record);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -58,7 +58,7 @@
   // records
   void on_job_record(const std::string& id);
   void on_all_job_records();
-  void tell_finished_dependencies(Scheduler& scheduler) const;
+  void report_finished_dependencies(Scheduler& scheduler) const;
   // heartbeats
   PeerHeartbeats::Hooks peer_hooks();
   wire::PeerHeartbeat own_peer_heartbeat(wire::PeerHeartbeatPart part) const;
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -35,9 +35,9 @@
   return !spec.zone || *spec.zone == zone;
 }
 
-bool usable(const CandidateMachine& candidate, const PlacementRequest& placement_request,
-            const Zones& zones) {
-  return candidate.usable &&
+bool schedulable(const CandidateMachine& candidate, const PlacementRequest& placement_request,
+                 const Zones& zones) {
+  return candidate.schedulable &&
          allowed(*placement_request.spec, candidate.type, candidate.zone, candidate.spot) &&
          zone_allows(*placement_request.spec, zones, candidate.zone) &&
          !(placement_request.avoid && placement_request.avoid(candidate));
@@ -52,7 +52,7 @@
   std::vector<Ranked> order;
   for (size_t i = 0; i < candidates.size(); ++i)
     if (candidates[i].fits(placement_request.spec->request) &&
-        usable(candidates[i], placement_request, zones))
+        schedulable(candidates[i], placement_request, zones))
       order.emplace_back(rank(candidates[i], placement_request), i);
   // A heap hands out the best slots in order, at the cost of those that are used: of thousands that
   // fit, a job needs a few.
@@ -225,7 +225,7 @@
   std::vector<Ranked> order;
   for (size_t i = 0; i < candidates.size(); ++i)
     if (candidates[i].available.gpus - candidates[i].reserved.gpus >= request.gpus &&
-        usable(candidates[i], placement_request, placement_request.zones))
+        schedulable(candidates[i], placement_request, placement_request.zones))
       order.emplace_back(candidates[i].reserved.cpus - candidates[i].available.cpus, i);
   std::sort(order.begin(), order.end());
   size_t left = placement_request.tasks.size();
@@ -270,7 +270,7 @@
     for (size_t v : order) most += victims[v].request;
     // The rest is dearer, and most slots end here.
     if (!placement_request.spec->request.fits_in(most) ||
-        !usable(candidates[i], placement_request, placement_request.zones))
+        !schedulable(candidates[i], placement_request, placement_request.zones))
       continue;
     if (placement_request.spec->request.fits_in(capacity)) return Preemption{i, {}, true};
     std::sort(order.begin(), order.end(), [&](size_t a, size_t b) {
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -18,11 +18,11 @@
   std::string machine, type, zone;
   const Machine* of = nullptr;  ///< for whoever made the slot; placement does not look into it
   bool spot = false;
-  Resources capacity;   ///< the whole machine's
-  Resources available;  ///< of it, what nothing takes
-  Resources releasing;  ///< free once the tasks that are being stopped are gone
-  Resources reserved;   ///< of it, what waits beside free GPUs for tasks that need some
-  bool usable = true;   ///< may be given new tasks
+  Resources capacity;       ///< the whole machine's
+  Resources available;      ///< of it, what nothing takes
+  Resources releasing;      ///< free once the tasks that are being stopped are gone
+  Resources reserved;       ///< of it, what waits beside free GPUs for tasks that need some
+  bool schedulable = true;  ///< may be given new tasks
 
   bool fits(const Resources& request) const {
     Resources open = available;
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -30,7 +30,7 @@
     type.capacity = {100, 0, 400};
     type.zones = {"e"};
     scheduler = std::make_unique<Scheduler>(settings, kTerm, now, now);
-    scheduler->set_types({type});
+    scheduler->set_machine_types({type});
   }
 
   static JobRecord array(const std::string& id, uint32_t tasks) {
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -4,10 +4,10 @@
 #include <map>
 #include <random>
 
+#include "autoscaling/scale_out_planner.h"
 #include "generators.h"
 #include "leadership/leader_election.h"
 #include "placement/placement.h"
-#include "provision/provision.h"
 
 namespace sumacquay {
 namespace {
@@ -39,7 +39,7 @@
           candidates.push_back(
               candidate("m" + std::to_string(i), *rc::gen::element<std::string>("e", "w"),
                         {*rc::gen::inRange(0, 12) * 1.0, *rc::gen::inRange(0, 5) * 1.0, 8}));
-          candidates.back().usable = *rc::gen::inRange(0, 5) > 0;
+          candidates.back().schedulable = *rc::gen::inRange(0, 5) > 0;
           candidates.back().spot = *rc::gen::inRange(0, 5) == 0;
         }
         const auto before = candidates;
@@ -52,7 +52,7 @@
         std::map<std::string, uint32_t> zones;
         std::vector<Resources> taken(candidates.size());
         for (const auto& p : assignments) {
-          RC_ASSERT(before[p.candidate].usable && !before[p.candidate].spot);
+          RC_ASSERT(before[p.candidate].schedulable && !before[p.candidate].spot);
           taken[p.candidate] += spec.request;
           ++zones[before[p.candidate].zone];
         }
@@ -135,7 +135,7 @@
   std::optional<Preemption> best;
   double best_loss = 0;
   for (size_t i = 0; i < candidates.size(); ++i) {
-    if (!candidates[i].usable) continue;
+    if (!candidates[i].schedulable) continue;
     Resources capacity = candidates[i].available;
     capacity += candidates[i].releasing;
     if (d.spec->request.fits_in(capacity)) return Preemption{i, {}, true};
@@ -181,7 +181,7 @@
       candidates.push_back(candidate("m" + std::to_string(i), "e", {8, 8, 64}));
       candidates.back().available = amounts(8);
       if (*rc::gen::arbitrary<bool>()) candidates.back().releasing = amounts(8);
-      candidates.back().usable = *rc::gen::inRange(0, 4) > 0;
+      candidates.back().schedulable = *rc::gen::inRange(0, 4) > 0;
     }
     std::vector<Victim> victims;
     for (int i = *rc::gen::inRange(0, 14); i > 0; --i) {
@@ -253,9 +253,9 @@
   d.spec = &spec;
   d.tasks = {0, 1, 2, 3};
   std::vector<CandidateMachine> booting{candidate("b", "e", g.capacity)};
-  std::vector<Offer> offers{
+  std::vector<InstanceOffering> offerings{
       {&g, "e", false, 10, true}, {&g, "w", false, 10, false}, {&g, "w", true, 1, false}};
-  const auto r = rentals({d}, booting, offers, 10);
+  const auto r = plan_scale_out({d}, booting, offerings, 10);
   ASSERT_EQ(r.size(), 1u);
   EXPECT_EQ(r[0].zone, "w");
   EXPECT_FALSE(r[0].spot) << "the job may not use spot machines";
@@ -275,7 +275,7 @@
   std::map<uint64_t, double> leases;
 
   void later(double delay, std::function<void()> f) { mail.emplace(now + delay, std::move(f)); }
-  void expire() {
+  void expire_leases() {
     for (auto it = leases.begin(); it != leases.end();)
       it = it->second <= now ? leases.erase(it) : std::next(it);
     if (holder_lease && !leases.contains(holder_lease)) holder_lease = 0;
@@ -312,7 +312,7 @@
           };
           e.elect = [&, self, clock](uint64_t campaign, uint64_t id) {
             w.later(delay(), [&, self, clock, id, campaign] {
-              w.expire();
+              w.expire_leases();
               const bool won = w.holder_lease == 0 && w.leases.contains(id);
               if (won) {
                 w.holder_lease = id;
@@ -327,7 +327,7 @@
             const double sent = clock();
             const bool lost = draw(0, 10) == 0;
             w.later(delay(), [&, self, clock, id, sent, lost] {
-              w.expire();
+              w.expire_leases();
               const bool known = w.leases.contains(id);
               if (known && !lost) w.leases[id] = w.now + 2;
               w.later(delay(), [self, clock, id, sent, known, lost] {
@@ -345,7 +345,7 @@
             w.mail.erase(w.mail.begin());
             f();
           }
-          w.expire();
+          w.expire_leases();
           int acting = 0;
           for (auto& n : w.nodes) {
             const bool stalls = draw(0, 20) == 0;
@@ -461,7 +461,7 @@
   EXPECT_TRUE(l.may_act(1.9));
   EXPECT_FALSE(l.may_act(2.1));
   l.tick(2.1, true, true, 0);
-  EXPECT_EQ(l.state(), LeaderElection::State::Expired);
+  EXPECT_EQ(l.state(), LeaderElection::State::LeaseExpired);
   EXPECT_TRUE(l.may_answer(11.9));
   EXPECT_FALSE(l.may_answer(12.1));
   l.tick(12.1, true, true, 0);
--- a/tests/dependents_test.cpp
+++ b/tests/dependents_test.cpp
@@ -32,7 +32,7 @@
 
   void new_leader(uint64_t term) {
     scheduler_ = std::make_unique<Scheduler>(settings_, term, now_, now_);
-    scheduler_->set_types({type_});
+    scheduler_->set_machine_types({type_});
     heartbeat();
     heartbeat();
   }
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -231,7 +231,7 @@
     type_.capacity = {16, 4, 64};
     type_.zones = {"e"};
     scheduler_ = std::make_unique<Scheduler>(settings_, 1, now_, now_);
-    scheduler_->set_types({type_});
+    scheduler_->set_machine_types({type_});
   }
 
   void submit(JobSpec job, uint32_t done = 0) {
@@ -259,8 +259,8 @@
           scheduler_->on_commands_answered(worker_commands->machine,
                                            heartbeat(worker_commands->machine), true, now_);
         }
-        if (const auto* rent = std::get_if<Rent>(&action))
-          scheduler_->rent_done(*rent, Scheduler::RentOutcome::Refused, {}, now_);
+        if (const auto* rent = std::get_if<ScaleOut>(&action))
+          scheduler_->on_scale_out_answered(*rent, Scheduler::ScaleOutOutcome::Refused, {}, now_);
       }
       for (const auto& write : scheduler_->wanted_writes(now_, 12))
         scheduler_->write_done(write, true, ++revision_, now_);
@@ -411,7 +411,7 @@
 
 TEST_F(TeamsAtWork, NothingIsStoppedForAWarmMachineWhileAnotherHasRoom) {
   type_.fetch_gb_per_s = 1;
-  scheduler_->set_types({type_});
+  scheduler_->set_machine_types({type_});
   ServiceLevelObjective soon;
   soon.kind = "wait";
   soon.job_class = "replicas";
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -22,7 +22,7 @@
     type_.capacity = {16, 4, 64};
     type_.zones = {"e", "w"};
     scheduler_ = std::make_unique<Scheduler>(settings_, 2, now_, now_ + settings_.answers_s());
-    scheduler_->set_types({type_});
+    scheduler_->set_machine_types({type_});
     for (int i = 0; i < kMachines; ++i)
       scheduler_->host_stored({id(i), "a:1", "g", zone(i), false}, now_);
     for (int i = 0; i < kMachines; ++i) {
@@ -79,11 +79,11 @@
           note(o->commands);
           scheduler_->on_commands_answered(o->machine, std::nullopt, true, now_);
         }
-        if (const auto* r = std::get_if<Rent>(&a))
-          scheduler_->rent_done(*r, Scheduler::RentOutcome::Refused, {}, now_);
-        if (const auto* r = std::get_if<Release>(&a)) {
+        if (const auto* r = std::get_if<ScaleOut>(&a))
+          scheduler_->on_scale_out_answered(*r, Scheduler::ScaleOutOutcome::Refused, {}, now_);
+        if (const auto* r = std::get_if<ScaleIn>(&a)) {
           gone_.insert(r->machines.begin(), r->machines.end());
-          scheduler_->release_done(*r, true, now_);
+          scheduler_->on_scale_in_answered(*r, true, now_);
         }
       }
       for (const auto& w : scheduler_->wanted_writes(now_, 12))
@@ -115,12 +115,12 @@
   pass(3, in_west);
   scheduler_->job_stored(record("job-1", JobKind::Service, 3, {4, 1, 16}), ++revision_, now_);
   pass(15, in_west);
-  EXPECT_FALSE(scheduler_->all_accounted());
+  EXPECT_FALSE(scheduler_->all_reconciled());
   EXPECT_EQ(started_, std::set<std::string>{"job-1"})
       << "new work starts at once; what may run in the zone does not start again";
   EXPECT_TRUE(gone_.empty());
   pass(7, [](int) { return false; });
-  EXPECT_TRUE(scheduler_->all_accounted());
+  EXPECT_TRUE(scheduler_->all_reconciled());
   EXPECT_EQ(started_.size(), 1u);
   EXPECT_EQ(stops_, 0);
 
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -51,7 +51,7 @@
 
   std::unique_ptr<Scheduler> leader(uint64_t term, double grace) {
     auto scheduler = std::make_unique<Scheduler>(settings, term, now, now + grace);
-    scheduler->set_types({type});
+    scheduler->set_machine_types({type});
     return scheduler;
   }
 
@@ -126,7 +126,7 @@
   const TaskStatus ended{{"job-1", 2}, 8, TaskState::Exited, ExitCause::Done};
   show("i-8", 1, {attempts, ended});
   show("i-9", 1, {}, 60);
-  ASSERT_TRUE(scheduler->all_accounted());
+  ASSERT_TRUE(scheduler->all_reconciled());
   now += 2;
   const auto progress = scheduler->wanted_writes(now, 20);
   ASSERT_EQ(progress.size(), 1u);
@@ -156,7 +156,7 @@
   scheduler->on_probe_answered("i-1", next, now);
   now += 2;
   scheduler->tick(now);
-  EXPECT_EQ(scheduler->machines().at("i-1").stage, Machine::Stage::Up);
+  EXPECT_EQ(scheduler->machines().at("i-1").state, MachineState::Up);
 }
 
 TEST_F(Fixture, ALateMachineIsGivenUpOnceItDoesNotAnswerWhileItsZoneIsHeard) {
@@ -184,7 +184,7 @@
           sockets ? scheduler->on_probe_answered(p->machine, answer, now)
                   : scheduler->on_probe_not_sent(p->machine);
         }
-        if (std::holds_alternative<Release>(a)) ++released;
+        if (std::holds_alternative<ScaleIn>(a)) ++released;
       }
     }
   };
@@ -228,7 +228,7 @@
     for (const auto& action : scheduler->tick(now)) {
       if (const auto* probe = std::get_if<Probe>(&action))
         scheduler->on_probe_answered(probe->machine, std::nullopt, now);
-      if (std::holds_alternative<Release>(action) && !released_at) released_at = now;
+      if (std::holds_alternative<ScaleIn>(action) && !released_at) released_at = now;
     }
   }
   ASSERT_TRUE(released_at.has_value());
@@ -248,7 +248,7 @@
   for (const Seconds end = now + settings.lease_s * 0.7; now < end; now += 0.2) {
     scheduler->on_heartbeat(heartbeat("i-9", ++sequence_number, uint64_t{2} << 20), true, now);
     for (const auto& a : scheduler->tick(now))
-      if (const auto* r = std::get_if<Release>(&a)) scheduler->release_done(*r, true, now);
+      if (const auto* r = std::get_if<ScaleIn>(&a)) scheduler->on_scale_in_answered(*r, true, now);
   }
   EXPECT_EQ(scheduler->machines().count("i-7"), 0u);
   EXPECT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), 2u) << "placed on i-9";
@@ -290,7 +290,7 @@
   bool released = false;
   for (double t = 1; t < settings.lease_s * 0.6; t += 0.1)
     for (const auto& a : scheduler->tick(now + t))
-      released = released || std::holds_alternative<Release>(a);
+      released = released || std::holds_alternative<ScaleIn>(a);
   EXPECT_TRUE(released);
 }
 
@@ -326,9 +326,9 @@
           scheduler->on_heartbeat(r, true, now);
         }
       for (const auto& a : scheduler->tick(now))
-        if (const auto* r = std::get_if<Release>(&a)) {
+        if (const auto* r = std::get_if<ScaleIn>(&a)) {
           released.insert(r->machines.begin(), r->machines.end());
-          scheduler->release_done(*r, true, now);
+          scheduler->on_scale_in_answered(*r, true, now);
         }
     }
   }
@@ -340,7 +340,8 @@
   EXPECT_EQ(released, (std::set<std::string>{"i-0", "i-1", "i-2", "i-3"}));
   released.clear();
   const auto booting = ListedMachine::State::Booting;
-  scheduler->listed({{"i-new", "10.0.1.1:9", "g", "n", false, booting, 3.4 * type.boot_s}}, now);
+  scheduler->on_machines_listed(
+      {{"i-new", "10.0.1.1:9", "g", "n", false, booting, 3.4 * type.boot_s}}, now);
   pass(9, {0, 1, 2, 3, 4, 7, 10});
   EXPECT_EQ(released, std::set<std::string>{}) << "what runs there goes on, what boots may be up";
   pass(30, {0, 1, 2, 3, 4, 7, 10});
@@ -355,7 +356,7 @@
   scheduler->job_stored(record, 5, now);
   auto rented = [&](double at) {
     size_t n = 0;
-    for (const auto& a : scheduler->tick(at)) n += std::holds_alternative<Rent>(a);
+    for (const auto& a : scheduler->tick(at)) n += std::holds_alternative<ScaleOut>(a);
     return n;
   };
   EXPECT_GT(rented(now + 0.1), 0u);
@@ -364,7 +365,7 @@
   scheduler->job_finished("job-1");
   auto later_scheduler = leader(2, 0);
   later_scheduler->job_stored(record, 6, now);
-  EXPECT_GT(std::holds_alternative<Rent>(later_scheduler->tick(now + 1).at(0)), 0)
+  EXPECT_GT(std::holds_alternative<ScaleOut>(later_scheduler->tick(now + 1).at(0)), 0)
       << "one came just now";
   auto much_later = leader(3, 0);
   much_later->job_stored(record, 6, now);
@@ -378,13 +379,13 @@
   auto given_up = [&] {
     std::vector<std::string> out;
     for (const auto& a : scheduler->tick(now))
-      if (const auto* r = std::get_if<Release>(&a)) out = r->machines;
+      if (const auto* r = std::get_if<ScaleIn>(&a)) out = r->machines;
     return out;
   };
   using State = ListedMachine::State;
-  scheduler->listed({{"i-1", "", "g", "e", false, State::Booting, 10},
-                     {"i-2", "", "g", "e", false, State::Booting, 5}},
-                    now);
+  scheduler->on_machines_listed({{"i-1", "", "g", "e", false, State::Booting, 10},
+                                 {"i-2", "", "g", "e", false, State::Booting, 5}},
+                                now);
   now += 2 * type.boot_s;
   EXPECT_TRUE(given_up().empty());
   scheduler->on_heartbeat(heartbeat("i-2", 1, 0), true, now);
@@ -402,10 +403,10 @@
   now = began + 5;
   scheduler->on_heartbeat(heartbeat("i-2", 2, 0), true, now);
   now += 2.5;
-  EXPECT_FALSE(scheduler->no_worker_reaches_us(now)) << "two are silent, one is not";
+  EXPECT_FALSE(scheduler->isolated_from_workers(now)) << "two are silent, one is not";
   now += 1;
-  EXPECT_TRUE(scheduler->no_worker_reaches_us(now));
-  EXPECT_FALSE(leader(2, 0)->no_worker_reaches_us(now))
+  EXPECT_TRUE(scheduler->isolated_from_workers(now));
+  EXPECT_FALSE(leader(2, 0)->isolated_from_workers(now))
       << "a leader without machines has nothing to hear";
 }
 
@@ -468,9 +469,9 @@
   scheduler->job_stored(record, 5, now);
   scheduler->on_previous_leader_fenced(now + 1);
   scheduler->tick(now + 10.9);
-  EXPECT_FALSE(scheduler->all_accounted());
+  EXPECT_FALSE(scheduler->all_reconciled());
   scheduler->tick(now + 11.5);
-  EXPECT_TRUE(scheduler->all_accounted());
+  EXPECT_TRUE(scheduler->all_reconciled());
 }
 
 TEST_F(Fixture, WhatNobodyHasAccountedForCountsAgainstTheLimit) {
@@ -549,7 +550,7 @@
   static constexpr Seconds kFailsAfter = 0.6, kDoneAfter = 3;
   std::unique_ptr<Scheduler> scheduler;
   std::map<std::string, Worker> workers;
-  std::set<std::string> mistaken, sick;
+  std::set<std::string> mistaken, quarantined;
   std::map<std::string, size_t> failed, done;  ///< starts that ended, by job
   size_t rented = 0;
 
@@ -601,7 +602,7 @@
     for (auto& [key, task] : workers.at(id).tasks) {
       if (task.heartbeat.state == TaskState::Exited) continue;
       const std::string& job = task.heartbeat.key.job;
-      const bool fails = mistaken.contains(job) || sick.contains(id);
+      const bool fails = mistaken.contains(job) || quarantined.contains(id);
       if (now - task.started < (fails ? kFailsAfter : kDoneAfter)) continue;
       end(task, fails ? ExitCause::Error : ExitCause::Done);
       ++(fails ? failed : done)[job];
@@ -612,12 +613,12 @@
     if (const auto* order = std::get_if<SendCommands>(&action)) {
       carry_out(order->machine, order->fencing_token, order->commands);
       scheduler->on_commands_answered(order->machine, heartbeat_of(order->machine), true, now);
-    } else if (const auto* release = std::get_if<Release>(&action)) {
+    } else if (const auto* release = std::get_if<ScaleIn>(&action)) {
       for (const auto& id : release->machines) workers.erase(id);
-      scheduler->release_done(*release, true, now);
-    } else if (const auto* rent = std::get_if<Rent>(&action)) {
+      scheduler->on_scale_in_answered(*release, true, now);
+    } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
       rented += static_cast<size_t>(rent->count);
-      scheduler->rent_done(*rent, Scheduler::RentOutcome::Refused, {}, now);
+      scheduler->on_scale_out_answered(*rent, Scheduler::ScaleOutOutcome::Refused, {}, now);
     }
   }
 
@@ -666,13 +667,13 @@
 
 TEST_F(FailingJobs, TellSickMachinesApart) {
   mistaken = {"job-bad-1", "job-bad-2"};
-  sick = {"i-1", "i-2", "i-3", "i-4"};
+  quarantined = {"i-1", "i-2", "i-3", "i-4"};
   pass(2);
   for (const auto& id : mistaken) submit(id, 6);
   for (int i = 0; i < 24; ++i) submit("job-good-" + std::to_string(i), 4);
   pass(60);
   for (int i = 0; i < 24; ++i) EXPECT_EQ(done["job-good-" + std::to_string(i)], 4u);
-  EXPECT_EQ(given_back(), sick);
+  EXPECT_EQ(given_back(), quarantined);
 }
 
 TEST_F(FailingJobs, ThatFailEverywhereTakeOneTaskAtATimeAndNoRoomFromOthers) {
@@ -689,7 +690,7 @@
 }
 
 TEST_F(FailingJobs, AreTriedAgainSoonOnceTheirMachinesWereAtFault) {
-  sick = {"i-1", "i-2", "i-3"};
+  quarantined = {"i-1", "i-2", "i-3"};
   pass(2);
   submit("job-good", 100);
   pass(60);
@@ -771,7 +772,7 @@
 TEST_F(Cancelled, NoNumberOfStartsCrowdsOutAStop) {
   settings.teams[0].gpus_max = 0;
   type.capacity = {2000, 4, 2000};
-  scheduler->set_types({type});
+  scheduler->set_machine_types({type});
   cancel();
   JobRecord crowd = record;
   crowd.state = JobState::Pending;
--- a/tests/host_record_writes_test.cpp
+++ b/tests/host_record_writes_test.cpp
@@ -28,12 +28,12 @@
 
 TEST(Machine, ADurableRecordIsNotWantedAgain) {
   Machine machine;
-  EXPECT_EQ(machine.record, Machine::Record::None);
+  EXPECT_EQ(machine.record, HostRecordState::None);
   machine.request_host_record();
-  EXPECT_EQ(machine.record, Machine::Record::Wanted);
-  machine.record = Machine::Record::Durable;
+  EXPECT_EQ(machine.record, HostRecordState::Requested);
+  machine.record = HostRecordState::Durable;
   machine.request_host_record();
-  EXPECT_EQ(machine.record, Machine::Record::Durable);
+  EXPECT_EQ(machine.record, HostRecordState::Durable);
 }
 
 }  // namespace
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -94,11 +94,11 @@
       if (!returned.contains(machine(i)))
         scheduler->on_heartbeat(next_heartbeat(i, fencing_token), true, now);
     for (const auto& action : scheduler->tick(now)) {
-      const auto* release = std::get_if<Release>(&action);
+      const auto* release = std::get_if<ScaleIn>(&action);
       if (!release) continue;
       EXPECT_LE(release->machines.size(), 100u) << "the protocol's limit";
       returned.insert(release->machines.begin(), release->machines.end());
-      scheduler->release_done(*release, true, now);
+      scheduler->on_scale_in_answered(*release, true, now);
     }
   }
   EXPECT_EQ(returned.size(), size_t{kIdle});
@@ -129,7 +129,7 @@
         }
         for (int i = 0; i < waiting; ++i)
           scheduler->job_stored(job(job_id(kMachines + i), 1), ++revision, kNow);
-        RC_ASSERT(!scheduler->all_accounted());
+        RC_ASSERT(!scheduler->all_reconciled());
         std::vector<int> order(kMachines);
         std::iota(order.begin(), order.end(), 0);
         std::shuffle(order.begin(), order.end(), random);
@@ -145,7 +145,7 @@
           RC_ASSERT(stops == (i < cancelled));
           scheduler->on_heartbeat(next_heartbeat(i, fencing_token, {task}), true, kNow);
         }
-        RC_ASSERT(scheduler->all_accounted());
+        RC_ASSERT(scheduler->all_reconciled());
         scheduler->tick(kNow);
         size_t started = 0;
         for (int i = 0; i < waiting; ++i) started += assignments(kMachines + i);
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -97,7 +97,7 @@
 }
 
 /// Neither answers nor orders reach the machines of these jobs; some come late.
-void silence(World& world, const std::vector<std::string>& jobs, Seconds span) {
+void time_since_heartbeat(World& world, const std::vector<std::string>& jobs, Seconds span) {
   for (const auto& id : jobs)
     for (const auto& m : world.machines_of(id)) {
       world.faults().deafen(m, span);
@@ -116,7 +116,7 @@
   world.faults().refuse(*old, 200);
   world.run_for(0.3);
   const auto jobs = cancel_running(world, 3, world.follower());
-  if (refused_for > 2) silence(world, jobs, refused_for + 0.5);
+  if (refused_for > 2) time_since_heartbeat(world, jobs, refused_for + 0.5);
   world.run_for(refused_for);
   world.faults().outage(40);
   const Seconds out = world.now();
@@ -142,7 +142,7 @@
   if (!old) return 0;
   auto running = world.jobs_running();
   if (running.size() > 3) running.resize(3);
-  silence(world, running, deaf);
+  time_since_heartbeat(world, running, deaf);
   for (const auto& id : running) world.users().cancel(id, world.follower());
   world.at(refused_after, [&world, old] { world.faults().refuse(*old, 200); });
   world.at(out_after, [&world] { world.faults().outage(40); });
@@ -169,7 +169,7 @@
     settle(world);
     auto running = world.jobs_running();
     if (running.size() > 3) running.resize(3);
-    silence(world, running, world.between(1, 8));
+    time_since_heartbeat(world, running, world.between(1, 8));
     for (const auto& id : running) world.users().cancel(id);
     world.run_for(world.between(0.2, 0.6));
     const size_t met = confirmed(world, running);
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -120,15 +120,15 @@
 }
 
 TEST(RentAnswer, IsARefusalOnlyWhereTheCloudSaysSo) {
-  using Outcome = Scheduler::RentOutcome;
-  EXPECT_EQ(read_rent_answer(answer(503)).outcome, Outcome::Refused);
-  EXPECT_EQ(read_rent_answer(answer(400)).outcome, Outcome::Refused);
-  EXPECT_EQ(read_rent_answer(answer(429)).outcome, Outcome::Unknown);
-  EXPECT_EQ(read_rent_answer(answer(500)).outcome, Outcome::Unknown);
-  EXPECT_EQ(read_rent_answer(answer(200, "not an answer")).outcome, Outcome::Unknown);
+  using Outcome = Scheduler::ScaleOutOutcome;
+  EXPECT_EQ(read_scale_out_answer(answer(503)).outcome, Outcome::Refused);
+  EXPECT_EQ(read_scale_out_answer(answer(400)).outcome, Outcome::Refused);
+  EXPECT_EQ(read_scale_out_answer(answer(429)).outcome, Outcome::Unknown);
+  EXPECT_EQ(read_scale_out_answer(answer(500)).outcome, Outcome::Unknown);
+  EXPECT_EQ(read_scale_out_answer(answer(200, "not an answer")).outcome, Outcome::Unknown);
   HttpResult none = answer(503);
   none.answered = false;
-  EXPECT_EQ(read_rent_answer(none).outcome, Outcome::Unknown) << "it may still be carried out";
+  EXPECT_EQ(read_scale_out_answer(none).outcome, Outcome::Unknown) << "it may still be carried out";
 }
 
 TEST(LeaderHintsSource, TellOfImagesAndOfMachinesThatBoot) {
@@ -142,7 +142,7 @@
   booting.zone = "west";
   booting.spot = true;
   booting.age_s = 3;
-  scheduler->listed({booting}, 1000);
+  scheduler->on_machines_listed({booting}, 1000);
 
   wire::PeerHeartbeat heartbeat;
   add_hints(*scheduler, 1005, heartbeat);
--- a/tests/record_capacity_test.cpp
+++ b/tests/record_capacity_test.cpp
@@ -143,7 +143,7 @@
     type.name = "g";
     type.capacity = {16, 4, 64};
     type.zones = {"e"};
-    scheduler->set_types({type});
+    scheduler->set_machine_types({type});
     scheduler->host_stored({"i-9", "10.0.0.1:9", "g", "e", false}, now);
   }
 
--- /dev/null
+++ b/tests/scale_out_requests_test.cpp
@@ -0,0 +1,63 @@
+#include "dispatch/scale_out_requests.h"
+
+#include <gtest/gtest.h>
+
+namespace sumacquay {
+namespace {
+
+const OfferingKey kOffering{"g", "e", false};
+
+TEST(ScaleOutRequests, EachRequestHasItsOwnNameInItsOwnTerm) {
+  ScaleOutRequests requests(7);
+  ScaleOutRequests next_leaders(8);
+  const ScaleOut first = requests.open(kOffering, 2);
+  const ScaleOut second = requests.open(kOffering, 2);
+  EXPECT_NE(first.request, second.request);
+  EXPECT_NE(first.request, next_leaders.open(kOffering, 2).request);
+  EXPECT_EQ(first.type, "g");
+  EXPECT_EQ(first.zone, "e");
+  EXPECT_EQ(first.count, 2);
+}
+
+TEST(ScaleOutRequests, OneOfUnknownOutcomeIsRepeatedUnderItsName) {
+  ScaleOutRequests requests(1);
+  const ScaleOut rent = requests.open(kOffering, 1);
+  EXPECT_TRUE(requests.due_for_retry(1e6).empty()) << "its answer is awaited";
+  requests.retry_after(rent, 100, 2);
+  EXPECT_TRUE(requests.due_for_retry(101).empty());
+  const auto due = requests.due_for_retry(102);
+  ASSERT_EQ(due.size(), 1u);
+  EXPECT_EQ(due[0].request, rent.request);
+  EXPECT_TRUE(requests.due_for_retry(1e6).empty()) << "once";
+  EXPECT_TRUE(requests.any_in_flight());
+  EXPECT_TRUE(requests.complete(rent, 1, 110));
+  EXPECT_FALSE(requests.any_in_flight());
+  EXPECT_FALSE(requests.complete(rent, 1, 111)) << "the answer to a repeat";
+}
+
+TEST(ScaleOutRequests, RefusalsBackOffFromTheirOfferAloneUpToALimit) {
+  ScaleOutRequests requests(1);
+  Seconds now = 100;
+  for (const Seconds pause : {5, 10, 20, 40, 80, 80}) {
+    EXPECT_FALSE(requests.backing_off(kOffering, now));
+    requests.complete(requests.open(kOffering, 1), 0, now);
+    EXPECT_TRUE(requests.backing_off(kOffering, now + pause - 0.1)) << pause;
+    EXPECT_FALSE(requests.backing_off({"g", "w", false}, now));
+    EXPECT_FALSE(requests.backing_off({"g", "e", true}, now));
+    now += pause;
+  }
+}
+
+TEST(ScaleOutRequests, FewerThanAskedForAreARefusalAndAFilledRequestEndsTheRow) {
+  ScaleOutRequests requests(1);
+  requests.complete(requests.open(kOffering, 3), 2, 100);
+  EXPECT_TRUE(requests.backing_off(kOffering, 104));
+  requests.complete(requests.open(kOffering, 3), 3, 105);
+  EXPECT_FALSE(requests.backing_off(kOffering, 105));
+  requests.complete(requests.open(kOffering, 3), 0, 110);
+  EXPECT_TRUE(requests.backing_off(kOffering, 114));
+  EXPECT_FALSE(requests.backing_off(kOffering, 115)) << "the first of a new row";
+}
+
+}  // namespace
+}  // namespace sumacquay
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -30,7 +30,7 @@
 
   void new_scheduler() {
     scheduler = std::make_unique<Scheduler>(settings, term, kNow, kNow);
-    scheduler->set_types({type});
+    scheduler->set_machine_types({type});
   }
 
   static JobRecord job(const std::string& id, uint32_t tasks) {
@@ -67,7 +67,7 @@
   static std::vector<int> rented(const std::vector<Action>& actions) {
     std::vector<int> counts;
     for (const auto& action : actions)
-      if (const auto* rent = std::get_if<Rent>(&action)) counts.push_back(rent->count);
+      if (const auto* rent = std::get_if<ScaleOut>(&action)) counts.push_back(rent->count);
     return counts;
   }
 
--- a/tests/world/checker.cpp
+++ b/tests/world/checker.cpp
@@ -223,7 +223,7 @@
 
 bool Checker::may_use(const SimulatedMachine& machine, const JobSpec& spec,
                       const std::map<std::string, uint32_t>& zones) const {
-  if (loop_.now() < machine.up_at + kSettlingTime || machine.sick) return false;
+  if (loop_.now() < machine.up_at + kSettlingTime || machine.quarantined) return false;
   if (machine.spot && !spec.spot) return false;
   if (spec.zone && *spec.zone != machine.zone) return false;
   const auto there = zones.find(machine.zone);
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -17,19 +17,19 @@
   return env_.fleet.add(up_at, zone, spot, controller);
 }
 
-void Cloud::rent(ControllerProcess& asker, const Rent& rent) {
+void Cloud::rent(ControllerProcess& asker, const ScaleOut& rent) {
   env_.loop.schedule(env_.random.between(0.05, 0.3), [this, controller = asker.controller(),
                                                       process = asker.weak_from_this(), rent,
                                                       generation = asker.generation()] {
     env_.controllers.schedule_in(
         controller, process, kRentAnswerDelay,
         [rent, machines = start_rented(rent), generation](ControllerProcess& me) {
-          me.rent_done(generation, rent, machines);
+          me.on_scale_out_answered(generation, rent, machines);
         });
   });
 }
 
-std::vector<std::string> Cloud::start_rented(const Rent& rent) {
+std::vector<std::string> Cloud::start_rented(const ScaleOut& rent) {
   std::vector<std::string> machines;
   for (int i = 0; i < rent.count && env_.fleet.size() < env_.options.most_machines; ++i) {
     const Seconds boots_for = env_.random.between(env_.options.boot_least, env_.options.boot_most);
@@ -40,7 +40,7 @@
   return machines;
 }
 
-void Cloud::release(ControllerProcess& asker, const Release& release) {
+void Cloud::release(ControllerProcess& asker, const ScaleIn& release) {
   Random& random = env_.random;
   const bool late = late_releases_.active(env_.now());
   env_.loop.schedule(late ? random.between(5, 40) : random.between(0.05, 1), [this, release] {
@@ -52,7 +52,7 @@
   env_.controllers.schedule_in(
       asker.controller(), asker.weak_from_this(), answered_in,
       [release, unanswered, generation = asker.generation()](ControllerProcess& me) {
-        me.release_done(generation, release, !unanswered);
+        me.on_scale_in_answered(generation, release, !unanswered);
       });
 }
 
--- a/tests/world/cloud.h
+++ b/tests/world/cloud.h
@@ -12,15 +12,15 @@
   /// `zone`: none: the zones take turns. Returns the machine's name.
   std::string add_machine(Seconds up_at, const std::optional<std::string>& zone = std::nullopt,
                           bool spot = false);
-  void rent(ControllerProcess& asker, const Rent& rent);
-  void release(ControllerProcess& asker, const Release& release);
+  void rent(ControllerProcess& asker, const ScaleOut& rent);
+  void release(ControllerProcess& asker, const ScaleIn& release);
 
   /// Machines that are given back go late, without an answer.
   void release_late(Seconds span) { late_releases_.last_until(env_.now() + span); }
   void end_faults() { late_releases_.clear(); }
 
  private:
-  std::vector<std::string> start_rented(const Rent& rent);
+  std::vector<std::string> start_rented(const ScaleOut& rent);
 
   Environment& env_;
   Fault late_releases_;
--- a/tests/world/controller_process.cpp
+++ b/tests/world/controller_process.cpp
@@ -61,7 +61,7 @@
   election_->records_known(records_.known_at());
   election_->tick(env_.now(), records_.loaded(), records_.leader().version != 0,
                   env_.random.between(0, 1));
-  resign_if_no_worker_reaches_us();
+  resign_if_isolated_from_workers();
   if (leads()) {
     for (const auto& action : scheduler_->tick(env_.now())) perform(action);
     write_records();
@@ -82,10 +82,10 @@
 void ControllerProcess::carry_out(const Probe& probe) {
   links_.worker_commands.send(*this, probe);
 }
-void ControllerProcess::carry_out(const Rent& rent) {
+void ControllerProcess::carry_out(const ScaleOut& rent) {
   links_.cloud.rent(*this, rent);
 }
-void ControllerProcess::carry_out(const Release& release) {
+void ControllerProcess::carry_out(const ScaleIn& release) {
   links_.cloud.release(*this, release);
 }
 
@@ -171,7 +171,7 @@
 void ControllerProcess::election_state_changed(LeaderElection::State from,
                                                LeaderElection::State to) {
   if (to == LeaderElection::State::Follower) return stop_leading();
-  if (to == LeaderElection::State::Leading && from != LeaderElection::State::Expired)
+  if (to == LeaderElection::State::Leading && from != LeaderElection::State::LeaseExpired)
     start_leading();
 }
 
@@ -192,16 +192,16 @@
   const Seconds now = env_.now();
   scheduler_ =
       std::make_unique<Scheduler>(settings(), election_->term(), now, now + settings().answers_s());
-  scheduler_->set_types({machine_type(env_.options)});
+  scheduler_->set_machine_types({machine_type(env_.options)});
   for (const auto& [id, machine] : records_.hosts()) scheduler_->host_stored(machine.value, now);
   for (const auto& [id, job] : records_.live()) scheduler_->job_stored(job.value, job.version, now);
-  tell_finished_dependencies();
+  report_finished_dependencies();
   send_peer_heartbeats();
   links_.workers.send_kept_copies();
 }
 
-void ControllerProcess::resign_if_no_worker_reaches_us() {
-  if (!leads() || !scheduler_->no_worker_reaches_us(env_.now())) return;
+void ControllerProcess::resign_if_isolated_from_workers() {
+  if (!leads() || !scheduler_->isolated_from_workers(env_.now())) return;
   const uint64_t lease = election_->lease();
   election_->resign(env_.now(), kRestAfterResigning * settings().leader_lease_s());
   revoke(lease);
@@ -226,16 +226,16 @@
   if (scheduler_) scheduler_->on_probe_answered(machine, heartbeat, env_.now());
 }
 
-void ControllerProcess::rent_done(uint64_t generation, const Rent& rent,
-                                  const std::vector<std::string>& machines) {
+void ControllerProcess::on_scale_out_answered(uint64_t generation, const ScaleOut& rent,
+                                              const std::vector<std::string>& machines) {
   if (!current(generation)) return;
   const auto outcome =
-      machines.empty() ? Scheduler::RentOutcome::Refused : Scheduler::RentOutcome::Rented;
-  scheduler_->rent_done(rent, outcome, machines, env_.now());
+      machines.empty() ? Scheduler::ScaleOutOutcome::Refused : Scheduler::ScaleOutOutcome::Granted;
+  scheduler_->on_scale_out_answered(rent, outcome, machines, env_.now());
 }
 
-void ControllerProcess::release_done(uint64_t generation, const Release& release, bool ok) {
-  if (current(generation)) scheduler_->release_done(release, ok, env_.now());
+void ControllerProcess::on_scale_in_answered(uint64_t generation, const ScaleIn& release, bool ok) {
+  if (current(generation)) scheduler_->on_scale_in_answered(release, ok, env_.now());
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/world/controller_process.h
+++ b/tests/world/controller_process.h
@@ -79,8 +79,9 @@
                             const std::optional<WorkerHeartbeat>& heartbeat, bool executed);
   void on_probe_answered(uint64_t generation, const std::string& machine,
                          const std::optional<WorkerHeartbeat>& heartbeat);
-  void rent_done(uint64_t generation, const Rent& rent, const std::vector<std::string>& machines);
-  void release_done(uint64_t generation, const Release& release, bool ok);
+  void on_scale_out_answered(uint64_t generation, const ScaleOut& rent,
+                             const std::vector<std::string>& machines);
+  void on_scale_in_answered(uint64_t generation, const ScaleIn& release, bool ok);
 
  private:
   /// Whom the other controllers' heartbeats name.
@@ -98,8 +99,8 @@
   void perform(const Action& action);
   void carry_out(const SendCommands& worker_commands);
   void carry_out(const Probe& probe);
-  void carry_out(const Rent& rent);
-  void carry_out(const Release& release);
+  void carry_out(const ScaleOut& rent);
+  void carry_out(const ScaleIn& release);
 
   // LeaderElection.
   LeaderElection::Effects election_effects();
@@ -111,7 +112,7 @@
   void election_state_changed(LeaderElection::State from, LeaderElection::State to);
   void start_leading();
   void stop_leading();
-  void resign_if_no_worker_reaches_us();
+  void resign_if_isolated_from_workers();
 
   // Records.
   void records_read(const StateReply& reply, Seconds asked_at);
@@ -119,7 +120,7 @@
   void job_record_changed(const std::string& id);
   void all_job_records_changed();
   /// The scheduler reads no records: it is told of finished jobs as far as others depend on them.
-  void tell_finished_dependencies();
+  void report_finished_dependencies();
   void read_unknown_dependencies();
   void write_records();
   void dispatch();
--- a/tests/world/controller_records.cpp
+++ b/tests/world/controller_records.cpp
@@ -36,9 +36,10 @@
   links_.state.request(controller_, StateChannel::RequestKind::Other, links_.state.read(after),
                        [asked_at = env_.now(), changes_only = after.has_value(),
                         done = std::move(done)](ControllerProcess& me, const StateReply& reply) {
-                         const bool usable = reply.ok() && (changes_only || !me.records_.loaded());
-                         if (usable) me.records_read(reply, asked_at);
-                         if (done) done(me, usable);
+                         const bool schedulable =
+                             reply.ok() && (changes_only || !me.records_.loaded());
+                         if (schedulable) me.records_read(reply, asked_at);
+                         if (done) done(me, schedulable);
                        });
 }
 
@@ -68,7 +69,7 @@
     scheduler_->job_stored(job->second.value, job->second.version, env_.now());
   else
     scheduler_->job_finished(id);
-  tell_finished_dependencies();
+  report_finished_dependencies();
   scheduler_->request_round();
 }
 
@@ -80,11 +81,11 @@
   for (const auto& id : finished) scheduler_->job_finished(id);
   for (const auto& [id, job] : records_.live())
     scheduler_->job_stored(job.value, job.version, env_.now());
-  tell_finished_dependencies();
+  report_finished_dependencies();
   scheduler_->request_round();
 }
 
-void ControllerProcess::tell_finished_dependencies() {
+void ControllerProcess::report_finished_dependencies() {
   const std::set<std::string> unknown = scheduler_->unknown_dependencies();
   for (const auto& id : unknown)
     if (const auto record = records_.dependency_end(id))
--- a/tests/world/faults.cpp
+++ b/tests/world/faults.cpp
@@ -46,8 +46,8 @@
   last(&MachineFaults::commands_held, machine, span);
 }
 
-void Faults::sicken(const std::string& machine) {
-  if (SimulatedMachine* known = env_.fleet.find(machine)) known->sick = true;
+void Faults::fail_all_tasks(const std::string& machine) {
+  if (SimulatedMachine* known = env_.fleet.find(machine)) known->quarantined = true;
 }
 
 void Faults::late_heartbeats(double share, Seconds span, CopyDelivery delivery) {
--- a/tests/world/faults.h
+++ b/tests/world/faults.h
@@ -48,7 +48,7 @@
   /// Commands to the machine, or their answers, are held up until then.
   void hold_commands(const std::string& machine, Seconds span);
   /// The machine fails all tasks from now on.
-  void sicken(const std::string& machine);
+  void fail_all_tasks(const std::string& machine);
   void lose_machine(const std::string& machine) { env_.fleet.remove(machine); }
   /// Copies of a share of the heartbeats arrive late.
   void late_heartbeats(double share, Seconds span, CopyDelivery delivery = CopyDelivery::Later);
--- a/tests/world/machine.h
+++ b/tests/world/machine.h
@@ -22,7 +22,7 @@
 
 /// A machine and the worker on it.
 struct SimulatedMachine : standin::WorkerState {
-  bool sick = false;  ///< fails everything that it starts
+  bool quarantined = false;  ///< fails everything that it starts
   MachineFaults faults;
   Seconds up_at = 0;
 
--- a/tests/world/random_faults.cpp
+++ b/tests/world/random_faults.cpp
@@ -79,7 +79,7 @@
   if (chance(0.003)) faults_.deafen(machine, between(1, 25));
   if (chance(0.001)) faults_.mute(machine, between(1, 25));
   if (chance(0.002)) faults_.hold_commands(machine, between(1, 60));
-  if (chance(0.001)) faults_.sicken(machine);
+  if (chance(0.001)) faults_.fail_all_tasks(machine);
   if (chance(0.001)) faults_.lose_machine(machine);
 }
 
--- a/tests/world/workers.cpp
+++ b/tests/world/workers.cpp
@@ -42,7 +42,7 @@
   ObservedJob& job = env_.jobs.at(key.job);
   if (!job.began_at) job.began_at = now;
   task.next_change = now + env_.random.between(env_.options.task_least, env_.options.task_most);
-  if (!machine.sick) return;
+  if (!machine.quarantined) return;
   task.state = TaskState::Exited;
   task.cause = ExitCause::Error;
 }
--- a/tests/zone_reachability_test.cpp
+++ b/tests/zone_partition_detector_test.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/zone_reachability.h"
+#include "dispatch/zone_partition_detector.h"
 
 #include <gtest/gtest.h>
 
@@ -7,39 +7,39 @@
 
 constexpr Seconds kForgetAfter = 10;
 
-using Zones = std::map<std::string, ZoneReachability::Count>;
+using Zones = std::map<std::string, ZonePartitionDetector::Count>;
 
-TEST(ZoneReachability, AZoneIsCutOffOnceMoreThanHalfOfSeveralMachinesAreSilent) {
-  ZoneReachability reachability;
+TEST(ZonePartitionDetector, AZoneIsCutOffOnceMoreThanHalfOfSeveralMachinesAreSilent) {
+  ZonePartitionDetector reachability;
   reachability.update({{"e", {4, 2, 0}}, {"w", {4, 3, 0}}, {"s", {2, 2, 0}}}, 100, kForgetAfter);
-  EXPECT_FALSE(reachability.cut_off("e")) << "half";
-  EXPECT_TRUE(reachability.cut_off("w"));
-  EXPECT_FALSE(reachability.cut_off("s")) << "two may be silent by chance";
-  EXPECT_FALSE(reachability.cut_off("unknown"));
+  EXPECT_FALSE(reachability.partitioned("e")) << "half";
+  EXPECT_TRUE(reachability.partitioned("w"));
+  EXPECT_FALSE(reachability.partitioned("s")) << "two may be silent by chance";
+  EXPECT_FALSE(reachability.partitioned("unknown"));
 }
 
-TEST(ZoneReachability, AZoneThatIsHeardAgainIsToldOnce) {
-  ZoneReachability reachability;
+TEST(ZonePartitionDetector, AZoneThatIsHeardAgainIsToldOnce) {
+  ZonePartitionDetector reachability;
   EXPECT_TRUE(reachability.update({{"e", {4, 4, 0}}}, 100, kForgetAfter).empty());
   EXPECT_TRUE(reachability.update({{"e", {4, 4, 0}}}, 101, kForgetAfter).empty());
   EXPECT_EQ(reachability.update({{"e", {4, 1, 3}}}, 102, kForgetAfter),
             std::vector<std::string>{"e"});
-  EXPECT_FALSE(reachability.cut_off("e"));
+  EXPECT_FALSE(reachability.partitioned("e"));
   EXPECT_TRUE(reachability.update({{"e", {4, 1, 3}}}, 103, kForgetAfter).empty());
 }
 
-TEST(ZoneReachability, AZoneWithoutMachinesIsTriedAgainAfterAWhile) {
-  ZoneReachability reachability;
+TEST(ZonePartitionDetector, AZoneWithoutMachinesIsTriedAgainAfterAWhile) {
+  ZonePartitionDetector reachability;
   reachability.update({{"e", {4, 4, 0}}}, 100, kForgetAfter);
   reachability.update({{"e", {4, 4, 0}}}, 150, kForgetAfter);
   reachability.update(Zones{}, 160, kForgetAfter);
-  EXPECT_TRUE(reachability.cut_off("e"));
+  EXPECT_TRUE(reachability.partitioned("e"));
   reachability.update(Zones{}, 160.1, kForgetAfter);
-  EXPECT_FALSE(reachability.cut_off("e"));
+  EXPECT_FALSE(reachability.partitioned("e"));
 }
 
-TEST(ZoneReachability, AZoneIsReachableWhileMoreThanAQuarterWereHeardRecently) {
-  ZoneReachability reachability;
+TEST(ZonePartitionDetector, AZoneIsReachableWhileMoreThanAQuarterWereHeardRecently) {
+  ZonePartitionDetector reachability;
   reachability.update({{"e", {8, 0, 2}}, {"w", {8, 0, 3}}, {"s", {2, 0, 2}}}, 100, kForgetAfter);
   EXPECT_FALSE(reachability.reachable("e"));
   EXPECT_TRUE(reachability.reachable("w"));
