--- a/apps/fleetload/main.cpp
+++ b/apps/loadtest/main.cpp
@@ -6,12 +6,12 @@
 #include <iostream>
 #include <stdexcept>
 
-#include "fleetload/fit.h"
-#include "fleetload/sweep.h"
+#include "loadtest/fit.h"
+#include "loadtest/sweep.h"
 
 namespace {
 
-using namespace sumacquay::fleetload;
+using namespace sumacquay::loadtest;
 
 constexpr int kUnusable = 2;     ///< status if settings, or what they name, can't be used
 constexpr int kRulesBroken = 3;  ///< status if the checker found a broken rule
@@ -31,11 +31,11 @@
 }
 
 /// A directory for the controllers' settings and logs, which stays: its logs tell what happened.
-TrialOptions options_of(const Arguments& arguments) {
-  std::string directory = (std::filesystem::temp_directory_path() / "fleetload-XXXXXX").string();
+LoadTestOptions options_of(const Arguments& arguments) {
+  std::string directory = (std::filesystem::temp_directory_path() / "loadtest-XXXXXX").string();
   if (!mkdtemp(directory.data())) throw std::runtime_error("no directory can be made for the logs");
   spdlog::info("settings and logs of the controllers: {}", directory);
-  TrialOptions options;
+  LoadTestOptions options;
   options.program = std::filesystem::absolute(arguments.program).string();
   options.directory = directory;
   if (!arguments.tuning.empty()) options.tuning = sumacquay::read_settings_file(arguments.tuning);
@@ -53,11 +53,11 @@
 int faults(const Arguments& arguments) {
   const LoadSettings settings = settings_of(arguments);
   check_fits_this_machine(settings, arguments.settings.empty() ? "settings" : arguments.settings);
-  Trial trial(settings, options_of(arguments));
-  append_rows(arguments.table, {trial.measure_load()});
-  append_rows(arguments.table, trial.measure_faults());
-  for (const auto& violation : trial.violations()) spdlog::error("broken rule: {}", violation);
-  return trial.violations().empty() ? 0 : kRulesBroken;
+  LoadTest load_test(settings, options_of(arguments));
+  append_rows(arguments.table, {load_test.measure_load()});
+  append_rows(arguments.table, load_test.measure_faults());
+  for (const auto& violation : load_test.violations()) spdlog::error("broken rule: {}", violation);
+  return load_test.violations().empty() ? 0 : kRulesBroken;
 }
 
 int tables(const Arguments& arguments) {
@@ -111,7 +111,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  spdlog::set_default_logger(spdlog::stderr_logger_mt("fleetload"));
+  spdlog::set_default_logger(spdlog::stderr_logger_mt("loadtest"));
   spdlog::set_pattern("%H:%M:%S %l %v");
   try {
     return run(argc, argv);
--- a/src/backlog/pending_queue.cpp
+++ b/src/backlog/pending_queue.cpp
@@ -4,16 +4,16 @@
 
 namespace sumacquay {
 
-void PendingQueue::put(const std::string& name, size_t urgency) {
+void PendingQueue::put(const std::string& name, size_t priority) {
   const auto known = places_.find(name);
   if (known != places_.end()) {
-    if (known->second.urgency == urgency) return;
-    names_[known->second.urgency].erase(known->second.at);
+    if (known->second.priority == priority) return;
+    names_[known->second.priority].erase(known->second.at);
     places_.erase(known);
   }
-  Names& names = names_[urgency];
+  Names& names = names_[priority];
   names.push_back(name);
-  places_[name] = {urgency, std::prev(names.end())};
+  places_[name] = {priority, std::prev(names.end())};
 }
 
 std::optional<std::string> PendingQueue::pop() {
--- a/src/backlog/pending_queue.h
+++ b/src/backlog/pending_queue.h
@@ -12,11 +12,11 @@
 /// urgent first, and within one urgency in the order in which they came.
 class PendingQueue {
  public:
-  static constexpr size_t kUrgencies = 4;
+  static constexpr size_t kPriorities = 4;
 
-  /// Puts a name in; `urgency`: 0 is the most urgent. One that waits already keeps its place,
+  /// Puts a name in; `priority`: 0 is the most urgent. One that waits already keeps its place,
   /// unless its urgency is another now.
-  void put(const std::string& name, size_t urgency = 0);
+  void put(const std::string& name, size_t priority = 0);
   /// Takes the next name out; none: the queue is empty.
   std::optional<std::string> pop();
   bool empty() const { return places_.empty(); }
@@ -25,11 +25,11 @@
  private:
   using Names = std::list<std::string>;
   struct Place {
-    size_t urgency = 0;
+    size_t priority = 0;
     Names::iterator at;
   };
 
-  std::array<Names, kUrgencies> names_;
+  std::array<Names, kPriorities> names_;
   std::unordered_map<std::string, Place> places_;
 };
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -63,9 +63,9 @@
   Tuning tuning;
 
   /// The most conditions that a transaction may have.
-  size_t state_most_guards() const {
-    constexpr size_t kGuardsPerChange = 4;
-    return kGuardsPerChange * static_cast<size_t>(state_txn_ops);
+  size_t max_preconditions() const {
+    constexpr size_t kPreconditionsPerMutation = 4;
+    return kPreconditionsPerMutation * static_cast<size_t>(state_txn_ops);
   }
   /// The most bytes of a value in JSON form.
   size_t state_value_bytes() const { return static_cast<size_t>(state_value_kb * 1024); }
--- a/src/dispatch/backlog.cpp
+++ b/src/dispatch/backlog.cpp
@@ -15,16 +15,16 @@
       backlog_.worker_commands.put(machine_id);
 }
 
-void Scheduler::note_machine_record(const Machine& machine) {
+void Scheduler::enqueue_machine_record(const Machine& machine) {
   if (prompt() && machine.record == HostRecordState::Requested)
     backlog_.machine_records.put(machine.info.id);
 }
 
-void Scheduler::note_job_record(const Job& job, Seconds now) {
+void Scheduler::enqueue_job_record(const Job& job, Seconds now) {
   if (!prompt()) return;
-  const WriteUrgency urgency = write_urgency(job, now);
-  if (urgency != WriteUrgency::None)
-    backlog_.job_records.put(job.spec().id, static_cast<size_t>(urgency));
+  const WritePriority priority = write_priority(job, now);
+  if (priority != WritePriority::None)
+    backlog_.job_records.put(job.spec().id, static_cast<size_t>(priority));
 }
 
 /// With each round: whatever came up without a note, by the passing of time above all.
@@ -32,8 +32,8 @@
   for (const auto& [id, machine] : machines_)
     if (has_commands(machine)) enqueue_commands(machine);
   if (!prompt()) return;
-  for (const auto& [id, machine] : machines_) note_machine_record(machine);
-  for (const auto& [id, job] : jobs_) note_job_record(job, now);
+  for (const auto& [id, machine] : machines_) enqueue_machine_record(machine);
+  for (const auto& [id, job] : jobs_) enqueue_job_record(job, now);
 }
 
 std::vector<Action> Scheduler::dispatch(Seconds now) {
--- a/src/dispatch/dependents.cpp
+++ b/src/dispatch/dependents.cpp
@@ -6,7 +6,7 @@
 
 namespace sumacquay {
 
-void Scheduler::dependency_finished(const std::string& id, const FinishedRecord& record) {
+void Scheduler::on_dependency_finished(const std::string& id, const FinishedRecord& record) {
   dependencies_.finished(id, record.state, record.ended_ms);
 }
 
--- a/src/dispatch/placement_round.cpp
+++ b/src/dispatch/placement_round.cpp
@@ -192,10 +192,10 @@
     if (!job.next_leader_knows(machine.info.id)) job.hosts_record_requested = true;
     add_possible_placement(machine, key);
     quota_usage_[job.spec().team] += attempt.request;
-    note_machine_record(machine);
+    enqueue_machine_record(machine);
     enqueue_commands(machine);
   }
-  note_job_record(job, now);
+  enqueue_job_record(job, now);
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/reconciliation.cpp
+++ b/src/dispatch/reconciliation.cpp
@@ -48,10 +48,10 @@
   auto next = on_machines_listed.begin();
   for (const auto& [key, attempt] : machine.attempts) {
     while (next != on_machines_listed.end() && goes_before(**next, key)) ++next;
-    const bool shown = next != on_machines_listed.end() && same_start(**next, key);
+    const bool user_visible = next != on_machines_listed.end() && same_start(**next, key);
     const bool to_be_started =
         attempt.state == TaskAttemptState::Scheduled && attempt.desired_running;
-    if (!shown && !to_be_started) absent.push_back(key);
+    if (!user_visible && !to_be_started) absent.push_back(key);
   }
   return absent;
 }
--- a/src/dispatch/record_transaction.cpp
+++ b/src/dispatch/record_transaction.cpp
@@ -1,6 +1,6 @@
 #include "dispatch/record_transaction.h"
 
-#include "store/mirror.h"
+#include "store/record_cache.h"
 
 namespace sumacquay {
 namespace {
@@ -8,21 +8,21 @@
 void add_host(const RecordWrite& write, RecordTransaction& transaction) {
   const std::string key = keys::kHost + write.host;
   if (write.host_record)
-    transaction.changes.push_back({key, *write.host_record});
+    transaction.mutations.push_back({key, *write.host_record});
   else
-    transaction.changes.push_back({key, DeletedRecord{}});
+    transaction.mutations.push_back({key, DeletedRecord{}});
 }
 
 void add_job(const RecordWrite& write, RecordTransaction& transaction) {
   const std::string live = keys::kLive + write.job;
-  transaction.guards.push_back({live, write.version});
+  transaction.preconditions.push_back({live, write.version});
   if (!write.finished) {
-    transaction.changes.push_back({live, *write.record});
+    transaction.mutations.push_back({live, *write.record});
     return;
   }
   // In one transaction, so that whoever reads the finished records last finds every job.
-  transaction.changes.push_back({live, DeletedRecord{}});
-  transaction.changes.push_back(
+  transaction.mutations.push_back({live, DeletedRecord{}});
+  transaction.mutations.push_back(
       {keys::kFinished + write.job,
        FinishedRecord{write.record->state, write.record->done.count(), write.record->ended_ms}});
 }
@@ -45,7 +45,7 @@
 RecordTransaction record_transaction(const std::vector<RecordWrite>& writes,
                                      uint64_t term_version) {
   RecordTransaction transaction;
-  transaction.guards.push_back({keys::kTerm, term_version});
+  transaction.preconditions.push_back({keys::kTerm, term_version});
   for (const auto& write : writes) {
     if (write.host.empty())
       add_job(write, transaction);
@@ -55,9 +55,9 @@
   return transaction;
 }
 
-std::vector<wire::Change> encode(const std::vector<RecordChange>& changes) {
+std::vector<wire::Mutation> encode(const std::vector<RecordMutation>& changes) {
   constexpr uint64_t kNoLease = 0;
-  std::vector<wire::Change> encoded;
+  std::vector<wire::Mutation> encoded;
   encoded.reserve(changes.size());
   for (const auto& change : changes) {
     std::string value = std::visit([](const auto& v) { return encode(v); }, change.value);
--- a/src/dispatch/record_transaction.h
+++ b/src/dispatch/record_transaction.h
@@ -8,7 +8,7 @@
 #include "wire/messages.h"
 
 /// Builds the transaction by which the leader writes its records, without I/O. Called by whoever
-/// carries out `Scheduler::wanted_writes`: the node, and the deployment that the tests simulate.
+/// carries out `Scheduler::plan_writes`: the node, and the deployment that the tests simulate.
 ///
 /// Guarantees that the state service carries out such a transaction only while
 /// - no later leader has been elected: every election changes the version of the term key;
@@ -23,14 +23,14 @@
 /// What a key is to hold after the transaction.
 using RecordValue = std::variant<DeletedRecord, JobRecord, FinishedRecord, HostRecord>;
 
-struct RecordChange {
+struct RecordMutation {
   std::string key;
   RecordValue value;
 };
 
 struct RecordTransaction {
-  std::vector<wire::Guard> guards;
-  std::vector<RecordChange> changes;
+  std::vector<wire::Precondition> preconditions;
+  std::vector<RecordMutation> mutations;
 };
 
 /// `term_version`: the term key's version as this leader knows it. One that learns of a later
@@ -38,6 +38,6 @@
 RecordTransaction record_transaction(const std::vector<RecordWrite>& writes, uint64_t term_version);
 
 /// The same changes as the state service takes them.
-std::vector<wire::Change> encode(const std::vector<RecordChange>& changes);
+std::vector<wire::Mutation> encode(const std::vector<RecordMutation>& changes);
 
 }  // namespace sumacquay
--- a/src/dispatch/record_writes.cpp
+++ b/src/dispatch/record_writes.cpp
@@ -59,7 +59,7 @@
   std::vector<RecordWrite> writes_;
 };
 
-void Scheduler::job_stored(const JobRecord& record, uint64_t version, Seconds now) {
+void Scheduler::on_job_record(const JobRecord& record, uint64_t version, Seconds now) {
   auto [it, added] = jobs_.try_emplace(record.spec.id);
   Job& job = it->second;
   if (!added && job.version >= version) return;
@@ -92,10 +92,10 @@
   if (record.state != JobState::Pending) stop_job(job, false, now);
   if (record.state == JobState::Cancelled) clear_failures(job);
   if (starts_released) enqueue_commands_of(job);
-  note_job_record(job, now);
+  enqueue_job_record(job, now);
 }
 
-void Scheduler::job_finished(const std::string& id) {
+void Scheduler::on_job_finished(const std::string& id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   for (auto& [task, places] : it->second.possible_placements)
@@ -110,7 +110,7 @@
   dependencies_.forget(id);
 }
 
-void Scheduler::host_stored(const HostRecord& host, Seconds now) {
+void Scheduler::restore_machine(const HostRecord& host, Seconds now) {
   Machine& machine = machines_[host.id];
   machine.info = host;
   set_machine_state(machine, MachineState::Up);
@@ -120,26 +120,26 @@
 }
 
 /// Whether a job's record is to be written, and how urgently.
-Scheduler::WriteUrgency Scheduler::write_urgency(const Job& job, Seconds now) const {
-  if (job.writing || job.version == 0) return WriteUrgency::None;
+Scheduler::WritePriority Scheduler::write_priority(const Job& job, Seconds now) const {
+  if (job.writing || job.version == 0) return WritePriority::None;
   const bool over = job.stored.state != JobState::Pending || job.complete();
   // A record of a version before these limits: the job can still be moved to the finished ones.
-  if (!job.record_capacity.any() && !(over && absent_everywhere(job))) return WriteUrgency::None;
+  if (!job.record_capacity.any() && !(over && absent_everywhere(job))) return WritePriority::None;
   if ((job.start_record_requested && !job.stored.started) || job.hosts_record_requested)
-    return WriteUrgency::Start;
-  if (job.stored.state == JobState::Pending && job.complete()) return WriteUrgency::Done;
+    return WritePriority::Start;
+  if (job.stored.state == JobState::Pending && job.complete()) return WritePriority::Done;
   // It stays among the live records until nothing of it is left anywhere: the next leader must
   // know what may still take room and count against a limit.
   if (job.stored.state != JobState::Pending && absent_everywhere(job))
-    return WriteUrgency::Finished;
-  if (cancelled_by_dependency(job)) return WriteUrgency::Finished;
+    return WritePriority::Finished;
+  if (cancelled_by_dependency(job)) return WritePriority::Finished;
   // Progress of an array is written in batches, as far as its record has room for it. Only more
   // than is stored is progress: a record of larger limits isn't rewritten for what it would lose.
   const bool due = !job.progress_since || now >= *job.progress_since + settings_.heartbeat_period_s;
   if (job.done.count() != job.stored.done.count() && due &&
       done_for_record(job).count() > job.stored.done.count())
-    return WriteUrgency::Progress;
-  return WriteUrgency::None;
+    return WritePriority::Progress;
+  return WritePriority::None;
 }
 
 /// What finds no room in a record stays with the workers until earlier tasks close the gaps. What
@@ -189,7 +189,7 @@
   return w;
 }
 
-std::vector<RecordWrite> Scheduler::wanted_writes(Seconds now, size_t most_changes) {
+std::vector<RecordWrite> Scheduler::plan_writes(Seconds now, size_t most_changes) {
   WriteBatch batch(most_changes);
   add_host_writes(batch);
   if (add_job_writes(batch, now)) add_host_deletions(batch);
@@ -235,17 +235,17 @@
 bool Scheduler::add_job_writes(WriteBatch& batch, Seconds now) {
   if (prompt()) return add_pending_job_writes(batch, now);
   struct Candidate {
-    WriteUrgency urgency;
+    WritePriority priority;
     Job* job;
   };
   std::vector<Candidate> order;
   for (auto& [id, job] : jobs_) {
     ++work_.dispatch_checks;
-    if (const auto urgency = write_urgency(job, now); urgency != WriteUrgency::None)
-      order.push_back({urgency, &job});
+    if (const auto priority = write_priority(job, now); priority != WritePriority::None)
+      order.push_back({priority, &job});
   }
   std::stable_sort(order.begin(), order.end(),
-                   [](const Candidate& a, const Candidate& b) { return a.urgency < b.urgency; });
+                   [](const Candidate& a, const Candidate& b) { return a.priority < b.priority; });
   for (const Candidate& candidate : order) {
     if (!batch.fits(kMostChangesOfAJob) || batch.full()) return false;
     add_job_write(batch, *candidate.job, now);
@@ -259,7 +259,7 @@
     if (!id) return true;
     ++work_.dispatch_checks;
     Job* job = find_job(*id);
-    if (job && write_urgency(*job, now) != WriteUrgency::None) add_job_write(batch, *job, now);
+    if (job && write_priority(*job, now) != WritePriority::None) add_job_write(batch, *job, now);
   }
   return backlog_.job_records.empty();
 }
@@ -274,28 +274,29 @@
   }
 }
 
-void Scheduler::write_done(const RecordWrite& w, bool committed, uint64_t version, Seconds now) {
+void Scheduler::on_write_answered(const RecordWrite& w, bool committed, uint64_t version,
+                                  Seconds now) {
   if (!w.host.empty()) {
     host_record_writes_.end(w.host);
     if (committed && !w.host_record) host_record_writes_.deleted(w.host);
     const auto machine = machines_.find(w.host);
     if (machine == machines_.end()) return;
     if (committed && w.host_record) machine->second.record = HostRecordState::Durable;
-    note_machine_record(machine->second);
+    enqueue_machine_record(machine->second);
     return enqueue_commands(machine->second);
   }
   const auto it = jobs_.find(w.job);
   if (it == jobs_.end()) return;
   Job& job = it->second;
   job.writing = false;
-  if (!committed) return note_job_record(job, now);
+  if (!committed) return enqueue_job_record(job, now);
   if (w.finished) {
-    dependency_finished(w.job, {w.record->state, w.record->done.count(), w.record->ended_ms});
-    return job_finished(w.job);
+    on_dependency_finished(w.job, {w.record->state, w.record->done.count(), w.record->ended_ms});
+    return on_job_finished(w.job);
   }
-  job_stored(*w.record, version, now);
+  on_job_record(*w.record, version, now);
   if (job.done == job.stored.done) job.progress_since.reset();
-  note_job_record(job, now);
+  enqueue_job_record(job, now);
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -43,21 +43,22 @@
   // Records: called as the node follows the state service.
 
   /// A job's live record as it was read or written. Older versions than are known change nothing.
-  void job_stored(const JobRecord& record, uint64_t version, Seconds now);
+  void on_job_record(const JobRecord& record, uint64_t version, Seconds now);
   /// The job has left the live records.
-  void job_finished(const std::string& id);
+  void on_job_finished(const std::string& id);
   /// How a job ended that others depend on, as its record among the finished ones tells.
-  void dependency_finished(const std::string& id, const FinishedRecord& record);
+  void on_dependency_finished(const std::string& id, const FinishedRecord& record);
   /// Jobs that others depend on and that are not live: the node is to tell how they ended.
   const std::set<std::string>& unknown_dependencies() const { return dependencies_.unknown(); }
   /// A machine's record, at the takeover: tasks may be on it until its worker has reported.
-  void host_stored(const HostRecord& host, Seconds now);
+  void restore_machine(const HostRecord& host, Seconds now);
   /// What the leader before knew of a machine's images. A hint: placement alone looks at it.
   void on_cached_image(const std::string& machine, const std::string& image, double gb);
-  /// The writes for one transaction, the most urgent first. Each is under way until `write_done`.
-  std::vector<RecordWrite> wanted_writes(Seconds now, size_t most_changes);
+  /// The writes for one transaction, the most urgent first. Each is under way until
+  /// `on_write_answered`.
+  std::vector<RecordWrite> plan_writes(Seconds now, size_t most_changes);
   /// `committed`: certainly carried out. Otherwise it may be carried out at any later time.
-  void write_done(const RecordWrite& write, bool committed, uint64_t version, Seconds now);
+  void on_write_answered(const RecordWrite& write, bool committed, uint64_t version, Seconds now);
 
   // Workers.
 
@@ -140,7 +141,7 @@
   void advance_fencing_token(Machine& machine);
 
   // record_writes.cpp
-  enum class WriteUrgency { Start, Done, Progress, Finished, None };  ///< the most urgent first
+  enum class WritePriority { Start, Done, Progress, Finished, None };  ///< the most urgent first
   class WriteBatch;
   void add_host_writes(WriteBatch& batch);
   bool add_job_writes(WriteBatch& batch, Seconds now);
@@ -148,7 +149,7 @@
   void add_host_write(WriteBatch& batch, const std::string& id, const Machine& machine);
   void add_job_write(WriteBatch& batch, Job& job, Seconds now);
   void add_host_deletions(WriteBatch& batch);
-  WriteUrgency write_urgency(const Job& job, Seconds now) const;
+  WritePriority write_priority(const Job& job, Seconds now) const;
   RecordWrite write_for(const Job& job, Seconds now) const;
   /// Cancelled because a job that it depends on is; its record doesn't say so yet.
   bool cancelled_by_dependency(const Job& job) const;
@@ -209,8 +210,8 @@
   bool prompt() const { return settings_.tuning.prompt_dispatch; }
   void enqueue_commands(const Machine& machine);
   void enqueue_commands_of(const Job& job);
-  void note_machine_record(const Machine& machine);
-  void note_job_record(const Job& job, Seconds now);
+  void enqueue_machine_record(const Machine& machine);
+  void enqueue_job_record(const Job& job, Seconds now);
   void fill_backlog(Seconds now);
 
   // failures.cpp
--- a/src/dispatch/task_attempts.cpp
+++ b/src/dispatch/task_attempts.cpp
@@ -102,7 +102,7 @@
          ++t)
       if (t < job->spec().tasks && job->done.add(t) && !job->progress_since)
         job->progress_since = now;
-    return note_job_record(*job, now);
+    return enqueue_job_record(*job, now);
   }
   spdlog::info("{}/{} try {} ended on {}: cause {}", key.task.job, key.task.task, key.attempt,
                machine.info.id, static_cast<int>(attempt.cause));
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -12,7 +12,7 @@
 namespace sumacquay {
 namespace {
 
-using wire::ShownState;
+using wire::UserVisibleState;
 
 /// The part of a record's value that a job's description may take, and what it may take with the
 /// names of the jobs that it depends on.
@@ -21,29 +21,29 @@
 /// The limit on requests in progress at its lowest / at its highest.
 constexpr double kFewestInProgress = 1.0 / 14;
 
-void later_please(const Respond& respond, int status = 503) {
+void respond_unavailable(const Respond& respond, int status = 503) {
   respond({status, wire::error_body("try again later"), 1});
 }
 
-ShownState shown(JobState state, uint32_t running) {
+UserVisibleState user_visible(JobState state, uint32_t running) {
   switch (state) {
     case JobState::Done:
-      return ShownState::Done;
+      return UserVisibleState::Done;
     case JobState::Cancelled:
-      return ShownState::Cancelled;
+      return UserVisibleState::Cancelled;
     case JobState::Pending:
       break;
   }
-  return running > 0 ? ShownState::Running : ShownState::Pending;
+  return running > 0 ? UserVisibleState::Running : UserVisibleState::Pending;
 }
 
 }  // namespace
 
-Frontend::Frontend(const Settings& settings, size_t most_in_progress, StoreClient& store,
-                   Mirror& mirror, Sources sources)
+Frontend::Frontend(const Settings& settings, size_t most_in_progress, KeyValueStoreClient& store,
+                   RecordCache& record_cache, Sources sources)
     : settings_(settings),
       store_(store),
-      mirror_(mirror),
+      record_cache_(record_cache),
       sources_(std::move(sources)),
       limit_(kFewestInProgress * static_cast<double>(most_in_progress),
              static_cast<double>(most_in_progress)) {}
@@ -61,7 +61,7 @@
   const std::string jobs = wire::path::kJobs;
   if (request.path != jobs && !request.path.starts_with(jobs + "/")) return false;
   if (!limit_.enter()) {
-    later_please(respond, 429);
+    respond_unavailable(respond, 429);
     return true;
   }
   const Respond done = limited(std::move(respond));
@@ -92,43 +92,46 @@
                        const std::function<void(const FinishedRecord&)>& finished,
                        const std::function<void()>& unknown) {
   // Over is final: no read can find it changed.
-  if (const auto* known = mirror_.finished(id)) return finished(*known);
-  mirror_.read_barrier([=, this](bool fresh) {
-    if (!fresh) return later_please(respond);
-    if (const auto* record = mirror_.live(id)) return answer_live(*record, respond, live);
-    if (const auto* known = mirror_.finished(id)) return finished(*known);
+  if (const auto* known = record_cache_.finished(id)) return finished(*known);
+  record_cache_.read_barrier([=, this](bool fresh) {
+    if (!fresh) return respond_unavailable(respond);
+    if (const auto* record = record_cache_.live(id)) return answer_live(*record, respond, live);
+    if (const auto* known = record_cache_.finished(id)) return finished(*known);
     // Jobs leave the live records only for those that are over, so reading these last finds a job
     // that moves in between.
-    store_.read(
-        Urgency::Rest, wire::item_path(keys::kFinished + id), [=, this](const HttpResult& r) {
-          // This node may have accepted it, and said so, since the question was asked.
-          if (const auto* record = mirror_.live(id)) return answer_live(*record, respond, live);
-          if (r.answered && r.status == 404) return unknown();
-          const auto page = r.ok() ? wire::parse_item(r.body) : std::nullopt;
-          const auto record = page ? wire::decode_finished(page->items[0].value) : std::nullopt;
-          if (!record) return later_please(respond);
-          mirror_.learned_finished(id, *record);
-          finished(*record);
-        });
+    store_.read(RequestPriority::Background, wire::item_path(keys::kFinished + id),
+                [=, this](const HttpResult& r) {
+                  // This node may have accepted it, and said so, since the question was asked.
+                  if (const auto* record = record_cache_.live(id))
+                    return answer_live(*record, respond, live);
+                  if (r.answered && r.status == 404) return unknown();
+                  const auto page = r.ok() ? wire::parse_item(r.body) : std::nullopt;
+                  const auto record =
+                      page ? wire::decode_finished(page->items[0].value) : std::nullopt;
+                  if (!record) return respond_unavailable(respond);
+                  record_cache_.cache_finished(id, *record);
+                  finished(*record);
+                });
   });
 }
 
 void Frontend::answer_live(const Versioned<JobRecord>& record, const Respond& respond,
                            const std::function<void(const Versioned<JobRecord>&)>& live) const {
   // How a job ended that it depends on may still be read: until then nobody can tell its state.
-  if (!mirror_.dependencies().certain(record.value.spec.id)) return later_please(respond);
+  if (!record_cache_.dependencies().certain(record.value.spec.id))
+    return respond_unavailable(respond);
   live(record);
 }
 
 /// A job that depends on a cancelled one is cancelled, before the leader has written it down.
 JobState Frontend::current_state(const JobRecord& record) const {
-  const bool cancelled = mirror_.dependencies().cancelled(record.spec.id);
+  const bool cancelled = record_cache_.dependencies().cancelled(record.spec.id);
   return record.state == JobState::Pending && cancelled ? JobState::Cancelled : record.state;
 }
 
 void Frontend::query(const std::string& id, const Respond& respond) {
   auto answer = [=](JobState state, uint32_t done, uint32_t running) {
-    respond({200, wire::job_status(id, shown(state, running), done, running), 0});
+    respond({200, wire::job_status(id, user_visible(state, running), done, running), 0});
   };
   look_up(
       id, respond,
@@ -145,7 +148,9 @@
 }
 
 void Frontend::cancel(const std::string& id, int tries, const Respond& respond) {
-  auto answer = [=](JobState state) { respond({200, wire::job_answer(id, shown(state, 0)), 0}); };
+  auto answer = [=](JobState state) {
+    respond({200, wire::job_answer(id, user_visible(state, 0)), 0});
+  };
   look_up(
       id, respond,
       [=, this](const Versioned<JobRecord>& r) {
@@ -154,18 +159,19 @@
         JobRecord cancelled = wire::fitting_record(r.value, settings_.state_value_bytes());
         cancelled.state = JobState::Cancelled;
         const std::string key = keys::kLive + id;
-        store_.transact(Urgency::Record, {{key, r.version}},
-                        {{key, wire::encode_job(cancelled), 0}}, [=, this](const TxnResult& t) {
-                          if (t.outcome == TxnOutcome::Committed) {
-                            mirror_.wrote_job(cancelled, t.revision);
-                            return answer(JobState::Cancelled);
-                          }
-                          // The leader wrote the record in between: look again.
-                          constexpr int kTries = 4;
-                          if (t.outcome == TxnOutcome::Conflict && tries < kTries)
-                            return cancel(id, tries + 1, respond);
-                          later_please(respond);
-                        });
+        store_.compare_and_swap(
+            RequestPriority::Record, {{key, r.version}}, {{key, wire::encode_job(cancelled), 0}},
+            [=, this](const TransactionResult& t) {
+              if (t.outcome == TransactionOutcome::Committed) {
+                record_cache_.wrote_job(cancelled, t.revision);
+                return answer(JobState::Cancelled);
+              }
+              // The leader wrote the record in between: look again.
+              constexpr int kTries = 4;
+              if (t.outcome == TransactionOutcome::PreconditionFailed && tries < kTries)
+                return cancel(id, tries + 1, respond);
+              respond_unavailable(respond);
+            });
       },
       [=](const FinishedRecord& r) { answer(r.state); },
       [=] {
@@ -177,13 +183,13 @@
   const auto parsed = wire::parse_job(request.body);
   // Without an id it can't be the repeat of anything.
   if (parsed.id.empty()) return respond({400, wire::error_body(parsed.error), 0});
-  if (!parsed.spec) return refuse_unknown(parsed.id, 400, parsed.error, respond);
+  if (!parsed.spec) return refuse_unless_accepted(parsed.id, 400, parsed.error, respond);
   const JobSpec& spec = *parsed.spec;
-  if (sources_.types().empty() || mirror_.live(spec.id) || mirror_.finished(spec.id))
-    return answer_known(spec.id, respond);
+  if (sources_.types().empty() || record_cache_.live(spec.id) || record_cache_.finished(spec.id))
+    return answer_existing_job(spec.id, respond);
   const auto never = never_runs(spec, sources_.types(), settings_.team(spec.team));
-  if (!never.empty()) return refuse_unknown(spec.id, 422, never, respond);
-  if (!mirror_.loaded()) return later_please(respond);
+  if (!never.empty()) return refuse_unless_accepted(spec.id, 422, never, respond);
+  if (!record_cache_.loaded()) return respond_unavailable(respond);
   auto submission = std::make_shared<Submission>();
   submission->record.spec = spec;
   submission->record.spec.dependencies.clear();
@@ -200,9 +206,9 @@
     const std::string id = submission->unchecked.back();
     // Of a job in the copy it is certain that it was accepted; what has happened to it since the
     // copy was made is found out from the records of both.
-    if (const auto* record = mirror_.live(id)) {
+    if (const auto* record = record_cache_.live(id)) {
       submission->add(id, current_state(record->value));
-    } else if (const auto* known = mirror_.finished(id)) {
+    } else if (const auto* known = record_cache_.finished(id)) {
       submission->add(id, known->state);
     } else {
       return look_up_dependency(id, submission, respond);
@@ -225,8 +231,8 @@
         check_dependencies(submission, respond);
       },
       [=, this] {
-        refuse_unknown(submission->record.spec.id, 422, "depends on a job that was never accepted",
-                       respond);
+        refuse_unless_accepted(submission->record.spec.id, 422,
+                               "depends on a job that was never accepted", respond);
       });
 }
 
@@ -238,19 +244,19 @@
 
 /// A job that was accepted stays so, whatever would be said of it now: another node may have known
 /// other machine types, or got a whole submission where this one lacks a field.
-void Frontend::refuse_unknown(const std::string& id, int status, const std::string& why,
-                              const Respond& respond) {
-  answer_known(id, respond, [=] { respond({status, wire::error_body(why), 0}); });
+void Frontend::refuse_unless_accepted(const std::string& id, int status, const std::string& why,
+                                      const Respond& respond) {
+  answer_existing_job(id, respond, [=] { respond({status, wire::error_body(why), 0}); });
 }
 
-void Frontend::answer_known(const std::string& id, const Respond& respond) {
-  answer_known(id, respond, [=] { later_please(respond); });
+void Frontend::answer_existing_job(const std::string& id, const Respond& respond) {
+  answer_existing_job(id, respond, [=] { respond_unavailable(respond); });
 }
 
-void Frontend::answer_known(const std::string& id, const Respond& respond,
-                            const std::function<void()>& unknown) {
+void Frontend::answer_existing_job(const std::string& id, const Respond& respond,
+                                   const std::function<void()>& unknown) {
   auto answer = [=](JobState state, uint32_t running) {
-    respond({200, wire::job_answer(id, shown(state, running)), 0});
+    respond({200, wire::job_answer(id, user_visible(state, running)), 0});
   };
   look_up(
       id, respond,
@@ -264,12 +270,14 @@
 /// somebody told so.
 void Frontend::answer_accepted(const JobRecord& record, const Respond& respond) {
   const std::string& id = record.spec.id;
-  auto answer = [=](JobState state) { respond({201, wire::job_answer(id, shown(state, 0)), 0}); };
+  auto answer = [=](JobState state) {
+    respond({201, wire::job_answer(id, user_visible(state, 0)), 0});
+  };
   const bool waits = record.state == JobState::Pending && !record.spec.dependencies.empty();
   if (!waits) return answer(record.state);
   look_up(
       id, respond, [=, this](const Versioned<JobRecord>& r) { answer(current_state(r.value)); },
-      [=](const FinishedRecord& r) { answer(r.state); }, [=] { later_please(respond); });
+      [=](const FinishedRecord& r) { answer(r.state); }, [=] { respond_unavailable(respond); });
 }
 
 void Frontend::accept(const JobRecord& record, const Respond& respond) {
@@ -279,18 +287,19 @@
   const double share = record.spec.dependencies.empty() ? kDescriptionShare : kDependenciesShare;
   const size_t size = wire::json_size(wire::Document::parse(value)->root());
   if (static_cast<double>(size) > static_cast<double>(settings_.state_value_bytes()) * share)
-    return refuse_unknown(id, 400, "the job's description is too large", respond);
+    return refuse_unless_accepted(id, 400, "the job's description is too large", respond);
   const std::string live = keys::kLive + id;
   const std::string finished = keys::kFinished + id;
-  store_.transact(Urgency::Record, {{live, 0}, {finished, 0}}, {{live, value, 0}},
-                  [=, this](const TxnResult& t) {
-                    if (t.outcome == TxnOutcome::Committed) {
-                      mirror_.wrote_job(record, t.revision);
-                      return answer_accepted(record, respond);
-                    }
-                    if (t.outcome != TxnOutcome::Conflict) return later_please(respond);
-                    answer_known(record.spec.id, respond);
-                  });
+  store_.compare_and_swap(RequestPriority::Record, {{live, 0}, {finished, 0}}, {{live, value, 0}},
+                          [=, this](const TransactionResult& t) {
+                            if (t.outcome == TransactionOutcome::Committed) {
+                              record_cache_.wrote_job(record, t.revision);
+                              return answer_accepted(record, respond);
+                            }
+                            if (t.outcome != TransactionOutcome::PreconditionFailed)
+                              return respond_unavailable(respond);
+                            answer_existing_job(record.spec.id, respond);
+                          });
 }
 
 }  // namespace sumacquay
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -7,7 +7,7 @@
 #include "config/settings.h"
 #include "net/concurrency_limit.h"
 #include "net/http_server.h"
-#include "store/mirror.h"
+#include "store/record_cache.h"
 #include "wire/peer_heartbeat.h"
 #include "wire/records.h"
 
@@ -24,8 +24,8 @@
   };
 
   /// `most_in_progress`: users' requests that may be handled at once.
-  Frontend(const Settings& settings, size_t most_in_progress, StoreClient& store, Mirror& mirror,
-           Sources sources);
+  Frontend(const Settings& settings, size_t most_in_progress, KeyValueStoreClient& store,
+           RecordCache& record_cache, Sources sources);
   /// False: not a path of the users'.
   bool handle(const HttpRequest& request, Respond respond);
   /// Requests that are not answered yet.
@@ -44,11 +44,11 @@
                           const Respond& respond);
   void accept(const JobRecord& record, const Respond& respond);
   void answer_accepted(const JobRecord& record, const Respond& respond);
-  void answer_known(const std::string& id, const Respond& respond);
-  void answer_known(const std::string& id, const Respond& respond,
-                    const std::function<void()>& unknown);
-  void refuse_unknown(const std::string& id, int status, const std::string& why,
-                      const Respond& respond);
+  void answer_existing_job(const std::string& id, const Respond& respond);
+  void answer_existing_job(const std::string& id, const Respond& respond,
+                           const std::function<void()>& unknown);
+  void refuse_unless_accepted(const std::string& id, int status, const std::string& why,
+                              const Respond& respond);
   void query(const std::string& id, const Respond& respond);
   void cancel(const std::string& id, int tries, const Respond& respond);
   /// The job's state as of now or later; `unknown` is called only if no such job was ever accepted.
@@ -62,8 +62,8 @@
   Respond limited(Respond respond);
 
   const Settings& settings_;
-  StoreClient& store_;
-  Mirror& mirror_;
+  KeyValueStoreClient& store_;
+  RecordCache& record_cache_;
   Sources sources_;
   ConcurrencyLimit limit_;
 };
--- a/src/fleetload/controller_process.cpp
+++ b/src/loadtest/controller_process.cpp
@@ -1,4 +1,4 @@
-#include "fleetload/controller_process.h"
+#include "loadtest/controller_process.h"
 
 #include <fcntl.h>
 #include <spawn.h>
@@ -13,7 +13,7 @@
 #include <system_error>
 #include <utility>
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 namespace {
 
 std::string proc_path(pid_t process, const char* file) {
@@ -107,4 +107,4 @@
   return true;
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/controller_process.h
+++ b/src/loadtest/controller_process.h
@@ -6,7 +6,7 @@
 
 #include "jobs/spec.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
 /// What a process has used, as the system counts it.
 struct ProcessUsage {
@@ -48,4 +48,4 @@
   pid_t process_ = 0;
 };
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/controller_settings.cpp
+++ b/src/loadtest/controller_settings.cpp
@@ -1,8 +1,8 @@
-#include "fleetload/controller_settings.h"
+#include "loadtest/controller_settings.h"
 
 #include <sstream>
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 namespace {
 
 constexpr const char* kLoopback = "127.0.0.1";
@@ -83,4 +83,4 @@
   return out.str();
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/controller_settings.h
+++ b/src/loadtest/controller_settings.h
@@ -3,9 +3,9 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "fleetload/load_settings.h"
+#include "loadtest/load_settings.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
 /// Where the parts of a deployment listen on this machine.
 struct Addresses {
@@ -23,4 +23,4 @@
 /// The platform's settings file of one controller.
 std::string controller_toml(const LoadSettings& settings, size_t controller);
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/fit.cpp
+++ b/src/loadtest/fit.cpp
@@ -1,11 +1,11 @@
-#include "fleetload/fit.h"
+#include "loadtest/fit.h"
 
 #include <cmath>
 #include <iomanip>
 #include <set>
 #include <sstream>
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 namespace {
 
 struct LogPoint {
@@ -124,4 +124,4 @@
   return out.str();
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/fit.h
+++ b/src/loadtest/fit.h
@@ -2,9 +2,9 @@
 #include <string>
 #include <vector>
 
-#include "fleetload/measurement.h"
+#include "loadtest/measurement.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
 /// A power law y = factor * x^exponent through measured points, by least squares of the logarithms.
 struct PowerFit {
@@ -27,4 +27,4 @@
 /// A Markdown table of the fits of all columns that follow a quantity, and one of the measurements.
 std::string fit_table(const std::vector<Measurement>& rows);
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/load_settings.cpp
+++ b/src/loadtest/load_settings.cpp
@@ -1,11 +1,11 @@
-#include "fleetload/load_settings.h"
+#include "loadtest/load_settings.h"
 
 #include <sys/resource.h>
 #include <unistd.h>
 
 #include <cmath>
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 namespace {
 
 /// What a machine and what a task on it take in all processes together, measured.
@@ -80,4 +80,4 @@
     refuse_setting(source, "controller_sockets", "is more than a process may open here");
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/load_settings.h
+++ b/src/loadtest/load_settings.h
@@ -6,7 +6,7 @@
 #include "config/number_file.h"
 #include "jobs/spec.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
 /// The size of a deployment that is played on this machine, and the load on it. Numbers, so that a
 /// sweep can vary any of them. The operators' format (number_file.h) holds them.
@@ -39,7 +39,7 @@
   double state_txn_ops = 24;
   double cloud_rps = 90;
   double controller_sockets = 12000;
-  double worker_sockets_per_machine = 3;  ///< of the stand-ins, for each machine
+  double worker_sockets_per_machine = 3;  ///< of the simulators, for each machine
   // Phases.
   double fill_s = 120;  ///< for the load to run
   double settle_s = 8;  ///< before it is measured
@@ -59,4 +59,4 @@
 /// half of its memory, and the sockets that a process may open.
 void check_fits_this_machine(const LoadSettings& settings, const std::string& source);
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/trial.cpp
+++ b/src/loadtest/load_test.cpp
@@ -1,4 +1,4 @@
-#include "fleetload/trial.h"
+#include "loadtest/load_test.h"
 
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -9,10 +9,10 @@
 
 #include "net/asio_conversions.h"
 #include "node/steady_time.h"
-#include "store/mirror.h"
+#include "store/record_cache.h"
 #include "wire/messages.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 namespace {
 
 constexpr Seconds kStep = 0.02;
@@ -24,17 +24,17 @@
 /// How long urgent work that was submitted in time is waited for.
 constexpr Seconds kUrgentPatience = 10;
 
-standin::WorkerTimes times_of(const LoadSettings& settings) {
-  standin::WorkerTimes times;
+simulators::WorkerTimes times_of(const LoadSettings& settings) {
+  simulators::WorkerTimes times;
   times.heartbeat_period_s = settings.heartbeat_period_s;
   times.lease_s = settings.lease_s;
   times.fetch_s = settings.fetch_s;
   return times;
 }
 
-standin::WorkerContext context_of(asio::io_context& io, const LoadSettings& settings,
-                                  const Addresses& addresses, standin::JobBook& jobs,
-                                  standin::RuleChecker& checker) {
+simulators::WorkerContext context_of(asio::io_context& io, const LoadSettings& settings,
+                                     const Addresses& addresses, simulators::JobBook& jobs,
+                                     simulators::RuleChecker& checker) {
   std::vector<std::string> names;
   for (size_t i = 0; i < addresses.controllers.size(); ++i) names.push_back(controller_name(i));
   return {io,
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-Trial::Trial(const LoadSettings& settings, TrialOptions options)
+LoadTest::LoadTest(const LoadSettings& settings, LoadTestOptions options)
     : settings_(settings),
       options_(std::move(options)),
       addresses_(addresses_of(settings)),
@@ -69,41 +69,42 @@
       workload_(settings_),
       urgent_timer_(io_) {
   context_.task_running = [this](const std::string& job) { on_task_running(job); };
-  standin::StateServerOptions state;
+  simulators::StateServerOptions state;
   state.requests_per_s = settings.state_rps;
   state.writes_per_s = settings.state_write_rps;
-  state_ = std::make_unique<standin::StateServer>(io_, addresses_.state, state);
-  standin::CloudOptions cloud;
+  state_ = std::make_unique<simulators::StateServer>(io_, addresses_.state, state);
+  simulators::CloudOptions cloud;
   cloud.types = {machine_type_of(settings)};
   cloud.requests_per_s = settings.cloud_rps;
   cloud.most_machines = static_cast<size_t>(settings.machines);
-  cloud_ = std::make_unique<standin::CloudServer>(io_, addresses_.cloud, std::move(cloud), fleet_);
-  users_ = std::make_unique<standin::Users>(io_, addresses_.controllers, jobs_, checker_);
+  cloud_ =
+      std::make_unique<simulators::CloudServer>(io_, addresses_.cloud, std::move(cloud), fleet_);
+  users_ = std::make_unique<simulators::Users>(io_, addresses_.controllers, jobs_, checker_);
   const auto zones = static_cast<size_t>(settings.zones);
   for (size_t i = 0; i < static_cast<size_t>(settings.machines); ++i)
     cloud_->add_running({machine_type_of(settings).name, zone_name(i % zones), false});
 }
 
-Trial::~Trial() {
+LoadTest::~LoadTest() {
   controllers_.clear();
 }
 
 // ---------------------------------------------------------------- time
 
-void Trial::run_for(Seconds span) {
+void LoadTest::run_for(Seconds span) {
   const Seconds end = steady_now() + span;
   while (steady_now() < end)
     io_.run_for(to_milliseconds(std::min(kStep, std::max(end - steady_now(), 0.001))));
   require_running();
 }
 
-bool Trial::run_until(const std::function<bool()>& reached, Seconds most) {
+bool LoadTest::run_until(const std::function<bool()>& reached, Seconds most) {
   const Seconds end = steady_now() + most;
   while (steady_now() < end && !reached()) io_.run_for(to_milliseconds(kStep));
   return reached();
 }
 
-void Trial::require_running() {
+void LoadTest::require_running() {
   for (auto& controller : controllers_)
     if (controller.ended_by_itself())
       throw std::runtime_error(controller.name() + " has ended by itself; see its log in " +
@@ -112,7 +113,7 @@
 
 // ---------------------------------------------------------------- start
 
-void Trial::start_controllers() {
+void LoadTest::start_controllers() {
   const std::string tuning = options_.directory + "/tuning.conf";
   std::ofstream(tuning) << kTuning << options_.tuning;
   for (size_t i = 0; i < addresses_.controllers.size(); ++i) {
@@ -127,7 +128,7 @@
     throw std::runtime_error("no controller leads; see their logs in " + options_.directory);
 }
 
-std::optional<size_t> Trial::leader() const {
+std::optional<size_t> LoadTest::leader() const {
   const auto value = state_->value(keys::kLeader);
   const auto document = value ? wire::Document::parse(*value) : nullptr;
   const auto record = document ? wire::decode_leader(document->root()) : std::nullopt;
@@ -137,7 +138,7 @@
   return std::nullopt;
 }
 
-void Trial::fill(Measurement& measurement) {
+void LoadTest::fill(Measurement& measurement) {
   const auto jobs = workload_.filling();
   const Seconds began = steady_now();
   const size_t index = leader().value_or(0);
@@ -153,7 +154,7 @@
                measurement.fill_s);
 }
 
-void Trial::submit_waiting() {
+void LoadTest::submit_waiting() {
   const auto count = static_cast<size_t>(settings_.waiting_jobs);
   const uint64_t before = users_->counts().accepted;
   for (size_t i = 0; i < count; ++i) users_->submit(workload_.waiting());
@@ -162,12 +163,12 @@
 
 // ---------------------------------------------------------------- urgent work
 
-void Trial::begin_urgent(bool on) {
+void LoadTest::begin_urgent(bool on) {
   urgent_on_ = on && settings_.urgent_per_s > 0;
   if (urgent_on_) submit_urgent();
 }
 
-void Trial::submit_urgent() {
+void LoadTest::submit_urgent() {
   urgent_timer_.expires_after(to_microseconds(1 / settings_.urgent_per_s));
   urgent_timer_.async_wait([this](auto error) {
     if (error || !urgent_on_) return;
@@ -177,15 +178,15 @@
   });
 }
 
-void Trial::on_task_running(const std::string& id) {
-  standin::SubmittedJob& job = jobs_.at(id);
+void LoadTest::on_task_running(const std::string& id) {
+  simulators::SubmittedJob& job = jobs_.at(id);
   if (job.began_at) return;
   job.began_at = steady_now();
   const bool urgent = job.spec.priority == Priority::High && job.spec.kind == JobKind::Array;
   if (urgent && urgent_of_phase_) urgent_of_phase_->observe(*job.began_at - *job.submitted_at);
 }
 
-void Trial::add_urgent(Measurement& measurement) {
+void LoadTest::add_urgent(Measurement& measurement) {
   constexpr double kMedian = 0.5;
   constexpr double kNinth = 0.9;
   constexpr double kNinetyNinth = 0.99;
@@ -203,7 +204,7 @@
 
 // ---------------------------------------------------------------- measuring
 
-Trial::Snapshot Trial::snapshot() const {
+LoadTest::Snapshot LoadTest::snapshot() const {
   Snapshot out;
   out.at = steady_now();
   for (const auto& controller : controllers_) out.controllers.push_back(controller.usage());
@@ -215,7 +216,7 @@
   return out;
 }
 
-void Trial::add_rates(Measurement& m, const Snapshot& before, const Snapshot& after) const {
+void LoadTest::add_rates(Measurement& m, const Snapshot& before, const Snapshot& after) const {
   const double span = after.at - before.at;
   const auto rate = [span](uint64_t from, uint64_t to) {
     return static_cast<double>(to - from) / span;
@@ -250,7 +251,7 @@
   m.starts_per_s = rate(before.starts, after.starts);
 }
 
-Measurement Trial::measure(const std::string& phase, Seconds span) {
+Measurement LoadTest::measure(const std::string& phase, Seconds span) {
   Measurement m;
   m.quantity = phase;
   m.machines = settings_.machines;
@@ -278,7 +279,7 @@
   return m;
 }
 
-Measurement Trial::measure_load() {
+Measurement LoadTest::measure_load() {
   Measurement filling;
   start_controllers();
   run_for(2 * settings_.heartbeat_period_s);  // every worker finds the leader
@@ -295,7 +296,7 @@
 
 // ---------------------------------------------------------------- faults
 
-std::vector<Measurement> Trial::measure_faults() {
+std::vector<Measurement> LoadTest::measure_faults() {
   std::vector<Measurement> out;
   out.push_back(leader_killed());
   out.push_back(follower_killed());
@@ -303,7 +304,7 @@
   return out;
 }
 
-Measurement Trial::leader_killed() {
+Measurement LoadTest::leader_killed() {
   const size_t killed = leader().value_or(0);
   controllers_[killed].kill();
   const Seconds killed_at = steady_now();
@@ -330,7 +331,7 @@
   return m;
 }
 
-Measurement Trial::follower_killed() {
+Measurement LoadTest::follower_killed() {
   const size_t killed = (leader().value_or(0) + 1) % controllers_.size();
   controllers_[killed].kill();
   asio::steady_timer restart(io_, to_microseconds(kRestartAfter));
@@ -340,7 +341,7 @@
   return measure("follower_killed", settings_.lease_s);
 }
 
-Measurement Trial::zone_silent() {
+Measurement LoadTest::zone_silent() {
   const std::string zone = zone_name(static_cast<size_t>(settings_.zones) - 1);
   fleet_.set_zone_silent(zone, true);
   asio::steady_timer back(io_, to_microseconds(kSilenceLeaseShare * settings_.lease_s));
@@ -350,4 +351,4 @@
   return measure("zone_silent", 1.5 * settings_.lease_s);
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/trial.h
+++ b/src/loadtest/load_test.h
@@ -6,30 +6,30 @@
 #include <string>
 #include <vector>
 
-#include "fleetload/controller_process.h"
-#include "fleetload/controller_settings.h"
-#include "fleetload/load_settings.h"
-#include "fleetload/measurement.h"
-#include "fleetload/quantiles.h"
-#include "fleetload/workload.h"
-#include "standin/cloud_server.h"
-#include "standin/state_server.h"
-#include "standin/users.h"
+#include "loadtest/controller_process.h"
+#include "loadtest/controller_settings.h"
+#include "loadtest/load_settings.h"
+#include "loadtest/measurement.h"
+#include "loadtest/quantiles.h"
+#include "loadtest/workload.h"
+#include "simulators/cloud_server.h"
+#include "simulators/state_server.h"
+#include "simulators/users.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
-struct TrialOptions {
+struct LoadTestOptions {
   std::string program;    ///< the controller
   std::string directory;  ///< for settings and logs of the controllers
   std::string tuning;     ///< further lines of the operators' file
 };
 
 /// One deployment on loopback from start to end: real controllers as processes of their own, and in
-/// this process the state service, the cloud, hollow workers and users.
-class Trial {
+/// this process the state service, the cloud, simulated workers and users.
+class LoadTest {
  public:
-  Trial(const LoadSettings& settings, TrialOptions options);
-  ~Trial();
+  LoadTest(const LoadSettings& settings, LoadTestOptions options);
+  ~LoadTest();
 
   /// Puts the load on and measures it.
   Measurement measure_load();
@@ -43,9 +43,9 @@
     Seconds at = 0;
     std::vector<ProcessUsage> controllers;
     ProcessUsage own;
-    standin::WorkerCounts workers;
-    standin::StateServerCounts state;
-    standin::CloudCounts cloud;
+    simulators::WorkerCounts workers;
+    simulators::StateServerCounts state;
+    simulators::CloudCounts cloud;
     size_t starts = 0;
   };
 
@@ -69,16 +69,16 @@
   void require_running();
 
   LoadSettings settings_;
-  TrialOptions options_;
+  LoadTestOptions options_;
   Addresses addresses_;
   asio::io_context io_{1};
-  standin::JobBook jobs_;
-  standin::RuleChecker checker_;
-  standin::WorkerContext context_;
-  standin::HollowFleet fleet_;
-  std::unique_ptr<standin::StateServer> state_;
-  std::unique_ptr<standin::CloudServer> cloud_;
-  std::unique_ptr<standin::Users> users_;
+  simulators::JobBook jobs_;
+  simulators::RuleChecker checker_;
+  simulators::WorkerContext context_;
+  simulators::SimulatedFleet fleet_;
+  std::unique_ptr<simulators::StateServer> state_;
+  std::unique_ptr<simulators::CloudServer> cloud_;
+  std::unique_ptr<simulators::Users> users_;
   std::vector<ControllerProcess> controllers_;
   Workload workload_;
   asio::steady_timer urgent_timer_;
@@ -88,4 +88,4 @@
   size_t urgent_submitted_ = 0;
 };
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/measurement.cpp
+++ b/src/loadtest/measurement.cpp
@@ -1,10 +1,10 @@
-#include "fleetload/measurement.h"
+#include "loadtest/measurement.h"
 
 #include <fstream>
 #include <ostream>
 #include <sstream>
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 namespace {
 
 std::vector<std::string> split(const std::string& line) {
@@ -94,4 +94,4 @@
   return rows;
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/measurement.h
+++ b/src/loadtest/measurement.h
@@ -3,9 +3,9 @@
 #include <string>
 #include <vector>
 
-#include "fleetload/load_settings.h"
+#include "loadtest/load_settings.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
 /// What one trial showed. Rates and shares are means over the time that was measured.
 struct Measurement {
@@ -52,4 +52,4 @@
 /// missing stay 0.
 std::vector<Measurement> read_table(const std::string& path);
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/quantiles.cpp
+++ b/src/loadtest/quantiles.cpp
@@ -1,10 +1,10 @@
-#include "fleetload/quantiles.h"
+#include "loadtest/quantiles.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
 prometheus::Summary::Quantiles Quantiles::desired_running() {
   return {{0.5, 0.01}, {0.9, 0.005}, {0.99, 0.001}};
@@ -23,4 +23,4 @@
   return std::numeric_limits<double>::quiet_NaN();
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/quantiles.h
+++ b/src/loadtest/quantiles.h
@@ -3,7 +3,7 @@
 
 #include <chrono>
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
 /// Quantiles of times that were measured, as prometheus-cpp's summary keeps them, and the largest.
 class Quantiles {
@@ -24,4 +24,4 @@
   size_t count_ = 0;
 };
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/sweep.cpp
+++ b/src/loadtest/sweep.cpp
@@ -1,4 +1,4 @@
-#include "fleetload/sweep.h"
+#include "loadtest/sweep.h"
 
 #include <spawn.h>
 #include <spdlog/spdlog.h>
@@ -11,9 +11,9 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "fleetload/fit.h"
+#include "loadtest/fit.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 namespace {
 
 LoadSettings at_point(const LoadSettings& base, const std::string& quantity, double value,
@@ -67,7 +67,7 @@
   for (const auto& row : rows) write_row(out, row);
 }
 
-void run_sweep(const SweepPlan& plan, const LoadSettings& base, const TrialOptions& options,
+void run_sweep(const SweepPlan& plan, const LoadSettings& base, const LoadTestOptions& options,
                const std::string& table, bool resume) {
   const bool known = resume && std::filesystem::exists(table);
   const auto rows = known ? read_table(table) : std::vector<Measurement>{};
@@ -76,11 +76,12 @@
     ++done;
     if (measured(rows, plan.quantity, value)) continue;
     spdlog::info("{} = {} ({} of {})", plan.quantity, value, done, plan.values.size());
-    Trial trial(at_point(base, plan.quantity, value, "sweep"), options);
-    Measurement row = trial.measure_load();
+    LoadTest load_test(at_point(base, plan.quantity, value, "sweep"), options);
+    Measurement row = load_test.measure_load();
     row.quantity = plan.quantity;
     row.value = value;
-    for (const auto& violation : trial.violations()) spdlog::error("broken rule: {}", violation);
+    for (const auto& violation : load_test.violations())
+      spdlog::error("broken rule: {}", violation);
     append_rows(table, {row});
   }
 }
@@ -107,4 +108,4 @@
   std::filesystem::remove(script);
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/sweep.h
+++ b/src/loadtest/sweep.h
@@ -2,11 +2,11 @@
 #include <string>
 #include <vector>
 
-#include "fleetload/load_settings.h"
-#include "fleetload/measurement.h"
-#include "fleetload/trial.h"
+#include "loadtest/load_settings.h"
+#include "loadtest/load_test.h"
+#include "loadtest/measurement.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 
 /// One quantity of the settings and the values that it is given in turn.
 struct SweepPlan {
@@ -20,7 +20,7 @@
 /// Measures the points one after the other and appends each to the table as soon as it is there, so
 /// that an interrupted sweep keeps what it has. With `resume` points that the table has are passed
 /// over.
-void run_sweep(const SweepPlan& plan, const LoadSettings& base, const TrialOptions& options,
+void run_sweep(const SweepPlan& plan, const LoadSettings& base, const LoadTestOptions& options,
                const std::string& table, bool resume);
 
 /// Appends rows to a table, with a header if it is new.
@@ -30,4 +30,4 @@
 void draw_plot(const std::vector<Measurement>& rows, const std::string& quantity,
                const std::string& column, const std::string& file);
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/fleetload/workload.cpp
+++ b/src/loadtest/workload.cpp
@@ -1,19 +1,19 @@
-#include "fleetload/workload.h"
+#include "loadtest/workload.h"
 
 #include <algorithm>
 #include <array>
 #include <cstdio>
 
-#include "fleetload/controller_settings.h"
+#include "loadtest/controller_settings.h"
 
-namespace sumacquay::fleetload {
+namespace sumacquay::loadtest {
 namespace {
 
 constexpr double kCpusPerTask = 4;
 constexpr double kMemoryPerTask = 16;
 constexpr double kImageGb = 10;
 /// Longer than any trial.
-constexpr Seconds kWholeTrial = 3600;
+constexpr Seconds kWholeLoadTest = 3600;
 
 std::string job_id(size_t number) {
   constexpr size_t kNameBytes = 32;
@@ -24,8 +24,9 @@
 
 }  // namespace
 
-standin::SubmittedJob Workload::job(JobKind kind, Priority priority, size_t tasks, Seconds run_s) {
-  standin::SubmittedJob job;
+simulators::SubmittedJob Workload::job(JobKind kind, Priority priority, size_t tasks,
+                                       Seconds run_s) {
+  simulators::SubmittedJob job;
   const size_t number = jobs_++;
   job.spec.id = job_id(number);
   job.spec.job_class = "load";
@@ -42,8 +43,8 @@
   return job;
 }
 
-std::vector<standin::SubmittedJob> Workload::filling() {
-  std::vector<standin::SubmittedJob> jobs;
+std::vector<simulators::SubmittedJob> Workload::filling() {
+  std::vector<simulators::SubmittedJob> jobs;
   const auto all = static_cast<double>(settings_.tasks());
   const auto size = static_cast<size_t>(settings_.service_size);
   auto left = settings_.tasks();
@@ -51,7 +52,7 @@
   if (gang_size > 0)
     for (auto gangs = static_cast<size_t>(all * settings_.gang_share) / gang_size; gangs > 0;
          --gangs) {
-      jobs.push_back(job(JobKind::Gang, Priority::High, gang_size, kWholeTrial));
+      jobs.push_back(job(JobKind::Gang, Priority::High, gang_size, kWholeLoadTest));
       left -= gang_size;
     }
   auto low = std::min(left, static_cast<size_t>(all * settings_.low_share));
@@ -59,15 +60,15 @@
   for (; left > 0; left -= std::min(left, size))
     jobs.push_back(job(JobKind::Service, Priority::Production, std::min(left, size), 0));
   for (; low > 0; low -= std::min(low, size))
-    jobs.push_back(job(JobKind::Array, Priority::Low, std::min(low, size), kWholeTrial));
+    jobs.push_back(job(JobKind::Array, Priority::Low, std::min(low, size), kWholeLoadTest));
   return jobs;
 }
 
-standin::SubmittedJob Workload::waiting() {
-  return job(JobKind::Array, Priority::Low, 1, kWholeTrial);
+simulators::SubmittedJob Workload::waiting() {
+  return job(JobKind::Array, Priority::Low, 1, kWholeLoadTest);
 }
 
-standin::SubmittedJob Workload::urgent() {
+simulators::SubmittedJob Workload::urgent() {
   return job(JobKind::Array, Priority::High, 1, settings_.urgent_run_s);
 }
 
@@ -85,4 +86,4 @@
   return type;
 }
 
-}  // namespace sumacquay::fleetload
+}  // namespace sumacquay::loadtest
--- a/src/node/election_driver.cpp
+++ b/src/node/election_driver.cpp
@@ -21,13 +21,14 @@
 }  // namespace
 
 ElectionDriver::ElectionDriver(
-    asio::io_context& io, const Settings& settings, uint64_t process, StoreClient& store,
-    Mirror& mirror, std::function<void(LeaderElection::State, LeaderElection::State)> changed)
+    asio::io_context& io, const Settings& settings, uint64_t process, KeyValueStoreClient& store,
+    RecordCache& record_cache,
+    std::function<void(LeaderElection::State, LeaderElection::State)> changed)
     : io_(io),
       settings_(settings),
       process_(process),
       store_(store),
-      mirror_(mirror),
+      record_cache_(record_cache),
       election_(config(settings), effects(std::move(changed))) {}
 
 LeaderElection::Effects ElectionDriver::effects(
@@ -46,22 +47,22 @@
 
 void ElectionDriver::tick(double jitter) {
   keep_records_known();
-  election_.tick(steady_now(), mirror_.loaded(), mirror_.leader().version != 0, jitter);
+  election_.tick(steady_now(), record_cache_.loaded(), record_cache_.leader().version != 0, jitter);
 }
 
 Seconds ElectionDriver::due_at() const {
-  const Seconds records_due = to_seconds(mirror_.known_at()) + settings_.renew_s();
+  const Seconds records_due = to_seconds(record_cache_.known_at()) + settings_.renew_s();
   const Seconds election_due = election_.due_at(steady_now());
   return reading_records_ ? election_due : std::min(election_due, records_due);
 }
 
 /// Where little is written the watch says nothing for long, and nobody can tell silence from a cut.
 void ElectionDriver::keep_records_known() {
-  const Seconds known_at = to_seconds(mirror_.known_at());
+  const Seconds known_at = to_seconds(record_cache_.known_at());
   election_.records_known(known_at);
   if (reading_records_ || steady_now() - known_at < settings_.renew_s()) return;
   reading_records_ = true;
-  mirror_.read_barrier([this](bool) { reading_records_ = false; });
+  record_cache_.read_barrier([this](bool) { reading_records_ = false; });
 }
 
 void ElectionDriver::grant(LeaderElection::Campaign campaign, Seconds duration) {
@@ -72,31 +73,32 @@
 }
 
 void ElectionDriver::elect(LeaderElection::Campaign campaign, uint64_t lease) {
-  const uint64_t term = std::max(mirror_.term().value.term, election_.highest_term()) + 1;
+  const uint64_t term = std::max(record_cache_.term().value.term, election_.highest_term()) + 1;
   const wire::LeaderRecord record{settings_.node, process_, term, lease};
   const std::string value = wire::encode_leader(record);
   const Seconds lease_end = steady_now() + settings_.leader_lease_s();
-  store_.transact(Urgency::Leadership, {{keys::kLeader, 0}, {keys::kTerm, mirror_.term().version}},
-                  {{keys::kLeader, value, lease}, {keys::kTerm, value, 0}},
-                  [this, campaign, record, lease_end](const TxnResult& result) {
-                    if (result.outcome != TxnOutcome::Committed)
-                      return lose(campaign, record.lease);
-                    mirror_.wrote_leader(record, result.revision);
-                    read_before_leading(campaign, record.term, lease_end);
-                  });
+  store_.compare_and_swap(RequestPriority::Leadership,
+                          {{keys::kLeader, 0}, {keys::kTerm, record_cache_.term().version}},
+                          {{keys::kLeader, value, lease}, {keys::kTerm, value, 0}},
+                          [this, campaign, record, lease_end](const TransactionResult& result) {
+                            if (result.outcome != TransactionOutcome::Committed)
+                              return lose(campaign, record.lease);
+                            record_cache_.wrote_leader(record, result.revision);
+                            read_before_leading(campaign, record.term, lease_end);
+                          });
 }
 
 /// The lease is ended at once, so that a transaction that is still on its way can't win.
 void ElectionDriver::lose(LeaderElection::Campaign campaign, uint64_t lease) {
   store_.revoke(lease, [](const HttpResult&) {});
-  mirror_.read_barrier(
+  record_cache_.read_barrier(
       [this, campaign](bool) { election_.elected(steady_now(), campaign, false, 0); });
 }
 
 /// Reads everything that earlier leaders wrote before it acts on the records.
 void ElectionDriver::read_before_leading(LeaderElection::Campaign campaign, uint64_t term,
                                          Seconds lease_end) {
-  mirror_.read_barrier([this, campaign, term, lease_end](bool fresh) {
+  record_cache_.read_barrier([this, campaign, term, lease_end](bool fresh) {
     if (fresh) return election_.elected(steady_now(), campaign, true, term);
     if (steady_now() > lease_end) return election_.elected(steady_now(), campaign, false, 0);
     auto timer = std::make_shared<asio::steady_timer>(
@@ -109,10 +111,12 @@
 
 void ElectionDriver::renew(uint64_t lease) {
   const Seconds sent_at = steady_now();
-  store_.renew(lease, settings_.renew_s(), [this, lease, sent_at](StoreClient::Renewal renewal) {
-    election_.renewed(steady_now(), lease, sent_at, renewal == StoreClient::Renewal::Renewed,
-                      renewal == StoreClient::Renewal::Ended);
-  });
+  store_.renew(lease, settings_.renew_s(),
+               [this, lease, sent_at](KeyValueStoreClient::Renewal renewal) {
+                 election_.renewed(steady_now(), lease, sent_at,
+                                   renewal == KeyValueStoreClient::Renewal::Renewed,
+                                   renewal == KeyValueStoreClient::Renewal::Ended);
+               });
 }
 
 void ElectionDriver::resign() {
@@ -122,8 +126,9 @@
 }
 
 void ElectionDriver::on_leader_record() {
-  const auto& leader = mirror_.leader();
-  election_.observe_term(steady_now(), std::max(leader.value.term, mirror_.term().value.term));
+  const auto& leader = record_cache_.leader();
+  election_.observe_term(steady_now(),
+                         std::max(leader.value.term, record_cache_.term().value.term));
   const bool of_this_node = leader.version && leader.value.node == settings_.node;
   if (!of_this_node || leader.value.nonce == process_ || earlier_lease_revoked_) return;
   // An earlier process of this node held the lease. It has ended, so nobody need wait for it.
--- a/src/node/election_driver.h
+++ b/src/node/election_driver.h
@@ -4,8 +4,8 @@
 
 #include "config/settings.h"
 #include "leadership/leader_election.h"
-#include "store/mirror.h"
-#include "store/store_client.h"
+#include "store/key_value_store_client.h"
+#include "store/record_cache.h"
 
 namespace sumacquay {
 
@@ -19,7 +19,7 @@
   /// `process` tells this process of the node from earlier ones. `changed` is called from inside
   /// calls of `leadership()` and `tick`, so it must leave what may have made them in place.
   ElectionDriver(asio::io_context& io, const Settings& settings, uint64_t process,
-                 StoreClient& store, Mirror& mirror,
+                 KeyValueStoreClient& store, RecordCache& record_cache,
                  std::function<void(LeaderElection::State, LeaderElection::State)> changed);
 
   LeaderElection& election() { return election_; }
@@ -45,8 +45,8 @@
   asio::io_context& io_;
   const Settings& settings_;
   uint64_t process_;
-  StoreClient& store_;
-  Mirror& mirror_;
+  KeyValueStoreClient& store_;
+  RecordCache& record_cache_;
   LeaderElection election_;
   bool reading_records_ = false;
   bool earlier_lease_revoked_ = false;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -40,8 +40,8 @@
       process_(rng_() >> 1),
       sockets_(socket_budget(settings)),
       store_(io, settings),
-      mirror_(io, settings, store_),
-      election_driver_(io, settings, process_, store_, mirror_,
+      record_cache_(io, settings, store_),
+      election_driver_(io, settings, process_, store_, record_cache_,
                        [this](LeaderElection::State from, LeaderElection::State to) {
                          on_election_state_changed(from, to);
                        }),
@@ -54,12 +54,12 @@
           }),
       machine_list_(io, settings, cloud_, scheduler_),
       executor_(io, settings, sockets_.worker_commands, cloud_, election_, scheduler_),
-      record_writer_(settings, store_, mirror_, scheduler_,
+      record_writer_(settings, store_, record_cache_, scheduler_,
                      [this] { asio::post(io_, [this] { on_committed(); }); }),
       delegated_responder_(process_, settings.delegation_after_s(), settings.answers_s()),
       peer_heartbeats_(io, settings, settings.renew_s(), peer_hooks()),
       frontend_(
-          settings, sockets_.users_in_progress, store_, mirror_,
+          settings, sockets_.users_in_progress, store_, record_cache_,
           {[this]() -> const std::vector<MachineType>& { return machine_types_.types(); },
            [this](const std::string& id) { return peer_heartbeats_.leader_hints().counts(id); },
            time_of_day_ms}),
@@ -78,12 +78,12 @@
   server_ = std::make_unique<HttpServer>(
       io_, settings_.listen, limits,
       [this](const HttpRequest& request, const Respond& respond) { on_request(request, respond); });
-  mirror_.set_listener({[this](const std::string& id) { on_job_record(id); },
-                        [this] {
-                          election_driver_.on_leader_record();
-                          request_tick();
-                        }});
-  mirror_.start();
+  record_cache_.set_listener({[this](const std::string& id) { on_job_record(id); },
+                              [this] {
+                                election_driver_.on_leader_record();
+                                request_tick();
+                              }});
+  record_cache_.start();
   peer_heartbeats_.start();
   machine_types_.start();
   tick();
@@ -143,7 +143,7 @@
   const Seconds began = steady_now();
   if (!leads_now() || began < next_scheduler_tick_) return;
   for (const auto& action : scheduler_->tick(began)) executor_.perform(action);
-  if (leads_now()) record_writer_.write_wanted();
+  if (leads_now()) record_writer_.write_planned_records();
   const Seconds ended = steady_now();
   next_scheduler_tick_ = ended + kPausePerTickDuration * (ended - began);
 }
@@ -153,7 +153,7 @@
   if (!settings_.tuning.prompt_dispatch) return tick_scheduler();
   if (!leads_now()) return;
   for (const auto& action : scheduler_->dispatch(steady_now())) executor_.perform(action);
-  if (leads_now()) record_writer_.write_wanted();
+  if (leads_now()) record_writer_.write_planned_records();
 }
 
 // ---------------------------------------------------------------- requests
@@ -173,7 +173,7 @@
 
 bool Node::ready() const {
   // In an outage for all, no other node could do better: the users stay where they are.
-  return mirror_.loaded() && !machine_types_.types().empty() &&
+  return record_cache_.loaded() && !machine_types_.types().empty() &&
          (served() || !peer_heartbeats_.others_served());
 }
 
@@ -193,8 +193,8 @@
 void Node::answer_as_follower(const WorkerHeartbeat& heartbeat, const Respond& respond) {
   if (may_answer_as_delegate(heartbeat)) {
     const auto stops = delegated_responder_.answer(
-        heartbeat, election_.highest_term(), to_seconds(mirror_.known_at()),
-        [this](const std::string& id) { return mirror_.ended(id); }, steady_now());
+        heartbeat, election_.highest_term(), to_seconds(record_cache_.known_at()),
+        [this](const std::string& id) { return record_cache_.ended(id); }, steady_now());
     if (stops) return respond({200, wire::heartbeat_answer(heartbeat.fencing_token, *stops), 0});
   }
   respond({421, wire::redirect_body(leader_to_redirect_to()), 0});
@@ -202,7 +202,7 @@
 
 /// Empty if no other node is known to lead.
 std::string Node::leader_to_redirect_to() const {
-  const auto& record = mirror_.leader().value;
+  const auto& record = record_cache_.leader().value;
   const bool record_newer = record.term > peer_heartbeats_.leader_term();
   const std::string leader = record_newer ? record.node : peer_heartbeats_.leader();
   return leader == settings_.node ? std::string() : leader;
@@ -237,7 +237,8 @@
   record_writer_.reset();
   peer_terms_.clear();
   scheduler_.begin(create_scheduler());
-  spdlog::info("takes over {} jobs and {} machines", mirror_.live().size(), mirror_.hosts().size());
+  spdlog::info("takes over {} jobs and {} machines", record_cache_.live().size(),
+               record_cache_.hosts().size());
   if (settings_.peers.empty()) scheduler_->on_previous_leader_fenced(steady_now());
   peer_heartbeats_.send_peer_heartbeats(wire::PeerHeartbeatPart::StatusOnly);
   machine_list_.start();
@@ -252,9 +253,10 @@
   auto scheduler = std::make_unique<Scheduler>(settings_, election_.term(), now,
                                                previous_leader_fenced_at, wall_offset);
   scheduler->set_machine_types(machine_types_.types());
-  for (const auto& [id, host] : mirror_.hosts()) scheduler->host_stored(host.value, steady_now());
-  for (const auto& [id, job] : mirror_.live())
-    scheduler->job_stored(job.value, job.version, steady_now());
+  for (const auto& [id, host] : record_cache_.hosts())
+    scheduler->restore_machine(host.value, steady_now());
+  for (const auto& [id, job] : record_cache_.live())
+    scheduler->on_job_record(job.value, job.version, steady_now());
   report_finished_dependencies(*scheduler);
   for (const auto& held : peer_heartbeats_.leader_hints().images())
     scheduler->on_cached_image(held.machine, held.image, held.gb);
@@ -270,10 +272,10 @@
   if (!scheduler_) return;
   if (id.empty())
     on_all_job_records();
-  else if (const auto* record = mirror_.live(id))
-    scheduler_->job_stored(record->value, record->version, steady_now());
+  else if (const auto* record = record_cache_.live(id))
+    scheduler_->on_job_record(record->value, record->version, steady_now());
   else
-    scheduler_->job_finished(id);
+    scheduler_->on_job_finished(id);
   report_finished_dependencies(*scheduler_);
   scheduler_->request_round();
 }
@@ -282,16 +284,17 @@
 void Node::report_finished_dependencies(Scheduler& scheduler) const {
   const std::set<std::string> unknown = scheduler.unknown_dependencies();
   for (const auto& id : unknown)
-    if (const auto record = mirror_.dependency_end(id)) scheduler.dependency_finished(id, *record);
+    if (const auto record = record_cache_.dependency_end(id))
+      scheduler.on_dependency_finished(id, *record);
 }
 
 void Node::on_all_job_records() {
   std::vector<std::string> finished;
   for (const auto& [id, job] : scheduler_->jobs())
-    if (!mirror_.live(id)) finished.push_back(id);
-  for (const auto& id : finished) scheduler_->job_finished(id);
-  for (const auto& [id, job] : mirror_.live())
-    scheduler_->job_stored(job.value, job.version, steady_now());
+    if (!record_cache_.live(id)) finished.push_back(id);
+  for (const auto& id : finished) scheduler_->on_job_finished(id);
+  for (const auto& [id, job] : record_cache_.live())
+    scheduler_->on_job_record(job.value, job.version, steady_now());
 }
 
 // ---------------------------------------------------------------- heartbeats
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -19,8 +19,8 @@
 #include "node/record_writer.h"
 #include "node/steady_time.h"
 #include "peer/peer_heartbeats.h"
-#include "store/mirror.h"
-#include "store/store_client.h"
+#include "store/key_value_store_client.h"
+#include "store/record_cache.h"
 #include "wire/messages.h"
 
 namespace sumacquay {
@@ -73,8 +73,8 @@
   std::mt19937_64 rng_;
   uint64_t process_;  ///< tells this process of the node from earlier ones
   SocketBudget sockets_;
-  StoreClient store_;
-  Mirror mirror_;
+  KeyValueStoreClient store_;
+  RecordCache record_cache_;
   ElectionDriver election_driver_;
   LeaderElection& election_;
   ActiveScheduler scheduler_;
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -7,31 +7,34 @@
 
 namespace sumacquay {
 
-RecordWriter::RecordWriter(const Settings& settings, StoreClient& store, Mirror& mirror,
-                           ActiveScheduler& scheduler, std::function<void()> committed)
+RecordWriter::RecordWriter(const Settings& settings, KeyValueStoreClient& store,
+                           RecordCache& record_cache, ActiveScheduler& scheduler,
+                           std::function<void()> committed)
     : store_(store),
-      mirror_(mirror),
+      record_cache_(record_cache),
       scheduler_(scheduler),
       committed_(std::move(committed)),
       pacing_(settings) {}
 
-void RecordWriter::write_wanted() {
-  if (state_ != State::Idle || !mirror_.loaded()) return;
+void RecordWriter::write_planned_records() {
+  if (state_ != State::Idle || !record_cache_.loaded()) return;
   if (!pacing_.may_write(steady_now())) return;
   const size_t most_changes = pacing_.most_changes(steady_now());
-  const auto writes = scheduler_->wanted_writes(steady_now(), most_changes);
+  const auto writes = scheduler_->plan_writes(steady_now(), most_changes);
   if (writes.empty()) return;
-  const auto transaction = record_transaction(writes, mirror_.term().version);
+  const auto transaction = record_transaction(writes, record_cache_.term().version);
   state_ = State::Writing;
-  store_.transact(Urgency::Record, transaction.guards, encode(transaction.changes),
-                  [this, writes, generation = scheduler_.generation()](const TxnResult& result) {
-                    if (scheduler_.get(generation)) on_answer(writes, result);
-                  });
+  store_.compare_and_swap(
+      RequestPriority::Record, transaction.preconditions, encode(transaction.mutations),
+      [this, writes, generation = scheduler_.generation()](const TransactionResult& result) {
+        if (scheduler_.get(generation)) on_answer(writes, result);
+      });
 }
 
-void RecordWriter::on_answer(const std::vector<RecordWrite>& writes, const TxnResult& result) {
-  const bool committed = result.outcome == TxnOutcome::Committed;
-  if (result.outcome == TxnOutcome::TooLarge) {
+void RecordWriter::on_answer(const std::vector<RecordWrite>& writes,
+                             const TransactionResult& result) {
+  const bool committed = result.outcome == TransactionOutcome::Committed;
+  if (result.outcome == TransactionOutcome::TooLarge) {
     spdlog::warn("a transaction of {} records is too large for the state service", writes.size());
     pacing_.too_large(steady_now());
   }
@@ -39,7 +42,7 @@
     for (const auto& write : writes) update_copy(write, result.revision);
   if (!scheduler_) return;
   for (const auto& write : writes)
-    scheduler_->write_done(write, committed, result.revision, steady_now());
+    scheduler_->on_write_answered(write, committed, result.revision, steady_now());
   if (!committed) return reread(result);
   state_ = State::Idle;
   scheduler_->request_round();
@@ -48,19 +51,21 @@
 
 void RecordWriter::update_copy(const RecordWrite& write, uint64_t revision) {
   if (!write.host.empty())
-    mirror_.wrote_host(write.host, write.host_record ? &*write.host_record : nullptr, revision);
+    record_cache_.wrote_host(write.host, write.host_record ? &*write.host_record : nullptr,
+                             revision);
   else if (write.finished)
-    mirror_.wrote_finished(write.job, {write.record->state, write.record->done.count()}, revision);
+    record_cache_.wrote_finished(write.job, {write.record->state, write.record->done.count()},
+                                 revision);
   else
-    mirror_.wrote_job(*write.record, revision);
+    record_cache_.wrote_job(*write.record, revision);
 }
 
 /// What the records say now decides what is still to be written.
-void RecordWriter::reread(const TxnResult& result) {
+void RecordWriter::reread(const TransactionResult& result) {
   for (const auto& key : result.failed)
     if (key == keys::kTerm) spdlog::info("the term has changed");
   state_ = State::Rereading;
-  mirror_.read_barrier([this, generation = scheduler_.generation()](bool) {
+  record_cache_.read_barrier([this, generation = scheduler_.generation()](bool) {
     if (generation == scheduler_.generation()) state_ = State::Idle;
   });
 }
--- a/src/node/record_writer.h
+++ b/src/node/record_writer.h
@@ -5,8 +5,8 @@
 #include "config/settings.h"
 #include "node/active_scheduler.h"
 #include "node/write_pacing.h"
-#include "store/mirror.h"
-#include "store/store_client.h"
+#include "store/key_value_store_client.h"
+#include "store/record_cache.h"
 
 namespace sumacquay {
 
@@ -20,10 +20,10 @@
 class RecordWriter {
  public:
   /// `committed` is called after each transaction that was carried out.
-  RecordWriter(const Settings& settings, StoreClient& store, Mirror& mirror,
+  RecordWriter(const Settings& settings, KeyValueStoreClient& store, RecordCache& record_cache,
                ActiveScheduler& scheduler, std::function<void()> committed);
   /// The caller has made sure that this node may act as the leader.
-  void write_wanted();
+  void write_planned_records();
   /// A new period of leading begins: answers to earlier writes no longer count.
   void reset() { state_ = State::Idle; }
 
@@ -33,12 +33,12 @@
     Writing,
     Rereading,  ///< a write failed, or nobody knows: the records are read before the next
   };
-  void on_answer(const std::vector<RecordWrite>& writes, const TxnResult& result);
+  void on_answer(const std::vector<RecordWrite>& writes, const TransactionResult& result);
   void update_copy(const RecordWrite& write, uint64_t revision);
-  void reread(const TxnResult& result);
+  void reread(const TransactionResult& result);
 
-  StoreClient& store_;
-  Mirror& mirror_;
+  KeyValueStoreClient& store_;
+  RecordCache& record_cache_;
   ActiveScheduler& scheduler_;
   std::function<void()> committed_;
   State state_ = State::Idle;
--- a/src/standin/cloud_server.cpp
+++ b/src/simulators/cloud_server.cpp
@@ -1,14 +1,14 @@
-#include "standin/cloud_server.h"
+#include "simulators/cloud_server.h"
 
 #include <algorithm>
 #include <cstdlib>
 #include <utility>
 
 #include "node/steady_time.h"
-#include "standin/messages.h"
+#include "simulators/messages.h"
 #include "wire/messages.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 namespace {
 
 constexpr Seconds kBurst = 2;
@@ -24,7 +24,7 @@
 }  // namespace
 
 CloudServer::CloudServer(asio::io_context& io, const Endpoint& at, CloudOptions options,
-                         HollowFleet& fleet)
+                         SimulatedFleet& fleet)
     : io_(io),
       options_(std::move(options)),
       fleet_(fleet),
@@ -144,4 +144,4 @@
   return {kOk, machines_body(on_machines_listed, false), 0};
 }
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/cloud_server.h
+++ b/src/simulators/cloud_server.h
@@ -6,12 +6,12 @@
 #include <vector>
 
 #include "net/http.h"
-#include "standin/hollow_fleet.h"
-#include "standin/rate_limit.h"
+#include "simulators/rate_limit.h"
+#include "simulators/simulated_fleet.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
-/// What the stand-in of the cloud rents out and allows.
+/// What the simulator of the cloud rents out and allows.
 struct CloudOptions {
   std::vector<MachineType> types;
   double requests_per_s = 12;
@@ -27,11 +27,12 @@
   uint64_t released = 0;
 };
 
-/// A stand-in of the cloud on loopback: it boots hollow workers and takes them back, and its list
-/// of machines lags as the protocol says.
+/// A simulator of the cloud on loopback: it boots simulated workers and takes them back, and its
+/// list of machines lags as the protocol says.
 class CloudServer {
  public:
-  CloudServer(asio::io_context& io, const Endpoint& at, CloudOptions options, HollowFleet& fleet);
+  CloudServer(asio::io_context& io, const Endpoint& at, CloudOptions options,
+              SimulatedFleet& fleet);
 
   /// A machine that is there from the start.
   std::string add_running(const MachineKind& kind);
@@ -58,7 +59,7 @@
 
   asio::io_context& io_;
   CloudOptions options_;
-  HollowFleet& fleet_;
+  SimulatedFleet& fleet_;
   RateLimit limit_;
   CloudCounts counts_;
   std::map<std::string, Rented> machines_;
@@ -66,4 +67,4 @@
   HttpServer server_;
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/job_book.h
+++ b/src/simulators/job_book.h
@@ -6,7 +6,7 @@
 
 #include "jobs/spec.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 /// A job as its user knows it, and what really happened to it, whatever any controller believes.
 struct SubmittedJob {
@@ -26,4 +26,4 @@
 /// All jobs by their ids. Workers look descriptions up here, as they would fetch them from users.
 using JobBook = std::map<std::string, SubmittedJob>;
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/key_value_store.h
+++ b/src/simulators/key_value_store.h
@@ -12,7 +12,7 @@
 #include "jobs/spec.h"
 #include "wire/store_messages.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 /// The state service without I/O: keys with versions, guarded transactions, leases and the log of
 /// changes. `Value` is whatever a key holds. Limits on requests and faults are its callers' matter.
@@ -61,17 +61,18 @@
   }
 
   /// The keys whose versions are not the guarded ones.
-  std::vector<std::string> failed_guards(const std::vector<wire::Guard>& guards) const {
+  std::vector<std::string> failed_preconditions(
+      const std::vector<wire::Precondition>& preconditions) const {
     std::vector<std::string> failed;
-    for (const auto& guard : guards)
-      if (version(guard.key) != guard.version) failed.push_back(guard.key);
+    for (const auto& precondition : preconditions)
+      if (version(precondition.key) != precondition.version) failed.push_back(precondition.key);
     return failed;
   }
 
   /// The revision, none if a guard fails or a lease has ended.
-  std::optional<uint64_t> transact(const std::vector<wire::Guard>& guards,
-                                   std::vector<Change> changes) {
-    if (!leases_alive(changes) || !failed_guards(guards).empty()) return std::nullopt;
+  std::optional<uint64_t> compare_and_swap(const std::vector<wire::Precondition>& preconditions,
+                                           std::vector<Change> changes) {
+    if (!leases_alive(changes) || !failed_preconditions(preconditions).empty()) return std::nullopt;
     if (changes.empty()) return revision_;
     ++revision_;
     for (auto& change : changes) apply(std::move(change));
@@ -158,4 +159,4 @@
   uint64_t last_lease_ = 0;
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/messages.cpp
+++ b/src/simulators/messages.cpp
@@ -1,4 +1,4 @@
-#include "standin/messages.h"
+#include "simulators/messages.h"
 
 #include <charconv>
 #include <utility>
@@ -8,22 +8,22 @@
 #include "wire/job_spec_codec.h"
 #include "wire/spellings.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 namespace {
 
 namespace field = wire::field;
-namespace spelling = wire::spelling;
+namespace enum_names = wire::enum_names;
 using wire::Document;
 using wire::View;
 using wire::codec::Buffer;
 using wire::codec::build;
 using wire::codec::Fields;
+using wire::codec::name_of;
 using wire::codec::pack_field;
 using wire::codec::pack_list;
 using wire::codec::pack_text;
 using wire::codec::Packer;
 using wire::codec::read_root;
-using wire::codec::spelling_of;
 using wire::codec::value_of;
 
 constexpr size_t kMostNameBytes = 200;
@@ -41,7 +41,7 @@
 }
 
 std::optional<Command> read_command(View map) {
-  const auto verb = value_of(spelling::kVerbs, map["verb"]);
+  const auto verb = value_of(enum_names::kVerbs, map["verb"]);
   const auto key = read_task_key(map[field::kTask]);
   const auto attempt = map[field::kAttempt].count();
   if (!verb || !key || !attempt) return std::nullopt;
@@ -68,8 +68,8 @@
   packer.pack_map(exited ? 4 : 3);
   pack_field(packer, field::kTask, task.key.job + "/" + std::to_string(task.key.task));
   pack_field(packer, field::kAttempt, task.attempt);
-  pack_field(packer, field::kStage, spelling_of(spelling::kTaskStates, task.state));
-  if (exited) pack_field(packer, "cause", spelling_of(spelling::kExitCauses, task.cause));
+  pack_field(packer, field::kStage, name_of(enum_names::kTaskStates, task.state));
+  if (exited) pack_field(packer, "cause", name_of(enum_names::kExitCauses, task.cause));
 }
 
 std::string encoded(View value) {
@@ -95,18 +95,18 @@
 
 std::optional<StoreTransaction> read_transaction(View root) {
   StoreTransaction transaction;
-  const View guards = root["guards"];
-  for (size_t i = 0; i < guards.size(); ++i) {
-    const auto key = guards.at(i)[field::kKey].text();
-    const auto version = guards.at(i)[field::kVersion].count();
+  const View preconditions = root["guards"];
+  for (size_t i = 0; i < preconditions.size(); ++i) {
+    const auto key = preconditions.at(i)[field::kKey].text();
+    const auto version = preconditions.at(i)[field::kVersion].count();
     if (!key || !version) return std::nullopt;
-    transaction.guards.push_back({*key, *version});
+    transaction.preconditions.push_back({*key, *version});
   }
   const View changes = root["apply"];
   for (size_t i = 0; i < changes.size(); ++i) {
     auto change = read_change(changes.at(i));
     if (!change) return std::nullopt;
-    transaction.changes.push_back(std::move(*change));
+    transaction.mutations.push_back(std::move(*change));
   }
   return transaction;
 }
@@ -154,7 +154,7 @@
   pack_field(packer, field::kType, machine.type);
   pack_field(packer, field::kZone, machine.zone);
   pack_field(packer, field::kSpot, machine.spot);
-  pack_field(packer, field::kStage, spelling_of(spelling::kMachineStates, machine.state));
+  pack_field(packer, field::kStage, name_of(enum_names::kMachineStates, machine.state));
   pack_field(packer, "age_s", machine.age_s);
 }
 
@@ -206,7 +206,7 @@
 
 std::optional<JobStatus> parse_job_status(std::string_view body) {
   return read_root<JobStatus>(body, [](View root) -> std::optional<JobStatus> {
-    const auto state = value_of(spelling::kShownStates, root[field::kStage]);
+    const auto state = value_of(enum_names::kUserVisibleStates, root[field::kStage]);
     if (!state) return std::nullopt;
     JobStatus status;
     status.state = *state;
@@ -337,4 +337,4 @@
   return {};
 }
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/messages.h
+++ b/src/simulators/messages.h
@@ -11,8 +11,8 @@
 #include "wire/user_messages.h"
 
 /// The other side of the platform's messages: what workers, users, the cloud and the state service
-/// send and read. The stand-ins call it; src/wire holds the controllers' side.
-namespace sumacquay::standin {
+/// send and read. The simulators call it; src/wire holds the controllers' side.
+namespace sumacquay::simulators {
 
 // Workers.
 
@@ -35,7 +35,7 @@
 
 /// A job's state as a user is told it.
 struct JobStatus {
-  wire::ShownState state = wire::ShownState::Pending;
+  wire::UserVisibleState state = wire::UserVisibleState::Pending;
   uint32_t done = 0;
   uint32_t running = 0;
 };
@@ -51,8 +51,8 @@
   uint64_t version = 0;
 };
 struct StoreTransaction {
-  std::vector<wire::Guard> guards;
-  std::vector<StoredChange> changes;
+  std::vector<wire::Precondition> preconditions;
+  std::vector<StoredChange> mutations;
 };
 std::optional<StoreTransaction> parse_transaction(std::string_view body);
 std::string item_body(const StoredChange& item);
@@ -80,4 +80,4 @@
 /// The value of a field in a query, empty if it isn't there.
 std::string query_field(const std::string& query, std::string_view name);
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/rate_limit.h
+++ b/src/simulators/rate_limit.h
@@ -3,7 +3,7 @@
 
 #include "jobs/spec.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 /// A limit on requests a second that allows bursts, as the state service and the cloud have.
 class RateLimit {
@@ -28,4 +28,4 @@
   Seconds last_ = 0;
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/rule_checker.cpp
+++ b/src/simulators/rule_checker.cpp
@@ -1,10 +1,10 @@
-#include "standin/rule_checker.h"
+#include "simulators/rule_checker.h"
 
 #include <algorithm>
 
 #include "placement/placement.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 namespace {
 
 constexpr size_t kMostViolations = 50;
@@ -111,4 +111,4 @@
   }
 }
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/rule_checker.h
+++ b/src/simulators/rule_checker.h
@@ -5,10 +5,10 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "standin/job_book.h"
-#include "standin/worker_state.h"
+#include "simulators/job_book.h"
+#include "simulators/worker_state.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 /// Judges a deployment by what its workers run and what its users are told, and never looks into a
 /// controller. It counts as things happen, so that thousands of machines cost it no more than what
@@ -58,4 +58,4 @@
   size_t starts_ = 0;
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/hollow_fleet.cpp
+++ b/src/simulators/simulated_fleet.cpp
@@ -1,4 +1,4 @@
-#include "standin/hollow_fleet.h"
+#include "simulators/simulated_fleet.h"
 
 #include <array>
 #include <cstdio>
@@ -6,7 +6,7 @@
 
 #include "node/steady_time.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 namespace {
 
 /// Workers listen on 127.16.0.1 and on, so that each has an address of its own.
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-HollowFleet::HollowFleet(WorkerContext& context, unsigned short port)
+SimulatedFleet::SimulatedFleet(WorkerContext& context, unsigned short port)
     : context_(context), port_(port) {
   context_.gang_task_ready = [this](const std::string& machine, const TaskKey& key,
                                     uint64_t attempt) {
@@ -38,31 +38,31 @@
   };
 }
 
-std::string HollowFleet::next_id() {
+std::string SimulatedFleet::next_id() {
   constexpr size_t kNameBytes = 32;
   std::array<char, kNameBytes> name{};
   std::snprintf(name.data(), name.size(), "i-%06llu", static_cast<unsigned long long>(created_++));
   return name.data();
 }
 
-std::string HollowFleet::address_of(const std::string& id) const {
+std::string SimulatedFleet::address_of(const std::string& id) const {
   return loopback_address(number_of(id)) + ":" + std::to_string(port_);
 }
 
-std::string HollowFleet::add(const MachineKind& kind, const std::string& id) {
+std::string SimulatedFleet::add(const MachineKind& kind, const std::string& id) {
   WorkerState state;
   state.id = id;
   state.type = kind.type;
   state.zone = kind.zone;
   state.spot = kind.spot;
   const Endpoint listen{loopback_address(number_of(id)), port_};
-  auto worker = std::make_unique<HollowWorker>(context_, std::move(state), listen);
+  auto worker = std::make_unique<SimulatedWorker>(context_, std::move(state), listen);
   worker->start();
   workers_[id] = std::move(worker);
   return id;
 }
 
-void HollowFleet::remove(const std::string& id) {
+void SimulatedFleet::remove(const std::string& id) {
   const auto found = workers_.find(id);
   if (found == workers_.end()) return;
   std::vector<std::pair<TaskKey, uint64_t>> gone;
@@ -72,26 +72,26 @@
   for (const auto& [key, attempt] : gone) on_gang_task_gone(key, attempt);
 }
 
-std::vector<std::string> HollowFleet::ids() const {
+std::vector<std::string> SimulatedFleet::ids() const {
   std::vector<std::string> out;
   for (const auto& [id, worker] : workers_) out.push_back(id);
   return out;
 }
 
-void HollowFleet::set_zone_silent(const std::string& zone, bool silent) {
+void SimulatedFleet::set_zone_silent(const std::string& zone, bool silent) {
   for (const auto& [id, worker] : workers_)
     if (worker->state().zone == zone) worker->set_silent(silent);
 }
 
 // ---------------------------------------------------------------- gangs
 
-HollowWorker* HollowFleet::find(const std::string& machine) {
+SimulatedWorker* SimulatedFleet::find(const std::string& machine) {
   const auto found = workers_.find(machine);
   return found == workers_.end() ? nullptr : found->second.get();
 }
 
-void HollowFleet::on_gang_task_ready(const std::string& machine, const TaskKey& key,
-                                     uint64_t attempt) {
+void SimulatedFleet::on_gang_task_ready(const std::string& machine, const TaskKey& key,
+                                        uint64_t attempt) {
   const SubmittedJob& job = context_.jobs.at(key.job);
   const GangAttempt id{key.job, attempt};
   Gang& gang = gangs_[id];
@@ -101,15 +101,15 @@
   asio::post(context_.io, [this, id, run_s = job.run_s] { run_gang(id, run_s); });
 }
 
-void HollowFleet::run_gang(const GangAttempt& attempt, Seconds run_s) {
+void SimulatedFleet::run_gang(const GangAttempt& attempt, Seconds run_s) {
   const auto found = gangs_.find(attempt);
   if (found == gangs_.end()) return;
   const std::map<TaskKey, std::string> ready = found->second.ready;
   for (const auto& [task, machine] : ready)
-    if (HollowWorker* worker = find(machine)) worker->run_gang_task(task, attempt.second, run_s);
+    if (SimulatedWorker* worker = find(machine)) worker->run_gang_task(task, attempt.second, run_s);
 }
 
-void HollowFleet::on_gang_task_gone(const TaskKey& key, uint64_t attempt) {
+void SimulatedFleet::on_gang_task_gone(const TaskKey& key, uint64_t attempt) {
   const auto job = context_.jobs.find(key.job);
   if (job == context_.jobs.end() || job->second.spec.kind != JobKind::Gang) return;
   const auto found = gangs_.find({key.job, attempt});
@@ -125,14 +125,14 @@
   });
 }
 
-void HollowFleet::end_gang(const GangAttempt& attempt) {
+void SimulatedFleet::end_gang(const GangAttempt& attempt) {
   const auto found = gangs_.find(attempt);
   if (found == gangs_.end()) return;
   const auto left = std::exchange(found->second.ready, {});
   for (const auto& [task, machine] : left)
-    if (HollowWorker* worker = find(machine))
+    if (SimulatedWorker* worker = find(machine))
       worker->end_gang_task(task, attempt.second, ExitCause::PeerHeartbeats);
   gangs_.erase(attempt);
 }
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/hollow_fleet.h
+++ b/src/simulators/simulated_fleet.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "standin/hollow_worker.h"
+#include "simulators/simulated_worker.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 /// What a machine is rented as.
 struct MachineKind {
@@ -15,11 +15,11 @@
   bool spot = false;
 };
 
-/// All hollow workers of a deployment, the gangs that span them, and what goes wrong with them.
-class HollowFleet {
+/// All simulated workers of a deployment, the gangs that span them, and what goes wrong with them.
+class SimulatedFleet {
  public:
   /// `port`: of all workers, each on a loopback address of its own.
-  HollowFleet(WorkerContext& context, unsigned short port);
+  SimulatedFleet(WorkerContext& context, unsigned short port);
 
   /// A machine whose worker is up; returns its name.
   std::string add(const MachineKind& kind, const std::string& id);
@@ -47,13 +47,13 @@
   void on_gang_task_gone(const TaskKey& key, uint64_t attempt);
   void run_gang(const GangAttempt& attempt, Seconds run_s);
   void end_gang(const GangAttempt& attempt);
-  HollowWorker* find(const std::string& machine);
+  SimulatedWorker* find(const std::string& machine);
 
   WorkerContext& context_;
   unsigned short port_;
-  std::map<std::string, std::unique_ptr<HollowWorker>> workers_;
+  std::map<std::string, std::unique_ptr<SimulatedWorker>> workers_;
   std::map<GangAttempt, Gang> gangs_;
   uint64_t created_ = 0;
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/hollow_worker.cpp
+++ b/src/simulators/simulated_worker.cpp
@@ -1,13 +1,13 @@
-#include "standin/hollow_worker.h"
+#include "simulators/simulated_worker.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "node/steady_time.h"
-#include "standin/messages.h"
+#include "simulators/messages.h"
 #include "wire/messages.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 namespace {
 
 /// How long a worker waits for the answer to a heartbeat.
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-HollowWorker::HollowWorker(WorkerContext& context, WorkerState state, const Endpoint& listen)
+SimulatedWorker::SimulatedWorker(WorkerContext& context, WorkerState state, const Endpoint& listen)
     : context_(context), state_(std::move(state)), timer_(context.io) {
   server_ =
       std::make_unique<HttpServer>(context.io, listen, command_limits(),
@@ -51,31 +51,31 @@
   controller_ = context.random() % context.controllers.size();
 }
 
-HollowWorker::~HollowWorker() {
+SimulatedWorker::~SimulatedWorker() {
   *alive_ = false;
   for (const auto& [key, task] : state_.tasks)
     if (task.present()) context_.checker.task_left(state_, key);
 }
 
-Seconds HollowWorker::random_between(Seconds least, Seconds most) {
+Seconds SimulatedWorker::random_between(Seconds least, Seconds most) {
   return std::uniform_real_distribution<Seconds>(least, most)(context_.random);
 }
 
-void HollowWorker::start() {
+void SimulatedWorker::start() {
   const Seconds now = steady_now();
   state_.agent_epoch_began = now;
   next_heartbeat_ = now + random_between(0, context_.times.heartbeat_period_s);
   wake_later();
 }
 
-void HollowWorker::set_silent(bool silent) {
+void SimulatedWorker::set_silent(bool silent) {
   silent_ = silent;
   if (silent) server_->close_all();
 }
 
 // ---------------------------------------------------------------- time
 
-void HollowWorker::wake_later() {
+void SimulatedWorker::wake_later() {
   Seconds next = heartbeat_in_flight_ ? kFarFuture : next_heartbeat_;
   for (const auto& [key, task] : state_.tasks)
     if (task.present()) next = std::min(next, task.next_change);
@@ -89,7 +89,7 @@
   });
 }
 
-void HollowWorker::on_wake() {
+void SimulatedWorker::on_wake() {
   const Seconds now = steady_now();
   end_agent_epoch_if_expired(now);
   advance_tasks(now);
@@ -97,7 +97,7 @@
   wake_later();
 }
 
-void HollowWorker::end_agent_epoch_if_expired(Seconds now) {
+void SimulatedWorker::end_agent_epoch_if_expired(Seconds now) {
   if (!state_.lease_over(context_.times.lease_s, now)) return;
   ++context_.counts.leases_lost;
   std::vector<std::pair<TaskKey, uint64_t>> ended;
@@ -111,7 +111,7 @@
 
 // ---------------------------------------------------------------- tasks
 
-void HollowWorker::advance_tasks(Seconds now) {
+void SimulatedWorker::advance_tasks(Seconds now) {
   std::vector<TaskKey> due;
   for (const auto& [key, task] : state_.tasks)
     if (task.present() && now >= task.next_change) due.push_back(key);
@@ -121,7 +121,7 @@
   }
 }
 
-void HollowWorker::advance(const TaskKey& key, WorkerTask& task, Seconds now) {
+void SimulatedWorker::advance(const TaskKey& key, WorkerTask& task, Seconds now) {
   const SubmittedJob& job = context_.jobs.at(key.job);
   switch (task.state) {
     case TaskState::Fetching:
@@ -140,7 +140,8 @@
   }
 }
 
-void HollowWorker::set_running(const TaskKey& key, WorkerTask& task, Seconds run_s, Seconds now) {
+void SimulatedWorker::set_running(const TaskKey& key, WorkerTask& task, Seconds run_s,
+                                  Seconds now) {
   const bool service = context_.jobs.at(key.job).spec.kind == JobKind::Service;
   task.state = TaskState::Running;
   task.next_change = service ? kFarFuture : now + run_s;
@@ -148,7 +149,7 @@
   heartbeat_soon(now);
 }
 
-void HollowWorker::set_exited(const TaskKey& key, WorkerTask& task, ExitCause cause) {
+void SimulatedWorker::set_exited(const TaskKey& key, WorkerTask& task, ExitCause cause) {
   const uint64_t attempt = task.attempt;
   task.state = TaskState::Exited;
   task.cause = cause;
@@ -158,7 +159,7 @@
   if (cause != ExitCause::Done) context_.gang_task_gone(key, attempt);
 }
 
-void HollowWorker::run_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s) {
+void SimulatedWorker::run_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s) {
   const auto task = state_.tasks.find(key);
   if (task == state_.tasks.end() || task->second.attempt != attempt) return;
   if (task->second.state != TaskState::Waiting) return;
@@ -166,7 +167,7 @@
   wake_later();
 }
 
-void HollowWorker::end_gang_task(const TaskKey& key, uint64_t attempt, ExitCause cause) {
+void SimulatedWorker::end_gang_task(const TaskKey& key, uint64_t attempt, ExitCause cause) {
   const auto task = state_.tasks.find(key);
   if (task == state_.tasks.end() || task->second.attempt != attempt) return;
   if (!task->second.present()) return;
@@ -174,7 +175,7 @@
   wake_later();
 }
 
-void HollowWorker::execute(const std::vector<Command>& commands, Seconds now) {
+void SimulatedWorker::execute(const std::vector<Command>& commands, Seconds now) {
   for (const auto& command : commands) {
     if (command.verb == Verb::Start) {
       start_task(command, now);
@@ -188,7 +189,7 @@
   }
 }
 
-void HollowWorker::start_task(const Command& command, Seconds now) {
+void SimulatedWorker::start_task(const Command& command, Seconds now) {
   if (!state_.accepts_start(command)) return;
   const auto job = context_.jobs.find(command.key.job);
   WorkerTask task;
@@ -206,11 +207,11 @@
 
 // ---------------------------------------------------------------- reports
 
-void HollowWorker::heartbeat_soon(Seconds now) {
+void SimulatedWorker::heartbeat_soon(Seconds now) {
   next_heartbeat_ = std::min(next_heartbeat_, std::max(now, last_heartbeat_ + kLeastPause));
 }
 
-void HollowWorker::send_heartbeat(Seconds now) {
+void SimulatedWorker::send_heartbeat(Seconds now) {
   last_heartbeat_ = now;
   next_heartbeat_ =
       now + context_.times.heartbeat_period_s * random_between(kHeartbeatEarly, kHeartbeatLate);
@@ -229,7 +230,7 @@
       });
 }
 
-void HollowWorker::on_answer(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch) {
+void SimulatedWorker::on_answer(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch) {
   const Seconds now = steady_now();
   heartbeat_in_flight_ = false;
   context_.counts.bytes_in += result.body.size() + (result.answered ? kHeadBytes : 0);
@@ -246,7 +247,7 @@
 }
 
 /// A 200 renews the lease, unless its fencing token is older than one that was seen.
-void HollowWorker::hear_leader(const std::string& body, Seconds sent_at, Seconds now) {
+void SimulatedWorker::hear_leader(const std::string& body, Seconds sent_at, Seconds now) {
   const auto worker_commands = parse_worker_commands(body);
   if (!worker_commands || worker_commands->fencing_token < state_.fencing_token) return;
   ++context_.counts.heartbeats_answered;
@@ -256,7 +257,7 @@
   execute(worker_commands->commands, now);
 }
 
-void HollowWorker::turn_to(const std::string& controller, Seconds now) {
+void SimulatedWorker::turn_to(const std::string& controller, Seconds now) {
   const auto& names = context_.controller_names;
   const auto named = std::find(names.begin(), names.end(), controller);
   const auto index = static_cast<size_t>(named - names.begin());
@@ -266,7 +267,7 @@
   next_heartbeat_ = now + random_between(0, kLeastPause);
 }
 
-void HollowWorker::turn_to_next(Seconds now) {
+void SimulatedWorker::turn_to_next(Seconds now) {
   controller_ = (controller_ + 1) % context_.controllers.size();
   client_.reset();
   next_heartbeat_ = now + kNextControllerDelay;
@@ -274,7 +275,7 @@
 
 // ---------------------------------------------------------------- orders
 
-void HollowWorker::on_commands(const HttpRequest& request, const Respond& respond) {
+void SimulatedWorker::on_commands(const HttpRequest& request, const Respond& respond) {
   if (silent_) return;  // the controller waits until it gives up
   ++context_.counts.worker_commands;
   context_.counts.bytes_in += request.body.size() + kHeadBytes;
@@ -295,4 +296,4 @@
   wake_later();
 }
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/hollow_worker.h
+++ b/src/simulators/simulated_worker.h
@@ -9,11 +9,11 @@
 #include "config/settings.h"
 #include "net/http.h"
 #include "net/http_client.h"
-#include "standin/job_book.h"
-#include "standin/rule_checker.h"
-#include "standin/worker_state.h"
+#include "simulators/job_book.h"
+#include "simulators/rule_checker.h"
+#include "simulators/worker_state.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 /// Times of the protocol that a worker keeps to.
 struct WorkerTimes {
@@ -34,7 +34,7 @@
   uint64_t leases_lost = 0;
 };
 
-/// What all hollow workers share.
+/// What all simulated workers share.
 struct WorkerContext {
   asio::io_context& io;
   std::vector<std::string> controller_names;
@@ -52,11 +52,11 @@
 
 /// A worker of the protocol that runs nothing: it keeps the connections, reports, leases and tasks
 /// of a real one, and its tasks only wait. Thousands share one process and one thread.
-class HollowWorker {
+class SimulatedWorker {
  public:
-  HollowWorker(WorkerContext& context, WorkerState state, const Endpoint& listen);
-  HollowWorker(const HollowWorker&) = delete;
-  ~HollowWorker();
+  SimulatedWorker(WorkerContext& context, WorkerState state, const Endpoint& listen);
+  SimulatedWorker(const SimulatedWorker&) = delete;
+  ~SimulatedWorker();
 
   /// Begins to report, at a random moment of the first heartbeat period.
   void start();
@@ -101,4 +101,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/state_server.cpp
+++ b/src/simulators/state_server.cpp
@@ -1,13 +1,13 @@
-#include "standin/state_server.h"
+#include "simulators/state_server.h"
 
 #include <algorithm>
 #include <cstdlib>
 #include <utility>
 
 #include "node/steady_time.h"
-#include "standin/messages.h"
+#include "simulators/messages.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 namespace {
 
 constexpr Seconds kBurst = 1;
@@ -79,31 +79,33 @@
 }
 
 HttpReply StateServer::answer(const HttpRequest& request) {
-  if (request.path == wire::path::kTransaction) return transact(request);
+  if (request.path == wire::path::kTransaction) return compare_and_swap(request);
   if (request.path == wire::path::kStore) return page(request);
   if (request.path.starts_with(wire::path::kStore)) return read(request);
   if (request.path.starts_with(wire::path::kGrants)) return grants(request);
   return {kNotFound, {}, 0};
 }
 
-HttpReply StateServer::transact(const HttpRequest& request) {
+HttpReply StateServer::compare_and_swap(const HttpRequest& request) {
   const auto transaction = parse_transaction(request.body);
   if (!transaction) return {kBadRequest, {}, 0};
-  const auto writes = static_cast<double>(transaction->changes.size());
+  const auto writes = static_cast<double>(transaction->mutations.size());
   if (!writes_.take(writes, steady_now())) {
     ++counts_.refused;
     return {kTooManyRequests, {}, 0};
   }
-  counts_.writes += transaction->changes.size();
+  counts_.writes += transaction->mutations.size();
   std::vector<Store::Change> changes;
-  for (const auto& change : transaction->changes)
+  for (const auto& change : transaction->mutations)
     changes.push_back(change.value.empty() ? Store::remove(change.key)
                                            : Store::put(change.key, change.value, change.lease));
   if (!store_.leases_alive(changes)) return {kBadRequest, wire::error_body("no such lease"), 0};
-  const auto revision = store_.transact(transaction->guards, std::move(changes));
+  const auto revision = store_.compare_and_swap(transaction->preconditions, std::move(changes));
   if (!revision)
-    return {kConflict, conflict_body(store_.failed_guards(transaction->guards), store_.revision()),
-            0};
+    return {
+        kConflict,
+        conflict_body(store_.failed_preconditions(transaction->preconditions), store_.revision()),
+        0};
   store_.trim_log(kMostLogged);
   return {kOk, revision_body(*revision), 0};
 }
@@ -204,4 +206,4 @@
   });
 }
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/state_server.h
+++ b/src/simulators/state_server.h
@@ -6,12 +6,12 @@
 
 #include "config/settings.h"
 #include "net/http.h"
-#include "standin/key_value_store.h"
-#include "standin/rate_limit.h"
+#include "simulators/key_value_store.h"
+#include "simulators/rate_limit.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
-/// What the stand-in of the state service allows, as the protocol tells it.
+/// What the simulator of the state service allows, as the protocol tells it.
 struct StateServerOptions {
   double requests_per_s = 1000;
   double writes_per_s = 120;
@@ -26,7 +26,7 @@
   uint64_t bytes_in = 0, bytes_out = 0;
 };
 
-/// A stand-in of the state service on loopback: keys, pages, transactions, leases and watches of
+/// A simulator of the state service on loopback: keys, pages, transactions, leases and watches of
 /// the protocol, with its limits. It keeps everything in memory and answers any number of
 /// controllers.
 class StateServer {
@@ -49,7 +49,7 @@
 
   void handle(const HttpRequest& request, const Respond& respond);
   HttpReply answer(const HttpRequest& request);
-  HttpReply transact(const HttpRequest& request);
+  HttpReply compare_and_swap(const HttpRequest& request);
   HttpReply read(const HttpRequest& request) const;
   HttpReply page(const HttpRequest& request) const;
   HttpReply grants(const HttpRequest& request);
@@ -71,4 +71,4 @@
   HttpServer server_;
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/users.cpp
+++ b/src/simulators/users.cpp
@@ -1,12 +1,12 @@
-#include "standin/users.h"
+#include "simulators/users.h"
 
 #include <utility>
 
 #include "node/steady_time.h"
-#include "standin/messages.h"
+#include "simulators/messages.h"
 #include "wire/messages.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 namespace {
 
 constexpr size_t kConnectionsEach = 20;
@@ -83,9 +83,9 @@
                                 return again_later([this, id] { send_cancellation(id); });
                               }
                               const Seconds now = steady_now();
-                              if (status->state == wire::ShownState::Cancelled)
+                              if (status->state == wire::UserVisibleState::Cancelled)
                                 checker_.user_told_cancelled(id, now);
-                              if (status->state == wire::ShownState::Done)
+                              if (status->state == wire::UserVisibleState::Done)
                                 checker_.user_told_done(id, now);
                             });
 }
@@ -128,14 +128,14 @@
   }
   const Seconds now = steady_now();
   switch (status->state) {
-    case wire::ShownState::Done:
+    case wire::UserVisibleState::Done:
       return checker_.user_told_done(id, now);
-    case wire::ShownState::Cancelled:
+    case wire::UserVisibleState::Cancelled:
       return checker_.user_told_cancelled(id, now);
-    case wire::ShownState::Pending:
-    case wire::ShownState::Running:
+    case wire::UserVisibleState::Pending:
+    case wire::UserVisibleState::Running:
       return checker_.user_told_unfinished(id, asked_at);
   }
 }
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/users.h
+++ b/src/simulators/users.h
@@ -7,10 +7,10 @@
 
 #include "config/settings.h"
 #include "net/http_client.h"
-#include "standin/job_book.h"
-#include "standin/rule_checker.h"
+#include "simulators/job_book.h"
+#include "simulators/rule_checker.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 struct UserCounts {
   uint64_t requests = 0;
@@ -55,4 +55,4 @@
   UserCounts counts_;
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/worker_state.cpp
+++ b/src/simulators/worker_state.cpp
@@ -1,8 +1,8 @@
-#include "standin/worker_state.h"
+#include "simulators/worker_state.h"
 
 #include <algorithm>
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 WorkerHeartbeat WorkerState::heartbeat() {
   WorkerHeartbeat heartbeat;
@@ -48,4 +48,4 @@
   return &known->second;
 }
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/standin/worker_state.h
+++ b/src/simulators/worker_state.h
@@ -6,7 +6,7 @@
 #include "fleet/worker_heartbeat.h"
 #include "jobs/spec.h"
 
-namespace sumacquay::standin {
+namespace sumacquay::simulators {
 
 /// A start of a task as its worker has it.
 struct WorkerTask {
@@ -19,7 +19,7 @@
 };
 
 /// What a worker of the protocol keeps, without I/O: its agent epoch, the highest fencing token it
-/// has seen, and its tasks. The simulated deployments of the tests and the hollow workers of the
+/// has seen, and its tasks. The simulated deployments of the tests and the simulated workers of the
 /// load tool run on it.
 struct WorkerState {
   std::string id, addr, type, zone;
@@ -44,4 +44,4 @@
   WorkerTask* find(const Command& command);
 };
 
-}  // namespace sumacquay::standin
+}  // namespace sumacquay::simulators
--- a/src/store/store_client.cpp
+++ b/src/store/key_value_store_client.cpp
@@ -1,4 +1,4 @@
-#include "store/store_client.h"
+#include "store/key_value_store_client.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 /// How long the service has to answer / the workers' lease.
 constexpr double kDeadlineLeaseShare = 0.15;
 /// The part of a burst that less urgent requests leave alone.
-constexpr std::array<double, kUrgencies> kReserve{0.0, 0.1, 0.3};
+constexpr std::array<double, kPriorities> kReserve{0.0, 0.1, 0.3};
 
 constexpr size_t kUrgentQueued = 16;
 constexpr size_t kWatchQueued = 4;
@@ -26,31 +26,31 @@
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusUnavailable = 503;
 
-TxnResult read_transaction_answer(const HttpResult& answer, bool with_lease) {
-  TxnResult result;
+TransactionResult read_transaction_answer(const HttpResult& answer, bool with_lease) {
+  TransactionResult result;
   if (!answer.answered) return result;
   const auto revision = wire::parse_revision(answer.body);
   switch (answer.status) {
     case 200:
-      result.outcome = revision ? TxnOutcome::Committed : TxnOutcome::Unknown;
+      result.outcome = revision ? TransactionOutcome::Committed : TransactionOutcome::Unknown;
       result.revision = revision.value_or(0);
       break;
     case 409:
-      result.outcome = TxnOutcome::Conflict;
+      result.outcome = TransactionOutcome::PreconditionFailed;
       result.failed = wire::parse_failed(answer.body);
       break;
     case 400:
-      result.outcome = with_lease ? TxnOutcome::NoLease : TxnOutcome::TooLarge;
+      result.outcome = with_lease ? TransactionOutcome::NoLease : TransactionOutcome::TooLarge;
       break;
     default:
-      result.outcome = TxnOutcome::Refused;
+      result.outcome = TransactionOutcome::Refused;
   }
   return result;
 }
 
 }  // namespace
 
-StoreClient::StoreClient(asio::io_context& io, const Settings& s)
+KeyValueStoreClient::KeyValueStoreClient(asio::io_context& io, const Settings& s)
     : io_(io),
       deadline_s_(s.lease_s * kDeadlineLeaseShare),
       urgent_(io, s.state, fixed_sockets::kUrgentStateConnections, kUrgentQueued),
@@ -62,7 +62,7 @@
       refilled_(Clock::now()),
       last_served_(Clock::now()) {}
 
-HttpDone StoreClient::observe(HttpDone done) {
+HttpDone KeyValueStoreClient::observe(HttpDone done) {
   return [this, done = std::move(done)](HttpResult r) {
     if (r.answered && r.status == kStatusTooManyRequests) requests_.drain();
     if (r.answered && r.status != kStatusUnavailable && r.status != kStatusTooManyRequests)
@@ -71,27 +71,27 @@
   };
 }
 
-void StoreClient::send(HttpClient& client, Request request) {
+void KeyValueStoreClient::send(HttpClient& client, Request request) {
   client.request(request.method, request.target, request.body, deadline_s_,
                  observe(std::move(request.done)));
 }
 
 /// A request over the limit was not executed: it waits for the budget instead of failing, which
 /// would cost a user a second and more.
-void StoreClient::send_until_accepted(Urgency urgency, Request request) {
+void KeyValueStoreClient::send_until_accepted(RequestPriority priority, Request request) {
   Request attempt = request;
-  attempt.done = [this, urgency, request = std::move(request)](HttpResult result) {
+  attempt.done = [this, priority, request = std::move(request)](HttpResult result) {
     const std::chrono::duration<double> age = Clock::now() - request.asked_at;
     const bool refused = result.answered && result.status == kStatusTooManyRequests;
     if (!refused || age.count() > deadline_s_) return request.done(std::move(result));
-    queue(urgency).push_front(request);
+    queue(priority).push_front(request);
     send_queued_later();
   };
   send(normal_, std::move(attempt));
 }
 
-void StoreClient::submit(Urgency urgency, Request request) {
-  if (queue(urgency).size() >= kQueueLimit) {
+void KeyValueStoreClient::submit(RequestPriority priority, Request request) {
+  if (queue(priority).size() >= kQueueLimit) {
     HttpResult refused;
     refused.answered = true;
     refused.status = kStatusTooManyRequests;
@@ -99,11 +99,11 @@
     return;
   }
   request.asked_at = Clock::now();
-  queue(urgency).push_back(std::move(request));
+  queue(priority).push_back(std::move(request));
   send_queued();
 }
 
-void StoreClient::refill_buckets() {
+void KeyValueStoreClient::refill_buckets() {
   const auto now = Clock::now();
   const double elapsed_s = std::chrono::duration<double>(now - refilled_).count();
   refilled_ = now;
@@ -112,33 +112,35 @@
 }
 
 /// LeaderElection never waits for the budget: a renewal that comes late costs far more than a 429.
-bool StoreClient::within_budget(Urgency urgency, const Request& request) const {
-  if (urgency == Urgency::Leadership) return true;
-  if (!requests_.has(1, kReserve[static_cast<size_t>(urgency)])) return false;
+bool KeyValueStoreClient::within_budget(RequestPriority priority, const Request& request) const {
+  if (priority == RequestPriority::Leadership) return true;
+  if (!requests_.has(1, kReserve[static_cast<size_t>(priority)])) return false;
   // One write in the budget is enough for a transaction of several, which overdraws it.
   return request.writes <= 0 || writes_.has(std::min(request.writes, 1.0), 0);
 }
 
-void StoreClient::send_first(Urgency urgency) {
-  Request request = std::move(queue(urgency).front());
-  queue(urgency).pop_front();
+void KeyValueStoreClient::send_first(RequestPriority priority) {
+  Request request = std::move(queue(priority).front());
+  queue(priority).pop_front();
   requests_.take(1);
   writes_.take(request.writes);
-  if (urgency == Urgency::Leadership)
+  if (priority == RequestPriority::Leadership)
     send(urgent_, std::move(request));
   else
-    send_until_accepted(urgency, std::move(request));
+    send_until_accepted(priority, std::move(request));
 }
 
-void StoreClient::send_queued() {
+void KeyValueStoreClient::send_queued() {
   refill_buckets();
-  for (const Urgency urgency : {Urgency::Leadership, Urgency::Record, Urgency::Rest})
-    while (!queue(urgency).empty() && within_budget(urgency, queue(urgency).front()))
-      send_first(urgency);
-  if (!queue(Urgency::Record).empty() || !queue(Urgency::Rest).empty()) send_queued_later();
+  for (const RequestPriority priority :
+       {RequestPriority::Leadership, RequestPriority::Record, RequestPriority::Background})
+    while (!queue(priority).empty() && within_budget(priority, queue(priority).front()))
+      send_first(priority);
+  if (!queue(RequestPriority::Record).empty() || !queue(RequestPriority::Background).empty())
+    send_queued_later();
 }
 
-void StoreClient::send_queued_later() {
+void KeyValueStoreClient::send_queued_later() {
   if (timer_armed_) return;
   timer_armed_ = true;
   timer_.expires_after(kQueuePause);
@@ -148,37 +150,40 @@
   });
 }
 
-void StoreClient::transact(Urgency urgency, const std::vector<wire::Guard>& guards,
-                           const std::vector<wire::Change>& changes,
-                           std::function<void(TxnResult)> done) {
-  Request request{"POST", wire::path::kTransaction, wire::transaction_body(guards, changes),
+void KeyValueStoreClient::compare_and_swap(RequestPriority priority,
+                                           const std::vector<wire::Precondition>& preconditions,
+                                           const std::vector<wire::Mutation>& changes,
+                                           std::function<void(TransactionResult)> done) {
+  Request request{"POST", wire::path::kTransaction, wire::transaction_body(preconditions, changes),
                   static_cast<double>(changes.size()), nullptr};
-  const bool with_lease = std::any_of(changes.begin(), changes.end(),
-                                      [](const wire::Change& change) { return change.lease != 0; });
+  const bool with_lease =
+      std::any_of(changes.begin(), changes.end(),
+                  [](const wire::Mutation& change) { return change.lease != 0; });
   request.done = [done = std::move(done), with_lease](const HttpResult& result) {
     done(read_transaction_answer(result, with_lease));
   };
-  submit(urgency, std::move(request));
+  submit(priority, std::move(request));
 }
 
-void StoreClient::read(Urgency urgency, const std::string& target, HttpDone done) {
-  submit(urgency, Request{"GET", target, {}, 0, std::move(done)});
+void KeyValueStoreClient::read(RequestPriority priority, const std::string& target, HttpDone done) {
+  submit(priority, Request{"GET", target, {}, 0, std::move(done)});
 }
 
-void StoreClient::watch(const std::string& target, double wait_s, HttpDone done) {
+void KeyValueStoreClient::watch(const std::string& target, double wait_s, HttpDone done) {
   requests_.take(1);
   watches_.request("GET", target, {}, wait_s + deadline_s_, observe(std::move(done)));
 }
 
-void StoreClient::grant(double ttl_s, std::function<void(std::optional<uint64_t>)> done) {
-  submit(Urgency::Leadership,
+void KeyValueStoreClient::grant(double ttl_s, std::function<void(std::optional<uint64_t>)> done) {
+  submit(RequestPriority::Leadership,
          Request{"POST", wire::path::kGrants, wire::grant_body(static_cast<uint64_t>(ttl_s * 1000)),
                  0, [done = std::move(done)](const HttpResult& r) {
                    done(r.ok() ? wire::parse_lease(r.body) : std::nullopt);
                  }});
 }
 
-void StoreClient::renew(uint64_t lease, double deadline_s, std::function<void(Renewal)> done) {
+void KeyValueStoreClient::renew(uint64_t lease, double deadline_s,
+                                std::function<void(Renewal)> done) {
   requests_.take(1);
   urgent_.request("POST", wire::renew_path(lease), {}, deadline_s,
                   observe([done = std::move(done)](const HttpResult& r) {
@@ -187,8 +192,9 @@
                   }));
 }
 
-void StoreClient::revoke(uint64_t lease, HttpDone done) {
-  submit(Urgency::Leadership, Request{"DELETE", wire::grant_path(lease), {}, 0, std::move(done)});
+void KeyValueStoreClient::revoke(uint64_t lease, HttpDone done) {
+  submit(RequestPriority::Leadership,
+         Request{"DELETE", wire::grant_path(lease), {}, 0, std::move(done)});
 }
 
 }  // namespace sumacquay
--- a/src/store/store_client.h
+++ b/src/store/key_value_store_client.h
@@ -11,37 +11,39 @@
 namespace sumacquay {
 
 /// What became of a transaction.
-enum class TxnOutcome {
+enum class TransactionOutcome {
   Committed,
-  Conflict,  ///< a guard failed: nothing was changed
-  NoLease,   ///< the lease of a value has ended: nothing was changed
+  PreconditionFailed,  ///< a guard failed: nothing was changed
+  NoLease,             ///< the lease of a value has ended: nothing was changed
   TooLarge,  ///< without a lease in it: the service's limits are lower now; nothing was changed
   Refused,   ///< not executed: over a limit, or an outage
   Unknown,   ///< may have been executed, or may still be
 };
 
-struct TxnResult {
-  TxnOutcome outcome = TxnOutcome::Unknown;
+struct TransactionResult {
+  TransactionOutcome outcome = TransactionOutcome::Unknown;
   uint64_t revision = 0;
   std::vector<std::string> failed;  ///< keys whose guards failed
 };
 
 /// Who goes first when the state service's limits are near.
-enum class Urgency { Leadership, Record, Rest };
-inline constexpr size_t kUrgencies = 3;
+enum class RequestPriority { Leadership, Record, Background };
+inline constexpr size_t kPriorities = 3;
 
 /// Client of the state service: transactions, leases, reads and watches within the node's part of
 /// the service's rate limits. Called by the mirror, the election, the writer of records and the
 /// frontend. Guarantees that leadership's requests never wait for the budget, that each `done` is
 /// called once and never from inside the call that asked, and that a refused request is told apart
 /// from one that may have been executed.
-class StoreClient {
+class KeyValueStoreClient {
  public:
-  StoreClient(asio::io_context& io, const Settings& settings);
+  KeyValueStoreClient(asio::io_context& io, const Settings& settings);
 
-  void transact(Urgency urgency, const std::vector<wire::Guard>& guards,
-                const std::vector<wire::Change>& changes, std::function<void(TxnResult)> done);
-  void read(Urgency urgency, const std::string& target, HttpDone done);
+  void compare_and_swap(RequestPriority priority,
+                        const std::vector<wire::Precondition>& preconditions,
+                        const std::vector<wire::Mutation>& changes,
+                        std::function<void(TransactionResult)> done);
+  void read(RequestPriority priority, const std::string& target, HttpDone done);
   void watch(const std::string& target, double wait_s, HttpDone done);
   void grant(double ttl_s, std::function<void(std::optional<uint64_t>)> done);
   enum class Renewal { Renewed, Ended, Failed };
@@ -73,21 +75,23 @@
     double rate_, burst_, level_;
   };
 
-  void submit(Urgency urgency, Request request);
+  void submit(RequestPriority priority, Request request);
   void refill_buckets();
   void send_queued();
-  bool within_budget(Urgency urgency, const Request& request) const;
-  void send_first(Urgency urgency);
+  bool within_budget(RequestPriority priority, const Request& request) const;
+  void send_first(RequestPriority priority);
   void send_queued_later();
   void send(HttpClient& client, Request request);
-  void send_until_accepted(Urgency urgency, Request request);
-  std::deque<Request>& queue(Urgency urgency) { return queues_[static_cast<size_t>(urgency)]; }
+  void send_until_accepted(RequestPriority priority, Request request);
+  std::deque<Request>& queue(RequestPriority priority) {
+    return queues_[static_cast<size_t>(priority)];
+  }
   HttpDone observe(HttpDone done);
 
   asio::io_context& io_;
   double deadline_s_;
   HttpClient urgent_, normal_, watches_;  ///< pools of their own: none keeps another waiting
-  std::array<std::deque<Request>, kUrgencies> queues_;
+  std::array<std::deque<Request>, kPriorities> queues_;
   TokenBucket requests_, writes_;
   asio::steady_timer timer_;
   bool timer_armed_ = false;
--- a/src/store/mirror.cpp
+++ b/src/store/record_cache.cpp
@@ -1,4 +1,4 @@
-#include "store/mirror.h"
+#include "store/record_cache.h"
 
 #include <spdlog/spdlog.h>
 
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-Mirror::Mirror(asio::io_context& io, const Settings& settings, StoreClient& store,
-               size_t finished_kept)
+RecordCache::RecordCache(asio::io_context& io, const Settings& settings, KeyValueStoreClient& store,
+                         size_t finished_kept)
     : io_(io),
       store_(store),
       wait_s_(settings.lease_s),
@@ -51,16 +51,16 @@
       barrier_gap_s_(kBarrierGap / settings.state_rps),
       finished_kept_(finished_kept) {}
 
-void Mirror::start() {
+void RecordCache::start() {
   load();
 }
 
-void Mirror::enter(State next) {
+void RecordCache::enter(State next) {
   if (state_ != next) spdlog::info("records: {}", next == State::Loading ? "loading" : "following");
   state_ = next;
 }
 
-void Mirror::later(double seconds, std::function<void()> action) {
+void RecordCache::later(double seconds, std::function<void()> action) {
   auto timer = std::make_shared<asio::steady_timer>(
       io_, std::chrono::microseconds(static_cast<long long>(seconds * 1e6)));
   timer->async_wait([timer, action = std::move(action)](auto error) {
@@ -68,22 +68,22 @@
   });
 }
 
-void Mirror::later_unless_reloaded(double seconds, std::function<void()> action) {
+void RecordCache::schedule_unless_reloaded(double seconds, std::function<void()> action) {
   later(seconds, [this, generation = generation_, action = std::move(action)] {
     if (generation == generation_) action();
   });
 }
 
-void Mirror::load() {
+void RecordCache::load() {
   enter(State::Loading);
   ++generation_;
-  forget_all();
+  clear();
   loading_since_ = Clock::now();
-  refuse_waiting();
+  reject_waiting_barriers();
   load_page({});
 }
 
-void Mirror::forget_all() {
+void RecordCache::clear() {
   live_.clear();
   dependencies_.clear();
   reading_dependency_ = false;
@@ -92,22 +92,22 @@
   leader_ = {};
   term_ = {};
   leader_seen_ = 0;
-  unread_ = 0;
+  failed_reads_ = 0;
 }
 
-void Mirror::load_page(const LoadPosition& position) {
+void RecordCache::load_page(const LoadPosition& position) {
   const std::string target =
       wire::page_path(load_order()[position.prefix], position.after, kPageItems);
-  store_.read(Urgency::Record, target,
+  store_.read(RequestPriority::Record, target,
               [this, position, generation = generation_](const HttpResult& result) {
                 if (generation != generation_) return;
                 const auto page = result.ok() ? wire::parse_page(result.body) : std::nullopt;
-                if (page) return take_page(position, *page);
-                later_unless_reloaded(retry_s_, [this, position] { load_page(position); });
+                if (page) return apply_loaded_page(position, *page);
+                schedule_unless_reloaded(retry_s_, [this, position] { load_page(position); });
               });
 }
 
-void Mirror::take_page(const LoadPosition& position, const wire::StorePage& page) {
+void RecordCache::apply_loaded_page(const LoadPosition& position, const wire::StorePage& page) {
   // Changes are followed from the first page's revision on, so none between pages is missed.
   LoadPosition next = position;
   if (!next.first_revision) next.first_revision = page.revision;
@@ -122,98 +122,99 @@
   loading_done(*next.first_revision);
 }
 
-void Mirror::loading_done(uint64_t first_revision) {
+void RecordCache::loading_done(uint64_t first_revision) {
   revision_ = first_revision;
   known_at_ = loading_since_;
   enter(State::Following);
-  tell_leader_changed();
-  tell_job_changed("");
+  notify_leader_changed();
+  notify_job_changed("");
   read_unknown_dependencies();
   follow();
 }
 
-void Mirror::follow() {
+void RecordCache::follow() {
   const auto wait_ms = static_cast<uint64_t>(wait_s_ * 1000);
   store_.watch(wire::changes_path(keys::kRoot, revision_, wait_ms), wait_s_,
                [this, generation = generation_, asked_at = Clock::now()](const HttpResult& result) {
                  if (generation != generation_) return;
                  if (changes_are_gone(result)) return load();
-                 take_changes(result, asked_at);
+                 apply_watch_response(result, asked_at);
                });
 }
 
 /// Takes in what a watch brought, and watches on.
-void Mirror::take_changes(const HttpResult& result, Clock::time_point asked_at) {
+void RecordCache::apply_watch_response(const HttpResult& result, Clock::time_point asked_at) {
   const auto page = changes_of(result);
   if (page) apply(*page, asked_at);
-  note_read(result, page.has_value());
-  later_unless_reloaded(page ? kWatchGap : retry_s_, [this] { follow(); });
+  record_read_outcome(result, page.has_value());
+  schedule_unless_reloaded(page ? kWatchGap : retry_s_, [this] { follow(); });
 }
 
-void Mirror::read_barrier(BarrierDone done) {
+void RecordCache::read_barrier(BarrierDone done) {
   constexpr size_t kMostWaiting = 1000;
   if (!loaded() || waiting_.size() >= kMostWaiting) {
     asio::post(io_, [done = std::move(done)] { done(false); });
     return;
   }
   waiting_.push_back(std::move(done));
-  if (!barrier_running_) run_barrier();
+  if (!barrier_running_) send_barrier_read();
 }
 
 /// A barrier that runs while the copy is being loaded would be answered from a part of it.
-void Mirror::refuse_waiting() {
+void RecordCache::reject_waiting_barriers() {
   for (auto& done : std::exchange(waiting_, {}))
     asio::post(io_, [done = std::move(done)] { done(false); });
 }
 
-void Mirror::run_barrier() {
+void RecordCache::send_barrier_read() {
   barrier_running_ = true;
   // Only those who asked before the request is sent are served by it.
   auto served = std::make_shared<std::vector<BarrierDone>>(std::exchange(waiting_, {}));
   store_.read(
-      Urgency::Rest, wire::changes_path(keys::kRoot, revision_, 0),
+      RequestPriority::Background, wire::changes_path(keys::kRoot, revision_, 0),
       [this, served, generation = generation_, asked_at = Clock::now()](const HttpResult& result) {
         if (generation != generation_) return barrier_answered(*served, false);
         const auto page = changes_of(result);
         if (page) apply(*page, asked_at);
         if (changes_are_gone(result)) load();
-        if (generation == generation_) note_read(result, page.has_value());
+        if (generation == generation_) record_read_outcome(result, page.has_value());
         barrier_answered(*served, page.has_value());
       });
 }
 
-void Mirror::barrier_answered(const std::vector<BarrierDone>& served, bool fresh) {
+void RecordCache::barrier_answered(const std::vector<BarrierDone>& served, bool fresh) {
   for (const auto& done : served) done(fresh);
   later(barrier_gap_s_, [this] {
     barrier_running_ = false;
-    if (!waiting_.empty()) run_barrier();
+    if (!waiting_.empty()) send_barrier_read();
   });
 }
 
 /// The changes of a long absence can be more than an answer may hold, or than arrives in time. They
 /// would be asked for in vain until the service drops them; lists come in pages.
-void Mirror::note_read(const HttpResult& result, bool readable) {
+void RecordCache::record_read_outcome(const HttpResult& result, bool readable) {
   constexpr int kMostUnread = 3;
-  if (readable) unread_ = 0;
+  if (readable) failed_reads_ = 0;
   const bool refused = result.answered && !result.ok();
   if (readable || refused) return;
-  ++unread_;
+  ++failed_reads_;
   const std::chrono::duration<double> age = Clock::now() - known_at_;
-  if (unread_ >= kMostUnread && loaded() && age.count() > wait_s_) load_if_served();
+  if (failed_reads_ >= kMostUnread && loaded() && age.count() > wait_s_)
+    reload_if_store_reachable();
 }
 
 /// Where nothing at all is answered, an old copy is better than none.
-void Mirror::load_if_served() {
+void RecordCache::reload_if_store_reachable() {
   if (probing_) return;
   probing_ = true;
-  store_.read(Urgency::Rest, wire::page_path(keys::kLeader, "", 1),
+  store_.read(RequestPriority::Background, wire::page_path(keys::kLeader, "", 1),
               [this, generation = generation_](const HttpResult& result) {
                 probing_ = false;
-                if (result.ok() && generation == generation_ && unread_ > 0) load();
+                if (result.ok() && generation == generation_ && failed_reads_ > 0) load();
               });
 }
 
-void Mirror::apply(const wire::StorePage& page, Clock::time_point asked_at) {
+void RecordCache::apply(const wire::StorePage& page, Clock::time_point asked_at) {
   // Nothing says that changes come in their order: a key could come back after its deletion.
   std::vector<const wire::StoreItem*> newer;
   for (const auto& item : page.items)
@@ -226,7 +227,7 @@
   known_at_ = std::max(known_at_, asked_at);
 }
 
-void Mirror::apply_item(const wire::StoreItem& item) {
+void RecordCache::apply_item(const wire::StoreItem& item) {
   const auto id_after = [&](const std::string& prefix) { return item.key.substr(prefix.size()); };
   if (item.key.starts_with(keys::kLive)) return apply_live(id_after(keys::kLive), item);
   if (item.key.starts_with(keys::kFinished)) return apply_finished(id_after(keys::kFinished), item);
@@ -235,7 +236,7 @@
   if (item.key == keys::kTerm) return apply_term(item);
 }
 
-void Mirror::apply_live(const std::string& id, const wire::StoreItem& item) {
+void RecordCache::apply_live(const std::string& id, const wire::StoreItem& item) {
   const auto known = live_.find(id);
   if (known != live_.end() && known->second.version >= item.version) return;
   // A job that is over never comes back, whatever an older change says.
@@ -248,17 +249,17 @@
     track_dependencies(*record);
     live_[id] = {std::move(*record), item.version};
   }
-  if (loaded()) tell_job_changed(id);
+  if (loaded()) notify_job_changed(id);
 }
 
-void Mirror::apply_finished(const std::string& id, const wire::StoreItem& item) {
+void RecordCache::apply_finished(const std::string& id, const wire::StoreItem& item) {
   const auto record = item.value.missing() ? std::nullopt : wire::decode_finished(item.value);
   if (!record) return;
   remember_finished(id, *record);
-  if (loaded()) tell_job_changed(id);
+  if (loaded()) notify_job_changed(id);
 }
 
-void Mirror::apply_host(const std::string& id, const wire::StoreItem& item) {
+void RecordCache::apply_host(const std::string& id, const wire::StoreItem& item) {
   const auto known = hosts_.find(id);
   if (known != hosts_.end() && known->second.version >= item.version) return;
   const auto deleted = host_deleted_.find(id);
@@ -270,24 +271,24 @@
     hosts_.erase(id);
 }
 
-void Mirror::apply_leader(const wire::StoreItem& item) {
+void RecordCache::apply_leader(const wire::StoreItem& item) {
   if (item.version <= leader_seen_) return;
   leader_seen_ = item.version;
   leader_ = {};
   if (const auto record = leader_of(item)) leader_ = {*record, item.version};
-  if (loaded()) tell_leader_changed();
+  if (loaded()) notify_leader_changed();
 }
 
-void Mirror::apply_term(const wire::StoreItem& item) {
+void RecordCache::apply_term(const wire::StoreItem& item) {
   const auto record = leader_of(item);
   if (!record || item.version <= term_.version) return;
   term_ = {*record, item.version};
-  if (loaded()) tell_leader_changed();
+  if (loaded()) notify_leader_changed();
 }
 
 /// Jobs that are over when others come to depend on them are known from memory, or read. They stay
 /// among the live ones until nothing of them is left anywhere.
-void Mirror::track_dependencies(const JobRecord& record) {
+void RecordCache::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
     if (const auto* known = finished(id)) dependencies_.finished(id, known->state, known->ended_ms);
@@ -297,7 +298,7 @@
 }
 
 /// One at a time: they are few, but for a node that has just started.
-void Mirror::read_unknown_dependencies() {
+void RecordCache::read_unknown_dependencies() {
   if (reading_dependency_ || dependencies_.unknown().empty()) return;
   reading_dependency_ = true;
   const auto& unknown = dependencies_.unknown();
@@ -306,31 +307,31 @@
   read_dependency(dependency_read_);
 }
 
-void Mirror::read_dependency(const std::string& id) {
-  store_.read(Urgency::Record, wire::item_path(keys::kFinished + id),
-              [this, id, generation = generation_](const HttpResult& result) {
-                if (generation != generation_) return;
-                reading_dependency_ = false;
-                const auto page = result.ok() ? wire::parse_item(result.body) : std::nullopt;
-                const auto record =
-                    page ? wire::decode_finished(page->items[0].value) : std::nullopt;
-                if (!record)
-                  return later_unless_reloaded(retry_s_, [this] { read_unknown_dependencies(); });
-                learned_finished(id, *record);
-                tell_job_changed(id);
-                read_unknown_dependencies();
-              });
+void RecordCache::read_dependency(const std::string& id) {
+  store_.read(
+      RequestPriority::Record, wire::item_path(keys::kFinished + id),
+      [this, id, generation = generation_](const HttpResult& result) {
+        if (generation != generation_) return;
+        reading_dependency_ = false;
+        const auto page = result.ok() ? wire::parse_item(result.body) : std::nullopt;
+        const auto record = page ? wire::decode_finished(page->items[0].value) : std::nullopt;
+        if (!record)
+          return schedule_unless_reloaded(retry_s_, [this] { read_unknown_dependencies(); });
+        cache_finished(id, *record);
+        notify_job_changed(id);
+        read_unknown_dependencies();
+      });
 }
 
-void Mirror::tell_job_changed(const std::string& id) const {
+void RecordCache::notify_job_changed(const std::string& id) const {
   if (listener_.job_changed) listener_.job_changed(id);
 }
 
-void Mirror::tell_leader_changed() const {
+void RecordCache::notify_leader_changed() const {
   if (listener_.leader_changed) listener_.leader_changed();
 }
 
-void Mirror::remember_finished(const std::string& id, FinishedRecord record) {
+void RecordCache::remember_finished(const std::string& id, FinishedRecord record) {
   live_.erase(id);
   dependencies_.finished(id, record.state, record.ended_ms);
   dependencies_.forget(id);
@@ -341,49 +342,50 @@
   finished_order_.pop_front();
 }
 
-std::optional<FinishedRecord> Mirror::dependency_end(const std::string& id) const {
+std::optional<FinishedRecord> RecordCache::dependency_end(const std::string& id) const {
   if (const auto* record = finished(id)) return *record;
   return dependencies_.end_of(id);
 }
 
-const Versioned<JobRecord>* Mirror::live(const std::string& id) const {
+const Versioned<JobRecord>* RecordCache::live(const std::string& id) const {
   const auto found = live_.find(id);
   return found == live_.end() ? nullptr : &found->second;
 }
 
-const FinishedRecord* Mirror::finished(const std::string& id) const {
+const FinishedRecord* RecordCache::finished(const std::string& id) const {
   const auto found = finished_.find(id);
   return found == finished_.end() ? nullptr : &found->second;
 }
 
-bool Mirror::ended(const std::string& id) const {
+bool RecordCache::ended(const std::string& id) const {
   const auto* record = live(id);
   return record ? record->value.state != JobState::Pending : finished(id) != nullptr;
 }
 
 /// An answer that was held up may tell of a record that has changed or is gone since. The copy has
 /// that change already, or will have it once it is loaded.
-bool Mirror::ahead(uint64_t version) const {
+bool RecordCache::newer_than_cache(uint64_t version) const {
   return loaded() && version > revision_;
 }
 
-void Mirror::wrote_job(const JobRecord& record, uint64_t version) {
+void RecordCache::wrote_job(const JobRecord& record, uint64_t version) {
   const std::string& id = record.spec.id;
-  if (!ahead(version) || finished_.contains(id)) return;
+  if (!newer_than_cache(version) || finished_.contains(id)) return;
   auto& known = live_[id];
   if (known.version >= version) return;
   known = {record, version};
   track_dependencies(record);
-  tell_job_changed(id);
+  notify_job_changed(id);
 }
 
-void Mirror::wrote_finished(const std::string& id, FinishedRecord record, uint64_t /*version*/) {
+void RecordCache::wrote_finished(const std::string& id, FinishedRecord record,
+                                 uint64_t /*version*/) {
   remember_finished(id, record);
-  tell_job_changed(id);
+  notify_job_changed(id);
 }
 
-void Mirror::wrote_host(const std::string& id, const HostRecord* record, uint64_t version) {
-  if (!ahead(version)) return;
+void RecordCache::wrote_host(const std::string& id, const HostRecord* record, uint64_t version) {
+  if (!newer_than_cache(version)) return;
   if (record) {
     hosts_[id] = {*record, version};
     return;
@@ -392,8 +394,8 @@
   host_deleted_[id] = version;
 }
 
-void Mirror::wrote_leader(const wire::LeaderRecord& record, uint64_t version) {
-  if (!ahead(version)) return;
+void RecordCache::wrote_leader(const wire::LeaderRecord& record, uint64_t version) {
+  if (!newer_than_cache(version)) return;
   leader_seen_ = version;
   leader_ = {record, version};
   term_ = {record, version};
--- a/src/store/mirror.h
+++ b/src/store/record_cache.h
@@ -10,7 +10,7 @@
 
 #include "jobs/dependency_graph.h"
 #include "jobs/record.h"
-#include "store/store_client.h"
+#include "store/key_value_store_client.h"
 #include "wire/records.h"
 #include "wire/store_messages.h"
 
@@ -36,7 +36,7 @@
 /// A node's copy of the state service's records, kept up by a watch. The front end answers from it,
 /// and the node rebuilds the leader's picture from it. What it holds may be old, unless a read
 /// barrier has just been passed. Not thread-safe: everything happens on the io_context.
-class Mirror {
+class RecordCache {
  public:
   using Clock = std::chrono::steady_clock;
   using BarrierDone = std::function<void(bool fresh)>;
@@ -49,8 +49,8 @@
   /// Jobs that are over and still answered from memory; older ones are read again when asked for.
   static constexpr size_t kFinishedKept = 20000;
 
-  Mirror(asio::io_context& io, const Settings& settings, StoreClient& store,
-         size_t finished_kept = kFinishedKept);
+  RecordCache(asio::io_context& io, const Settings& settings, KeyValueStoreClient& store,
+              size_t finished_kept = kFinishedKept);
   /// Begins to load the copy, and then to follow the changes.
   void start();
   void set_listener(Listener listener) { listener_ = std::move(listener); }
@@ -91,7 +91,7 @@
   void wrote_host(const std::string& id, const HostRecord* record, uint64_t version);
   void wrote_leader(const wire::LeaderRecord& record, uint64_t version);
   /// What this node has read of a job that the copy doesn't keep.
-  void learned_finished(const std::string& id, FinishedRecord record) {
+  void cache_finished(const std::string& id, FinishedRecord record) {
     remember_finished(id, record);
   }
 
@@ -110,22 +110,22 @@
 
   // Loading.
   void load();
-  void forget_all();
+  void clear();
   void load_page(const LoadPosition& position);
-  void take_page(const LoadPosition& position, const wire::StorePage& page);
+  void apply_loaded_page(const LoadPosition& position, const wire::StorePage& page);
   void loading_done(uint64_t first_revision);
 
   // Following.
   void follow();
-  void take_changes(const HttpResult& result, Clock::time_point asked_at);
+  void apply_watch_response(const HttpResult& result, Clock::time_point asked_at);
   void apply(const wire::StorePage& page, Clock::time_point asked_at);
-  void note_read(const HttpResult& result, bool readable);
-  void load_if_served();
+  void record_read_outcome(const HttpResult& result, bool readable);
+  void reload_if_store_reachable();
 
   // Read barriers.
-  void run_barrier();
+  void send_barrier_read();
   void barrier_answered(const std::vector<BarrierDone>& served, bool fresh);
-  void refuse_waiting();
+  void reject_waiting_barriers();
 
   // One change of a key.
   void apply_item(const wire::StoreItem& item);
@@ -135,18 +135,18 @@
   void apply_leader(const wire::StoreItem& item);
   void apply_term(const wire::StoreItem& item);
   void remember_finished(const std::string& id, FinishedRecord record);
-  bool ahead(uint64_t version) const;
+  bool newer_than_cache(uint64_t version) const;
   void track_dependencies(const JobRecord& record);
   void read_unknown_dependencies();
   void read_dependency(const std::string& id);
-  void tell_job_changed(const std::string& id) const;
-  void tell_leader_changed() const;
+  void notify_job_changed(const std::string& id) const;
+  void notify_leader_changed() const;
 
   void later(double seconds, std::function<void()> action);
-  void later_unless_reloaded(double seconds, std::function<void()> action);
+  void schedule_unless_reloaded(double seconds, std::function<void()> action);
 
   asio::io_context& io_;
-  StoreClient& store_;
+  KeyValueStoreClient& store_;
   double wait_s_;         ///< how long a watch waits for a change
   double retry_s_;        ///< from a failed read to the next
   double barrier_gap_s_;  ///< from one barrier's answer to the next barrier
@@ -173,7 +173,7 @@
 
   std::vector<BarrierDone> waiting_;
   bool barrier_running_ = false;
-  int unread_ = 0;        ///< reads of changes in a row that brought nothing
+  int failed_reads_ = 0;  ///< reads of changes in a row that brought nothing
   bool probing_ = false;  ///< whether the service answers at all
 };
 
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -55,7 +55,7 @@
   machine.type = fields.text(field::kType, 0, kMostNameBytes);
   machine.zone = fields.text(field::kZone, 0, kMostNameBytes);
   machine.spot = fields.flag(field::kSpot);
-  machine.state = fields.choice(field::kStage, spelling::kMachineStates);
+  machine.state = fields.choice(field::kStage, enum_names::kMachineStates);
   machine.age_s = fields["age_s"].number().value_or(0);
   if (!fields.ok()) return std::nullopt;
   return machine;
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -11,8 +11,8 @@
 #include "wire/view.h"
 
 /// Helpers that the message modules of this directory share: packing MessagePack maps, spelling
-/// enumerators, and reading required fields. Private to src/wire and to the stand-ins of
-/// src/standin.
+/// enumerators, and reading required fields. Private to src/wire and to the simulators of
+/// src/simulators.
 namespace sumacquay::wire::codec {
 
 using Buffer = msgpack::sbuffer;
@@ -72,28 +72,28 @@
 
 /// How one enumerator is spelled on the wire.
 template <class Enum>
-struct Spelling {
+struct EnumName {
   Enum value;
   std::string_view text;
 };
 
 template <class Enum, size_t N>
-using Spellings = std::array<Spelling<Enum>, N>;
+using EnumNames = std::array<EnumName<Enum>, N>;
 
 /// The spelling of a value; empty if it has none.
 template <class Enum, size_t N>
-std::string_view spelling_of(const Spellings<Enum, N>& spellings, Enum value) {
-  for (const auto& spelling : spellings)
-    if (spelling.value == value) return spelling.text;
+std::string_view name_of(const EnumNames<Enum, N>& spellings, Enum value) {
+  for (const auto& enum_names : spellings)
+    if (enum_names.value == value) return enum_names.text;
   return {};
 }
 
 /// The value that is spelled so; none if it is no known spelling.
 template <class Enum, size_t N>
-std::optional<Enum> value_of(const Spellings<Enum, N>& spellings, View spelled) {
+std::optional<Enum> value_of(const EnumNames<Enum, N>& spellings, View spelled) {
   const auto text = spelled.text_view();
-  for (const auto& spelling : spellings)
-    if (text == spelling.text) return spelling.value;
+  for (const auto& enum_names : spellings)
+    if (text == enum_names.text) return enum_names.value;
   return std::nullopt;
 }
 
@@ -105,7 +105,7 @@
   std::string text(const char* name, size_t least, size_t most) {
     auto value = map_[name].text();
     if (value && value->size() >= least && value->size() <= most) return *value;
-    note_invalid(name);
+    record_invalid(name);
     return {};
   }
 
@@ -113,34 +113,34 @@
   double amount(const char* name) {
     const auto value = map_[name].number();
     if (value && *value >= 0 && *value <= kMostAmount) return *value;
-    note_invalid(name);
+    record_invalid(name);
     return 0;
   }
 
   bool flag(const char* name) {
     const auto value = map_[name].flag();
-    if (!value) note_invalid(name);
+    if (!value) record_invalid(name);
     return value.value_or(false);
   }
 
   uint64_t count(const char* name, uint64_t least, uint64_t most) {
     const auto value = map_[name].count();
     if (value && *value >= least && *value <= most) return *value;
-    note_invalid(name);
+    record_invalid(name);
     return least;
   }
 
   template <class Enum, size_t N>
-  Enum choice(const char* name, const Spellings<Enum, N>& spellings) {
+  Enum choice(const char* name, const EnumNames<Enum, N>& spellings) {
     const auto value = value_of(spellings, map_[name]);
-    if (!value) note_invalid(name);
+    if (!value) record_invalid(name);
     return value.value_or(spellings[0].value);
   }
 
   /// A field that may be missing, as it is.
   View operator[](const char* name) const { return map_[name]; }
 
-  void note_invalid(const char* name) {
+  void record_invalid(const char* name) {
     if (error_.empty()) error_ = std::string("missing or invalid field: ") + name;
   }
 
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -2,7 +2,7 @@
 
 /// The platform's spellings of fields that several messages use. A spelling that occurs in one
 /// message alone stands there, and those of our own records stand in records.cpp and heartbeat.cpp.
-/// Private to src/wire and the stand-ins.
+/// Private to src/wire and the simulators.
 namespace sumacquay::wire::field {
 
 // Jobs and tasks.
--- a/src/wire/job_spec_codec.cpp
+++ b/src/wire/job_spec_codec.cpp
@@ -28,9 +28,9 @@
 constexpr const char* kDeadline = "due_s";
 constexpr const char* kDependencies = "awaits";
 
-constexpr Spellings<JobKind, 3> kKinds{
+constexpr EnumNames<JobKind, 3> kKinds{
     {{JobKind::Array, "sweep"}, {JobKind::Gang, "ensemble"}, {JobKind::Service, "service"}}};
-constexpr Spellings<Priority, 4> kPriorities{{{Priority::Production, "production"},
+constexpr EnumNames<Priority, 4> kPriorities{{{Priority::Production, "production"},
                                               {Priority::High, "high"},
                                               {Priority::Normal, "normal"},
                                               {Priority::Low, "best_effort"}}};
@@ -39,12 +39,12 @@
 void read_types(Fields& fields, JobSpec& spec) {
   const View types = fields[field::kTypes];
   if (types.missing()) return;
-  if (!types.is_list() || types.size() > kMostTypes) fields.note_invalid(field::kTypes);
+  if (!types.is_list() || types.size() > kMostTypes) fields.record_invalid(field::kTypes);
   spec.types.emplace();
   for (size_t i = 0; i < types.size() && fields.ok(); ++i) {
     const auto type = types.at(i).text();
     if (!type || type->size() > kMostNameBytes)
-      fields.note_invalid(field::kTypes);
+      fields.record_invalid(field::kTypes);
     else
       spec.types->push_back(*type);
   }
@@ -54,11 +54,11 @@
 void read_dependencies(Fields& fields, JobSpec& spec) {
   const View dependencies = fields[kDependencies];
   if (dependencies.missing()) return;
-  if (!dependencies.is_list()) return fields.note_invalid(kDependencies);
+  if (!dependencies.is_list()) return fields.record_invalid(kDependencies);
   std::unordered_set<std::string> seen;
   for (size_t i = 0; i < dependencies.size(); ++i) {
     auto id = dependencies.at(i).text();
-    if (!id || !valid_job_id(*id)) return fields.note_invalid(kDependencies);
+    if (!id || !valid_job_id(*id)) return fields.record_invalid(kDependencies);
     if (seen.insert(*id).second) spec.dependencies.push_back(std::move(*id));
   }
 }
@@ -76,7 +76,7 @@
 
 void read_spec(Fields& fields, JobSpec& spec) {
   spec.id = fields.text(field::kId, 1, kMostNameBytes);
-  if (fields.ok() && !valid_job_id(spec.id)) fields.note_invalid(field::kId);
+  if (fields.ok() && !valid_job_id(spec.id)) fields.record_invalid(field::kId);
   spec.job_class = fields.text(kJobClass, 0, kMostNameBytes);
   spec.team = fields.text(kTeam, 0, kMostNameBytes);
   spec.kind = fields.choice(kKind, kKinds);
@@ -104,8 +104,8 @@
   pack_field(packer, field::kId, spec.id);
   pack_field(packer, kJobClass, spec.job_class);
   pack_field(packer, kTeam, spec.team);
-  pack_field(packer, kKind, spelling_of(kKinds, spec.kind));
-  pack_field(packer, kPriority, spelling_of(kPriorities, spec.priority));
+  pack_field(packer, kKind, name_of(kKinds, spec.kind));
+  pack_field(packer, kPriority, name_of(kPriorities, spec.priority));
   pack_field(packer, field::kTasks, uint64_t{spec.tasks});
   pack_field(packer, field::kCpus, spec.request.cpus);
   pack_field(packer, field::kGpus, spec.request.gpus);
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -36,7 +36,7 @@
 constexpr const char* kTerm = "term";
 constexpr const char* kLease = "lease";
 
-constexpr codec::Spellings<JobState, 3> kJobStates{
+constexpr codec::EnumNames<JobState, 3> kJobStates{
     {{JobState::Pending, "pending"}, {JobState::Cancelled, "cancelled"}, {JobState::Done, "done"}}};
 
 void pack_ranges(Packer& packer, const Ranges& ranges) {
@@ -78,7 +78,7 @@
     packer.pack_map(count_fields(record));
     codec::pack_text(packer, kSpec);
     codec::pack_spec(packer, record.spec);
-    pack_field(packer, kState, spelling_of(kJobStates, record.state));
+    pack_field(packer, kState, name_of(kJobStates, record.state));
     pack_field(packer, kStarted, record.started);
     if (record.hosts) {
       codec::pack_text(packer, kHosts);
@@ -120,7 +120,7 @@
 std::string encode_finished(const FinishedRecord& record) {
   return build([&](Packer& packer) {
     packer.pack_map(record.ended_ms > 0 ? 3 : 2);
-    pack_field(packer, kState, spelling_of(kJobStates, record.state));
+    pack_field(packer, kState, name_of(kJobStates, record.state));
     pack_field(packer, kDone, uint64_t{record.done});
     if (record.ended_ms > 0) pack_field(packer, kEndedAt, record.ended_ms);
   });
--- a/src/wire/spellings.h
+++ b/src/wire/spellings.h
@@ -4,17 +4,17 @@
 #include "wire/user_messages.h"
 
 /// How the platform spells enumerators that both sides of a message need: src/wire, and the
-/// stand-ins of src/standin, which speak for workers, users, the cloud and the state service.
-namespace sumacquay::wire::spelling {
+/// simulators of src/simulators, which speak for workers, users, the cloud and the state service.
+namespace sumacquay::wire::enum_names {
 
-using codec::Spellings;
+using codec::EnumNames;
 
-inline constexpr Spellings<TaskState, 5> kTaskStates{{{TaskState::Fetching, "fetching"},
+inline constexpr EnumNames<TaskState, 5> kTaskStates{{{TaskState::Fetching, "fetching"},
                                                       {TaskState::Waiting, "waiting"},
                                                       {TaskState::Running, "running"},
                                                       {TaskState::Checkpointing, "flushing"},
                                                       {TaskState::Exited, "exited"}}};
-inline constexpr Spellings<ExitCause, 8> kExitCauses{{{ExitCause::Done, "done"},
+inline constexpr EnumNames<ExitCause, 8> kExitCauses{{{ExitCause::Done, "done"},
                                                       {ExitCause::Stopped, "stopped"},
                                                       {ExitCause::PeerHeartbeats, "mates_gone"},
                                                       {ExitCause::Alone, "alone"},
@@ -22,17 +22,18 @@
                                                       {ExitCause::NoRoom, "no_room"},
                                                       {ExitCause::Busy, "in_use"},
                                                       {ExitCause::Unknown, "unknown"}}};
-inline constexpr Spellings<Verb, 3> kVerbs{
+inline constexpr EnumNames<Verb, 3> kVerbs{
     {{Verb::Start, "start"}, {Verb::Stop, "kill"}, {Verb::Forget, "clear"}}};
 
-inline constexpr Spellings<ShownState, 4> kShownStates{{{ShownState::Pending, "pending"},
-                                                        {ShownState::Running, "running"},
-                                                        {ShownState::Done, "done"},
-                                                        {ShownState::Cancelled, "cancelled"}}};
+inline constexpr EnumNames<UserVisibleState, 4> kUserVisibleStates{
+    {{UserVisibleState::Pending, "pending"},
+     {UserVisibleState::Running, "running"},
+     {UserVisibleState::Done, "done"},
+     {UserVisibleState::Cancelled, "cancelled"}}};
 
-inline constexpr Spellings<ListedMachine::State, 3> kMachineStates{
+inline constexpr EnumNames<ListedMachine::State, 3> kMachineStates{
     {{ListedMachine::State::Booting, "starting"},
      {ListedMachine::State::Running, "running"},
      {ListedMachine::State::Failed, "failed"}}};
 
-}  // namespace sumacquay::wire::spelling
+}  // namespace sumacquay::wire::enum_names
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -50,27 +50,27 @@
   return page;
 }
 
-void pack_guards(Packer& packer, const std::vector<Guard>& guards) {
+void pack_preconditions(Packer& packer, const std::vector<Precondition>& preconditions) {
   pack_text(packer, "guards");
-  pack_list(packer, guards.size());
-  for (const auto& guard : guards) {
+  pack_list(packer, preconditions.size());
+  for (const auto& precondition : preconditions) {
     packer.pack_map(2);
-    pack_field(packer, field::kKey, guard.key);
-    pack_field(packer, field::kVersion, guard.version);
+    pack_field(packer, field::kKey, precondition.key);
+    pack_field(packer, field::kVersion, precondition.version);
   }
 }
 
-void pack_change(codec::Buffer& buffer, Packer& packer, const Change& change) {
-  if (change.value.empty()) {
+void pack_mutation(codec::Buffer& buffer, Packer& packer, const Mutation& mutation) {
+  if (mutation.value.empty()) {
     packer.pack_map(1);
-    pack_field(packer, field::kDelete, change.key);
+    pack_field(packer, field::kDelete, mutation.key);
     return;
   }
-  packer.pack_map(change.lease ? 3 : 2);
-  pack_field(packer, field::kSet, change.key);
+  packer.pack_map(mutation.lease ? 3 : 2);
+  pack_field(packer, field::kSet, mutation.key);
   pack_text(packer, field::kValue);
-  buffer.write(change.value.data(), change.value.size());  // it is encoded already
-  if (change.lease) pack_field(packer, field::kLease, change.lease);
+  buffer.write(mutation.value.data(), mutation.value.size());  // it is encoded already
+  if (mutation.lease) pack_field(packer, field::kLease, mutation.lease);
 }
 
 }  // namespace
@@ -109,14 +109,15 @@
   return parse_list(body, "log", read_change);
 }
 
-std::string transaction_body(const std::vector<Guard>& guards, const std::vector<Change>& changes) {
+std::string transaction_body(const std::vector<Precondition>& preconditions,
+                             const std::vector<Mutation>& mutations) {
   codec::Buffer buffer;
   Packer packer(buffer);
   packer.pack_map(2);
-  pack_guards(packer, guards);
+  pack_preconditions(packer, preconditions);
   pack_text(packer, "apply");
-  pack_list(packer, changes.size());
-  for (const auto& change : changes) pack_change(buffer, packer, change);
+  pack_list(packer, mutations.size());
+  for (const auto& mutation : mutations) pack_mutation(buffer, packer, mutation);
   return {buffer.data(), buffer.size()};
 }
 
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -36,13 +36,13 @@
 };
 
 /// What a key must be for a transaction to be carried out.
-struct Guard {
+struct Precondition {
   std::string key;
   uint64_t version = 0;  ///< 0: the key does not exist
 };
 
 /// What a transaction does to a key.
-struct Change {
+struct Mutation {
   std::string key;
   std::string value;   ///< encoded; empty: delete
   uint64_t lease = 0;  ///< the value lasts as long as this lease; 0: until it is changed
@@ -68,7 +68,8 @@
 std::optional<StorePage> parse_changes(std::string_view body);
 
 /// A transaction: all changes are made if every guard holds, else none.
-std::string transaction_body(const std::vector<Guard>& guards, const std::vector<Change>& changes);
+std::string transaction_body(const std::vector<Precondition>& preconditions,
+                             const std::vector<Mutation>& mutations);
 
 /// Reads the revision at which a transaction was carried out.
 std::optional<uint64_t> parse_revision(std::string_view body);
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -46,19 +46,20 @@
   return {std::move(spec), {}, std::move(id)};
 }
 
-std::string job_answer(const std::string& id, ShownState state) {
+std::string job_answer(const std::string& id, UserVisibleState state) {
   return build([&](Packer& packer) {
     packer.pack_map(2);
     pack_field(packer, field::kId, id);
-    pack_field(packer, field::kStage, spelling_of(spelling::kShownStates, state));
+    pack_field(packer, field::kStage, name_of(enum_names::kUserVisibleStates, state));
   });
 }
 
-std::string job_status(const std::string& id, ShownState state, uint32_t done, uint32_t running) {
+std::string job_status(const std::string& id, UserVisibleState state, uint32_t done,
+                       uint32_t running) {
   return build([&](Packer& packer) {
     packer.pack_map(4);
     pack_field(packer, field::kId, id);
-    pack_field(packer, field::kStage, spelling_of(spelling::kShownStates, state));
+    pack_field(packer, field::kStage, name_of(enum_names::kUserVisibleStates, state));
     pack_field(packer, "done", uint64_t{done});
     pack_field(packer, "running", uint64_t{running});
   });
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -25,7 +25,7 @@
 };
 
 /// A job's state as users are told it.
-enum class ShownState { Pending, Running, Done, Cancelled };
+enum class UserVisibleState { Pending, Running, Done, Cancelled };
 
 /// Whether this can be a job's id: a fixed prefix and digits, so it is safe in keys and paths.
 bool valid_job_id(std::string_view id);
@@ -34,10 +34,11 @@
 ParsedJob parse_job(std::string_view body);
 
 /// Answers an acceptance or a cancellation.
-std::string job_answer(const std::string& id, ShownState state);
+std::string job_answer(const std::string& id, UserVisibleState state);
 
 /// Answers a question: how many tasks are done, and how many run.
-std::string job_status(const std::string& id, ShownState state, uint32_t done, uint32_t running);
+std::string job_status(const std::string& id, UserVisibleState state, uint32_t done,
+                       uint32_t running);
 
 /// Says why a request was not carried out. Workers and the platform's probes get it as well.
 std::string error_body(const std::string& error);
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -44,7 +44,7 @@
 
 /// A cause that is missing or unknown counts as an error of a task that has exited.
 ExitCause parse_exit_cause(View task, TaskState state) {
-  const auto cause = value_of(spelling::kExitCauses, task["cause"]);
+  const auto cause = value_of(enum_names::kExitCauses, task["cause"]);
   if (cause) return *cause;
   return state == TaskState::Exited ? ExitCause::Error : ExitCause::None;
 }
@@ -52,7 +52,7 @@
 std::optional<TaskStatus> parse_task(View task) {
   const auto key = parse_task_name(task[field::kTask]);
   const auto attempt = task[field::kAttempt].count();
-  const auto state = value_of(spelling::kTaskStates, task[field::kStage]);
+  const auto state = value_of(enum_names::kTaskStates, task[field::kStage]);
   if (!key || !attempt || !state) return std::nullopt;
   return TaskStatus{*key, *attempt, *state, parse_exit_cause(task, *state)};
 }
@@ -82,7 +82,7 @@
 void pack_command(Packer& packer, const Command& command) {
   const bool stops = command.verb == Verb::Stop;
   packer.pack_map(stops ? 4 : 3);
-  pack_field(packer, "verb", spelling_of(spelling::kVerbs, command.verb));
+  pack_field(packer, "verb", name_of(enum_names::kVerbs, command.verb));
   pack_field(packer, field::kTask, task_name(command.key));
   pack_field(packer, field::kAttempt, command.attempt);
   if (stops) pack_field(packer, "easing_s", command.grace_s);
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -70,8 +70,8 @@
 
   void take_over() const {
     for (size_t i = 0; i < kMachines; ++i)
-      scheduler->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
-    scheduler->job_stored(array("job-1", kTasks), 5, now);
+      scheduler->restore_machine({machine(i), "10.0.0.2:9", "g", "e", false}, now);
+    scheduler->on_job_record(array("job-1", kTasks), 5, now);
     heartbeat_all(1, TaskState::Running);
   }
 };
@@ -94,9 +94,9 @@
 
 TEST_F(LargeArray, ATakeoverThatReadsTheRecordLastLooksAtEachTaskTwiceAtMost) {
   for (size_t i = 0; i < kMachines; ++i)
-    scheduler->host_stored({machine(i), "10.0.0.2:9", "g", "e", false}, now);
+    scheduler->restore_machine({machine(i), "10.0.0.2:9", "g", "e", false}, now);
   heartbeat_all(1, TaskState::Running);
-  scheduler->job_stored(array("job-1", kTasks), 5, now);
+  scheduler->on_job_record(array("job-1", kTasks), 5, now);
   ASSERT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), kTasks);
   EXPECT_LE(scheduler->work().adoption_checks, 2 * kTasks);
 }
@@ -104,7 +104,8 @@
 TEST_F(LargeArray, AJobThatArrivesLooksAtNoOtherJobsTasks) {
   take_over();
   const size_t before = scheduler->work().adoption_checks;
-  for (int i = 2; i < 50; ++i) scheduler->job_stored(array("job-" + std::to_string(i), 1), 5, now);
+  for (int i = 2; i < 50; ++i)
+    scheduler->on_job_record(array("job-" + std::to_string(i), 1), 5, now);
   EXPECT_EQ(scheduler->work().adoption_checks, before);
 }
 
--- a/tests/decision_scenarios.cpp
+++ b/tests/decision_scenarios.cpp
@@ -4,112 +4,113 @@
 #include <map>
 #include <string>
 
-#include "world/world.h"
+#include "simulation/simulation.h"
 
 namespace sumacquay::testing {
 namespace {
 
-using simulation::World;
-using simulation::WorldOptions;
+using simulation::Simulation;
+using simulation::SimulationOptions;
 
 constexpr Seconds kFaultsFor = 300, kQuietFor = 250;
 
-void play_history(World& world) {
-  world.run(kFaultsFor, kQuietFor);
+void play_history(Simulation& simulation) {
+  simulation.run(kFaultsFor, kQuietFor);
 }
 
-JobSpec small_service(World& world) {
-  JobSpec spec = world.users().any_spec();
+JobSpec small_service(Simulation& simulation) {
+  JobSpec spec = simulation.users().any_spec();
   spec.kind = JobKind::Service;
   spec.one_zone = false;
   return spec;
 }
 
 /// Services stay while others go, so that replicas are moved together and machines are returned.
-void play_fragmentation(World& world) {
+void play_fragmentation(Simulation& simulation) {
   constexpr int kServices = 24;
   std::vector<std::string> services;
   for (int i = 0; i < kServices; ++i) {
-    services.push_back(world.users().submit(small_service(world)));
-    world.run_for(2);
+    services.push_back(simulation.users().submit(small_service(simulation)));
+    simulation.run_for(2);
   }
-  world.run_for(60);
-  for (size_t i = 0; i < services.size(); i += 2) world.users().cancel(services[i]);
-  world.run_for(400);
-  world.finish();
+  simulation.run_for(60);
+  for (size_t i = 0; i < services.size(); i += 2) simulation.users().cancel(services[i]);
+  simulation.run_for(400);
+  simulation.finish();
 }
 
 /// The state service refuses the leader alone, jobs are cancelled, and then it is out for all.
-void play_refused_leader_and_outage(World& world) {
-  for (int i = 0; i < 6; ++i) world.users().submit_any();
-  world.run_for(40);
-  world.faults().refuse(world.leader_or_first(), 200);
-  world.run_for(1);
-  for (const auto& job : world.jobs_running()) world.users().cancel(job, world.follower());
-  world.run_for(2);
-  world.faults().outage(30);
-  world.run_for(60);
-  world.finish();
+void play_refused_leader_and_outage(Simulation& simulation) {
+  for (int i = 0; i < 6; ++i) simulation.users().submit_any();
+  simulation.run_for(40);
+  simulation.faults().refuse(simulation.leader_or_first(), 200);
+  simulation.run_for(1);
+  for (const auto& job : simulation.jobs_running())
+    simulation.users().cancel(job, simulation.follower());
+  simulation.run_for(2);
+  simulation.faults().outage(30);
+  simulation.run_for(60);
+  simulation.finish();
 }
 
 /// A zone is cut off for longer than a worker's lease while there is work.
-void play_zone_cut(World& world) {
-  for (int i = 0; i < 8; ++i) world.users().submit_any();
-  world.run_for(40);
-  world.faults().cut_zone(simulation::kEast, 25);
-  for (int i = 0; i < 8; ++i) world.users().submit_any();
-  world.run_for(60);
-  world.finish();
+void play_zone_cut(Simulation& simulation) {
+  for (int i = 0; i < 8; ++i) simulation.users().submit_any();
+  simulation.run_for(40);
+  simulation.faults().cut_zone(simulation::kEast, 25);
+  for (int i = 0; i < 8; ++i) simulation.users().submit_any();
+  simulation.run_for(60);
+  simulation.finish();
 }
 
 /// Leaders change again and again while jobs come and go.
-void play_failovers(World& world) {
+void play_failovers(Simulation& simulation) {
   constexpr int kFailovers = 8;
   for (int i = 0; i < kFailovers; ++i) {
-    world.users().submit_any();
-    world.run_for(12);
-    world.faults().end_process(world.leader_or_first(), 3);
+    simulation.users().submit_any();
+    simulation.run_for(12);
+    simulation.faults().end_process(simulation.leader_or_first(), 3);
   }
-  world.finish();
+  simulation.finish();
 }
 
 struct ScenarioKind {
   uint64_t seeds = 0;
-  WorldOptions options;
-  std::function<void(World&)> play;
+  SimulationOptions options;
+  std::function<void(Simulation&)> play;
 };
 
-WorldOptions with_tight_cancellation() {
-  WorldOptions options;
+SimulationOptions with_tight_cancellation() {
+  SimulationOptions options;
   options.cancel_s = 16;
   options.task_most = 40;
   options.controller_zones = {"east", "west", "west"};
   return options;
 }
 
-WorldOptions with_prompt_dispatch() {
-  WorldOptions options;
+SimulationOptions with_prompt_dispatch() {
+  SimulationOptions options;
   options.prompt_dispatch = true;
   return options;
 }
 
-WorldOptions with_fair_share() {
-  WorldOptions options;
+SimulationOptions with_fair_share() {
+  SimulationOptions options;
   options.open_team_gpus = 6;
   options.task_least = 20;
   options.task_most = 60;
   return options;
 }
 
-WorldOptions with_long_tasks() {
-  WorldOptions options;
+SimulationOptions with_long_tasks() {
+  SimulationOptions options;
   options.task_least = 60;
   options.task_most = 90;
   return options;
 }
 
-WorldOptions with_many_machines() {
-  WorldOptions options;
+SimulationOptions with_many_machines() {
+  SimulationOptions options;
   options.machines = 10;
   options.most_machines = 24;
   return options;
@@ -140,12 +141,12 @@
 
 std::string decision_digest(const DecisionScenario& scenario) {
   const ScenarioKind& kind = kinds().at(scenario.name);
-  WorldOptions options = kind.options;
+  SimulationOptions options = kind.options;
   // Silent machines are given back and gone within seconds, or kept for the length of a cut.
   options.nominal_boot_s = scenario.seed % 2 ? 5 : 60;
-  World world(scenario.seed, options);
-  kind.play(world);
-  return world.decision_digest();
+  Simulation simulation(scenario.seed, options);
+  kind.play(simulation);
+  return simulation.decision_digest();
 }
 
 }  // namespace sumacquay::testing
--- a/tests/dependents_leader_test.cpp
+++ b/tests/dependents_leader_test.cpp
@@ -42,18 +42,18 @@
   }
   /// A machine that nobody has accounted for: what may be on it stays among the live records.
   void add_silent_machine() const {
-    scheduler->host_stored({"i-1", "10.0.0.1:9", "g", "e", false}, kNow);
+    scheduler->restore_machine({"i-1", "10.0.0.1:9", "g", "e", false}, kNow);
   }
 };
 
 TEST_F(LeaderOfDependents, WritesDownThatTheyAreCancelledWhicheverRecordItReadsFirst) {
   add_silent_machine();
-  scheduler->job_stored(ended("job-1", JobState::Cancelled), 1, kNow);
-  scheduler->job_stored(job("job-3", {"job-2"}), 1, kNow);
-  scheduler->job_stored(job("job-2", {"job-1"}), 1, kNow);
+  scheduler->on_job_record(ended("job-1", JobState::Cancelled), 1, kNow);
+  scheduler->on_job_record(job("job-3", {"job-2"}), 1, kNow);
+  scheduler->on_job_record(job("job-2", {"job-1"}), 1, kNow);
   EXPECT_TRUE(scheduler->unknown_dependencies().empty());
   std::set<std::string> cancelled;
-  for (const auto& write : scheduler->wanted_writes(kNow, kMostChanges))
+  for (const auto& write : scheduler->plan_writes(kNow, kMostChanges))
     if (write.finished && write.record->state == JobState::Cancelled) cancelled.insert(write.job);
   const std::set<std::string> dependents{"job-2", "job-3"};
   EXPECT_EQ(cancelled, dependents) << "tasks of the first may still run";
@@ -61,10 +61,10 @@
 
 TEST_F(LeaderOfDependents, KnowsOfAnEndAmongTheLiveRecords) {
   add_silent_machine();
-  scheduler->job_stored(ended("job-1", JobState::Done), 1, kNow);
-  scheduler->job_stored(job("job-2", {"job-1"}), 1, kNow);
+  scheduler->on_job_record(ended("job-1", JobState::Done), 1, kNow);
+  scheduler->on_job_record(job("job-2", {"job-1"}), 1, kNow);
   EXPECT_TRUE(scheduler->unknown_dependencies().empty());
-  scheduler->job_stored(job("job-3", {"job-9"}), 1, kNow);
+  scheduler->on_job_record(job("job-3", {"job-9"}), 1, kNow);
   EXPECT_EQ(scheduler->unknown_dependencies(), std::set<std::string>{"job-9"});
 }
 
--- a/tests/dependents_test.cpp
+++ b/tests/dependents_test.cpp
@@ -49,7 +49,7 @@
     return record;
   }
 
-  void store(const JobRecord& record) { scheduler_->job_stored(record, ++revision_, now_); }
+  void store(const JobRecord& record) { scheduler_->on_job_record(record, ++revision_, now_); }
 
   void heartbeat(std::vector<TaskStatus> tasks = {}) {
     WorkerHeartbeat worker;
@@ -70,9 +70,9 @@
     scheduler_->request_round();
     scheduler_->tick(now_);
     for (int i = 0; i < 3; ++i)
-      for (const auto& write : scheduler_->wanted_writes(now_, 20)) {
+      for (const auto& write : scheduler_->plan_writes(now_, 20)) {
         written_.push_back(write);
-        scheduler_->write_done(write, true, ++revision_, now_);
+        scheduler_->on_write_answered(write, true, ++revision_, now_);
       }
   }
 
@@ -137,7 +137,7 @@
   round();
   EXPECT_FALSE(assignments("job-2"));
   EXPECT_EQ(scheduler_->unknown_dependencies(), std::set<std::string>{"job-1"});
-  scheduler_->dependency_finished("job-1", {JobState::Done, 2, 5000});
+  scheduler_->on_dependency_finished("job-1", {JobState::Done, 2, 5000});
   round();
   EXPECT_TRUE(assignments("job-2"));
 }
@@ -161,7 +161,7 @@
 /// What its record tells of the dependencies ends with the start: only when it was ready stays.
 TEST_F(DependentJobs, KeepTheTimeWhenTheyWereReadyInTheirRecord) {
   store(job("job-2", {"job-1"}));
-  scheduler_->dependency_finished("job-1", {JobState::Done, 2, 900000});
+  scheduler_->on_dependency_finished("job-1", {JobState::Done, 2, 900000});
   round();
   ASSERT_NE(last_write_of("job-2"), nullptr);
   const JobRecord& record = *last_write_of("job-2")->record;
@@ -214,7 +214,7 @@
   younger.submitted_ms = 500000;
   store(older);
   store(younger);
-  scheduler_->dependency_finished("job-1", {JobState::Done, 2, 900000});
+  scheduler_->on_dependency_finished("job-1", {JobState::Done, 2, 900000});
   round();
   EXPECT_TRUE(assignments("job-3"));
   EXPECT_FALSE(assignments("job-2"));
--- a/tests/encodings_test.cpp
+++ b/tests/encodings_test.cpp
@@ -137,9 +137,9 @@
 }
 
 TEST(Encodings, OfAnswersToUsersStayTheSame) {
-  EXPECT_EQ(hex(wire::job_answer("job-1", wire::ShownState::Pending)),
+  EXPECT_EQ(hex(wire::job_answer("job-1", wire::UserVisibleState::Pending)),
             "82a26964a56a6f622d31a57374616765a770656e64696e67");
-  EXPECT_EQ(hex(wire::job_status("job-1", wire::ShownState::Running, 3, 400)),
+  EXPECT_EQ(hex(wire::job_status("job-1", wire::UserVisibleState::Running, 3, 400)),
             "84a26964a56a6f622d31a57374616765a772756e6e696e67a4646f6e6503a772756e6e696e67cd01"
             "90");
   EXPECT_EQ(hex(wire::error_body("no such job")), "81a56572726f72ab6e6f2073756368206a6f62");
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -241,7 +241,7 @@
     record.spec = std::move(job);
     for (uint32_t task = 0; task < done; ++task) record.done.add(task);
     record.submitted_ms = static_cast<uint64_t>(now_ * 1000);
-    scheduler_->job_stored(record, ++revision_, now_);
+    scheduler_->on_job_record(record, ++revision_, now_);
   }
 
   void add_machine(const std::string& id) { machines_[id]; }
@@ -262,8 +262,8 @@
         if (const auto* rent = std::get_if<ScaleOut>(&action))
           scheduler_->on_scale_out_answered(*rent, Scheduler::ScaleOutOutcome::Refused, {}, now_);
       }
-      for (const auto& write : scheduler_->wanted_writes(now_, 12))
-        scheduler_->write_done(write, true, ++revision_, now_);
+      for (const auto& write : scheduler_->plan_writes(now_, 12))
+        scheduler_->on_write_answered(write, true, ++revision_, now_);
     }
   }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -24,12 +24,12 @@
     scheduler_ = std::make_unique<Scheduler>(settings_, 2, now_, now_ + settings_.answers_s());
     scheduler_->set_machine_types({type_});
     for (int i = 0; i < kMachines; ++i)
-      scheduler_->host_stored({id(i), "a:1", "g", zone(i), false}, now_);
+      scheduler_->restore_machine({id(i), "a:1", "g", zone(i), false}, now_);
     for (int i = 0; i < kMachines; ++i) {
       JobRecord r = record(job(i), JobKind::Service, 1, {4, 1, 16});
       r.started = true;
       r.hosts = std::vector<std::string>{id(i)};
-      scheduler_->job_stored(r, ++revision_, now_);
+      scheduler_->on_job_record(r, ++revision_, now_);
     }
   }
 
@@ -86,8 +86,8 @@
           scheduler_->on_scale_in_answered(*r, true, now_);
         }
       }
-      for (const auto& w : scheduler_->wanted_writes(now_, 12))
-        scheduler_->write_done(w, true, ++revision_, now_);
+      for (const auto& w : scheduler_->plan_writes(now_, 12))
+        scheduler_->on_write_answered(w, true, ++revision_, now_);
     }
   }
 
@@ -113,7 +113,7 @@
 TEST_F(Fleet, StandsATakeoverALostZoneAndAMassLoss) {
   const auto in_west = [](int i) { return zone(i) == "w"; };
   pass(3, in_west);
-  scheduler_->job_stored(record("job-1", JobKind::Service, 3, {4, 1, 16}), ++revision_, now_);
+  scheduler_->on_job_record(record("job-1", JobKind::Service, 3, {4, 1, 16}), ++revision_, now_);
   pass(15, in_west);
   EXPECT_FALSE(scheduler_->all_reconciled());
   EXPECT_EQ(started_, std::set<std::string>{"job-1"})
@@ -125,8 +125,8 @@
   EXPECT_EQ(stops_, 0);
 
   for (int i = 0; i < 60; ++i)  // gangs that fit nowhere, and stop nobody of higher priority
-    scheduler_->job_stored(record("job-2" + std::to_string(i), JobKind::Gang, 4, {16, 4, 64}),
-                           ++revision_, now_);
+    scheduler_->on_job_record(record("job-2" + std::to_string(i), JobKind::Gang, 4, {16, 4, 64}),
+                              ++revision_, now_);
   const auto before = scheduler_->work();
   const auto dies = [](int i) { return i % 10 == 0; };
   pass(26, dies);
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -96,14 +96,14 @@
 TEST(Settings, OfTheLimitsNowAndToComeTheStricterHolds) {
   const Settings now = parse_settings(kToml, "f.toml");
   EXPECT_EQ(now.state_txn_ops, 24);
-  EXPECT_EQ(now.state_most_guards(), 96u);
+  EXPECT_EQ(now.max_preconditions(), 96u);
   EXPECT_EQ(now.state_value_bytes(), 8192u);
   const Settings lower = parse_settings(
       with_limits_to_come("value_kb = 2.0\ntxn_ops = 8\nwrite_rps = 21.0"), "f.toml");
   EXPECT_DOUBLE_EQ(lower.state_value_kb, 2);
   EXPECT_EQ(lower.state_value_bytes(), 2048u);
   EXPECT_EQ(lower.state_txn_ops, 8);
-  EXPECT_EQ(lower.state_most_guards(), 32u);
+  EXPECT_EQ(lower.max_preconditions(), 32u);
   EXPECT_DOUBLE_EQ(lower.state_write_rps, 21);
   EXPECT_DOUBLE_EQ(lower.state_rps, 250) << "no change to come";
   const Settings mixed = parse_settings(with_limits_to_come("rps = 99\ntxn_ops = 50"), "f.toml");
