--- /dev/null
+++ b/src/dispatch/attempt_tracker.cpp
@@ -0,0 +1,175 @@
+#include "dispatch/attempt_tracker.h"
+
+#include <algorithm>
+#include <iterator>
+
+#include "logging/log_event.h"
+
+namespace sumacquay {
+namespace {
+
+/// For the log.
+std::string_view name(ExitCause cause) {
+  switch (cause) {
+    case ExitCause::None:
+      return "none";
+    case ExitCause::Done:
+      return "done";
+    case ExitCause::Stopped:
+      return "stopped";
+    case ExitCause::GangMemberGone:
+      return "gang_member_gone";
+    case ExitCause::Alone:
+      return "alone";
+    case ExitCause::Error:
+      return "error";
+    case ExitCause::NoRoom:
+      return "insufficient_resources";
+    case ExitCause::Busy:
+      return "busy";
+    case ExitCause::Unknown:
+      return "unknown";
+  }
+  return "unknown";
+}
+
+}  // namespace
+
+void AttemptTracker::adopt(Machine& machine, const TaskAttemptId& id, TaskAttempt& attempt,
+                           Job& job, Seconds now) {
+  const JobSpec& spec = job.spec();
+  attempt.request = spec.request;
+  attempt.image = spec.image;
+  attempt.image_gb = spec.image_gb;
+  state_.add_possible_placement(machine, id);
+  const bool gang = spec.kind == JobKind::Gang;
+  // The attempts of a gang belong together; of an array a task's own alone matter, and there may be
+  // tens of thousands of others.
+  const auto end = job.possible_placements.end();
+  const auto first =
+      gang ? job.possible_placements.begin() : job.possible_placements.find(id.task.task);
+  const auto last = gang || first == end ? end : std::next(first);
+  uint64_t newest = id.attempt;
+  for (auto at = first; at != last; ++at)
+    for (const TaskPlacement& placement : at->second) {
+      ++work_.adoption_checks;
+      newest = std::max(newest, placement.attempt);
+    }
+  if (gang) job.gang_attempt = newest;
+  attempt.desired_running = id.attempt == newest && job.runnable() && id.task.task < spec.tasks &&
+                            !job.done.contains(id.task.task);
+  // A task is started again only once its earlier attempt is certainly gone: a heartbeat that still
+  // shows that one is old, and must not stop the one that runs.
+  for (auto at = first; at != last; ++at)
+    for (const TaskPlacement& placement : at->second)
+      if (placement.attempt < newest)
+        request_stop_on(placement.machine, {{id.task.job, at->first}, placement.attempt}, now);
+}
+
+void AttemptTracker::request_stop_on(const std::string& machine_id, const TaskAttemptId& id,
+                                     Seconds now) {
+  Machine* machine = state_.find_machine(machine_id);
+  if (!machine) return;
+  const auto attempt = machine->attempts.find(id);
+  if (attempt == machine->attempts.end()) return;
+  request_stop(attempt->second, false, now);
+  commands_.enqueue(*machine);
+}
+
+void AttemptTracker::set_state(Machine& machine, const TaskAttemptId& id, TaskAttempt& attempt,
+                               TaskAttemptState next, Seconds now) {
+  if (attempt.state == next) return;
+  log_debug("task_attempt_state_changed", log_field("job", id.task.job),
+            log_field("task", id.task.task), log_field("attempt", id.attempt),
+            log_field("machine", machine.info.id), log_field("from", name(attempt.state)),
+            log_field("to", name(next)));
+  attempt.state = next;
+  attempt.start_sent = true;
+  if (next == TaskAttemptState::Running || next == TaskAttemptState::Waiting) {
+    state_.record_image_use(machine, attempt.image, attempt.image_gb);
+    if (!attempt.running_since) attempt.running_since = now;
+  }
+  if (next == TaskAttemptState::Exited) {
+    state_.remove_possible_placement(machine, id);
+    handle_exit(machine, id, attempt, now);
+  }
+}
+
+void AttemptTracker::handle_exit(Machine& machine, const TaskAttemptId& id, TaskAttempt& attempt,
+                                 Seconds now) {
+  if (attempt.exit_recorded) return;
+  attempt.exit_recorded = true;
+  attempt.desired_running = false;
+  Job* job = state_.find_job(id.task.job);
+  if (!job) return;
+  if (attempt.cause == ExitCause::Done) return handle_success(machine, id, *job, now);
+  log_info("task_attempt_ended", log_field("job", id.task.job), log_field("task", id.task.task),
+           log_field("attempt", id.attempt), log_field("machine", machine.info.id),
+           log_field("reason", name(attempt.cause)));
+  if (attempt.cause == ExitCause::Error || attempt.cause == ExitCause::Unknown)
+    failures_.record_task_failure(machine, *job, now);
+  if (attempt.cause == ExitCause::NoRoom || attempt.cause == ExitCause::Busy)
+    job->backoff_until = now + state_.settings().heartbeat_period_s;
+  stop_gang_of(id.task, now);
+}
+
+void AttemptTracker::handle_success(Machine& machine, const TaskAttemptId& id, Job& job,
+                                    Seconds now) {
+  machine.failed_jobs.clear();
+  machine.failed_jobs_succeed_elsewhere = false;
+  failures_.record_task_success(job, now);
+  const JobSpec& spec = job.spec();
+  if (spec.kind == JobKind::Service) return;
+  // The tasks of a gang complete together.
+  const bool gang = spec.kind == JobKind::Gang;
+  const uint32_t first = gang ? 0 : id.task.task;
+  const uint32_t end = std::min(spec.tasks, gang ? spec.tasks : id.task.task + 1);
+  for (uint32_t task = first; task < end; ++task)
+    if (job.done.add(task) && !job.progress_since) job.progress_since = now;
+  records_.enqueue_job(job, now);
+}
+
+void AttemptTracker::remove_all(Machine& machine) {
+  while (!machine.attempts.empty()) {
+    const TaskAttemptId id = machine.attempts.begin()->first;
+    const bool present = machine.attempts.begin()->second.possibly_present();
+    state_.remove_attempt(machine, id);
+    if (present) stop_gang_of(id.task, state_.failover_at());
+  }
+}
+
+/// A stop that was asked for without a checkpoint stays so.
+void AttemptTracker::request_stop(TaskAttempt& attempt, bool graceful, Seconds now) {
+  if (!attempt.desired_running && attempt.stop_since) {
+    attempt.graceful = attempt.graceful && graceful;
+    return;
+  }
+  attempt.desired_running = false;
+  attempt.graceful = graceful;
+  attempt.stop_since = now;
+}
+
+void AttemptTracker::stop_job(Job& job, bool graceful, Seconds now) {
+  const auto placements_before = job.possible_placements;  // removals change the job's own
+  for (const auto& [task, placements] : placements_before)
+    for (const TaskPlacement& placement : placements) {
+      Machine* machine = state_.find_machine(placement.machine);
+      if (!machine) continue;
+      const TaskAttemptId id{{job.spec().id, task}, placement.attempt};
+      const auto attempt = machine->attempts.find(id);
+      if (attempt == machine->attempts.end()) continue;
+      if (!attempt->second.start_sent)
+        state_.remove_attempt(*machine, id);  // it never left this node
+      else
+        request_stop(attempt->second, graceful, now);
+      commands_.enqueue(*machine);
+    }
+}
+
+void AttemptTracker::stop_gang_of(const TaskKey& task, Seconds now) {
+  Job* job = state_.find_job(task.job);
+  if (job && job->spec().kind == JobKind::Gang && job->spec().tasks > 1 && !job->complete())
+    stop_job(*job, false, now);
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/capacity_view.cpp
@@ -0,0 +1,67 @@
+#include "dispatch/capacity_view.h"
+
+#include <utility>
+
+namespace sumacquay {
+namespace {
+
+/// The silence after which nothing new is started on a machine / heartbeat period. Heartbeats come
+/// up to a quarter late, and one may be lost and sent again.
+constexpr double kHeartbeatTimeoutPeriods = 2.5;
+constexpr Seconds kNetworkSlack = 0.5;
+
+CandidateMachine candidate_for(const Machine& machine, const MachineType& type) {
+  CandidateMachine candidate;
+  candidate.machine = machine.info.id;
+  candidate.of = &machine;
+  candidate.type = machine.info.type;
+  candidate.zone = machine.info.zone;
+  candidate.spot = machine.info.spot;
+  candidate.capacity = candidate.available = type.capacity;
+  for (const auto& [id, attempt] : machine.attempts) {
+    if (!attempt.possibly_present()) continue;
+    candidate.available -= attempt.request;
+    if (!attempt.desired_running) candidate.releasing += attempt.request;
+  }
+  return candidate;
+}
+
+}  // namespace
+
+Seconds CapacityView::heartbeat_timeout() const {
+  return kHeartbeatTimeoutPeriods * state_.settings().heartbeat_period_s + kNetworkSlack;
+}
+
+bool CapacityView::schedulable(const Machine& machine, Seconds now) const {
+  return machine.state == MachineState::Up && machine.fencing_token_acknowledged &&
+         !machine.quarantined() && !machine.draining && !machine.reclaim_at &&
+         now - machine.last_heartbeat < heartbeat_timeout();
+}
+
+std::vector<CandidateMachine> CapacityView::machines_in(MachineState machine_state,
+                                                        Seconds now) const {
+  std::vector<CandidateMachine> candidates;
+  for (const auto& [id, machine] : state_.machines()) {
+    if (machine.state != machine_state) continue;
+    const MachineType* type = state_.find_machine_type(machine.info.type);
+    if (!type) continue;
+    CandidateMachine candidate = candidate_for(machine, *type);
+    candidate.schedulable = machine_state == MachineState::Booting || schedulable(machine, now);
+    candidates.push_back(std::move(candidate));
+  }
+  return candidates;
+}
+
+std::vector<CandidateMachine> CapacityView::up(Seconds now) const {
+  return machines_in(MachineState::Up, now);
+}
+
+std::vector<CandidateMachine> CapacityView::booting(Seconds now) const {
+  return machines_in(MachineState::Booting, now);
+}
+
+bool CapacityView::settled(Seconds now) const {
+  return state_.all_reconciled() || now - state_.failover_at() > heartbeat_timeout();
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/cluster_state.cpp
@@ -0,0 +1,152 @@
+#include "dispatch/cluster_state.h"
+
+#include <algorithm>
+
+#include "logging/log_event.h"
+
+namespace sumacquay {
+namespace {
+
+/// The part of a machine's cache that is counted on: fetches that were given up, and images of
+/// tasks that an earlier leader started, take space that this leader doesn't know of.
+constexpr double kReliableCacheShare = 0.8;
+constexpr double kMillisecondsPerSecond = 1000;
+
+}  // namespace
+
+uint64_t ClusterState::time_of_day_ms(Seconds steady) const {
+  return static_cast<uint64_t>((steady + wall_offset_) * kMillisecondsPerSecond);
+}
+
+Job* ClusterState::find_job(const std::string& id) {
+  const auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
+}
+
+const Job* ClusterState::find_job(const std::string& id) const {
+  const auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
+}
+
+bool ClusterState::ended(const std::string& id) const {
+  const Job* job = find_job(id);
+  return !job || job->stored.state != JobState::Pending;
+}
+
+void ClusterState::track_dependencies(const JobRecord& record) {
+  dependencies_.update(record);
+  for (const auto& id : record.spec.dependencies)
+    if (const Job* dependency = find_job(id)) dependencies_.update(dependency->stored);
+}
+
+uint64_t ClusterState::arrival_ms(const Job& job) const {
+  return std::max(
+      {job.stored.submitted_ms, job.stored.ready_ms, dependencies_.ready_ms(job.spec().id)});
+}
+
+Seconds ClusterState::arrival(const Job& job) const {
+  return static_cast<double>(arrival_ms(job)) / kMillisecondsPerSecond - wall_offset_;
+}
+
+/// Jobs that depend on it may have been known before it.
+void ClusterState::inherit_priority(Job& job) {
+  job.priority = job.spec().priority;
+  for (const auto& id : dependencies_.dependents(job.spec().id))
+    if (const Job* dependent = find_job(id))
+      job.priority = std::max(job.priority, dependent->priority);
+  for (const auto& id : dependencies_.dependencies(job.spec().id)) raise_priority(id, job.priority);
+}
+
+void ClusterState::raise_priority(const std::string& id, Priority priority) {
+  std::vector<std::string> to_raise{id};
+  while (!to_raise.empty()) {
+    Job* job = find_job(to_raise.back());
+    to_raise.pop_back();
+    if (!job || job->priority >= priority) continue;
+    job->priority = priority;
+    const auto& next = dependencies_.dependencies(job->spec().id);
+    to_raise.insert(to_raise.end(), next.begin(), next.end());
+  }
+}
+
+bool ClusterState::cancelled_by_dependency(const Job& job) const {
+  return job.stored.state == JobState::Pending && !job.stored.started &&
+         dependencies_.cancelled(job.spec().id);
+}
+
+Machine* ClusterState::find_machine(const std::string& id) {
+  const auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : &found->second;
+}
+
+const Machine* ClusterState::find_machine(const std::string& id) const {
+  const auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : &found->second;
+}
+
+const MachineType* ClusterState::find_machine_type(const std::string& name) const {
+  for (const auto& type : machine_types_)
+    if (type.name == name) return &type;
+  return nullptr;
+}
+
+void ClusterState::set_machine_state(Machine& machine, MachineState next) {
+  if (machine.state == next) return;
+  log_debug("machine_state_changed", log_field("machine", machine.info.id),
+            log_field("from", name(machine.state)), log_field("to", name(next)));
+  machine.state = next;
+}
+
+void ClusterState::record_image_use(Machine& machine, const std::string& image,
+                                    double size_gb) const {
+  const MachineType* type = find_machine_type(machine.info.type);
+  if (!image.empty())
+    machine.images.use(image, size_gb, type ? type->cache_gb * kReliableCacheShare : 0);
+}
+
+void ClusterState::mark_reconciled(Machine& machine) {
+  if (machine.reconciled) return;
+  machine.reconciled = true;
+  --unreconciled_machines_;
+  if (unreconciled_machines_ == 0) log_info("all_machines_reconciled", log_field("term", term_));
+}
+
+void ClusterState::add_possible_placement(Machine& machine, const TaskAttemptId& id) {
+  if (Job* job = find_job(id.task.job))
+    job->possible_placements[id.task.task].insert({machine.info.id, id.attempt});
+}
+
+void ClusterState::remove_possible_placement(Machine& machine, const TaskAttemptId& id) {
+  Job* job = find_job(id.task.job);
+  if (!job) return;
+  const auto placements = job->possible_placements.find(id.task.task);
+  if (placements == job->possible_placements.end()) return;
+  placements->second.erase({machine.info.id, id.attempt});
+  if (placements->second.empty()) job->possible_placements.erase(placements);
+  if (job->possible_placements.empty()) job->gang_attempt = 0;
+}
+
+void ClusterState::remove_attempt(Machine& machine, const TaskAttemptId& id) {
+  const auto attempt = machine.attempts.find(id);
+  if (attempt == machine.attempts.end()) return;
+  if (attempt->second.possibly_present()) remove_possible_placement(machine, id);
+  machine.attempts.erase(attempt);
+}
+
+bool ClusterState::placement_unknown(const Job& job) const {
+  if (!job.stored.started || all_reconciled()) return false;
+  if (!job.stored.hosts) return true;
+  return std::any_of(job.stored.hosts->begin(), job.stored.hosts->end(),
+                     [this](const std::string& id) {
+                       const Machine* machine = find_machine(id);
+                       return machine && !machine->reconciled;
+                     });
+}
+
+void ClusterState::advance_fencing_token(Machine& machine) {
+  ++machine.counter;
+  machine.fencing_token_acknowledged = false;
+  token_allocator_.record_use(machine.counter);
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/command_dispatcher.cpp
@@ -0,0 +1,115 @@
+#include "dispatch/command_dispatcher.h"
+
+#include <algorithm>
+
+namespace sumacquay {
+namespace {
+
+/// Keeps an answer to a worker well under the protocol's 64 KiB.
+constexpr size_t kMaxCommands = 300;
+/// The time that a task gets to save a checkpoint before it is killed: this multiple of the time a
+/// checkpoint takes, and a second.
+constexpr double kCheckpointGrace = 1.5;
+constexpr Seconds kCheckpointGraceExtra = 1;
+
+}  // namespace
+
+void CommandDispatcher::enqueue(const Machine& machine) {
+  machines_.put(machine.info.id);
+}
+
+void CommandDispatcher::enqueue_machines_of(const Job& job) {
+  for_each_possible_placement(
+      job, [this](uint32_t, const TaskPlacement& placement) { machines_.put(placement.machine); });
+}
+
+void CommandDispatcher::enqueue_overlooked() {
+  for (const auto& [id, machine] : state_.machines())
+    if (has_unsent_commands(machine)) enqueue(machine);
+}
+
+/// A start waits for the machine's record, and for the job's record to name the machine.
+bool CommandDispatcher::startable(const Machine& machine, const TaskAttemptId& id,
+                                  const TaskAttempt& attempt) const {
+  if (!attempt.desired_running || attempt.state != TaskAttemptState::Scheduled ||
+      machine.record != HostRecordState::Durable)
+    return false;
+  const Job* job = state_.find_job(id.task.job);
+  return job && job->runnable() && job->next_leader_knows(machine.info.id);
+}
+
+void CommandDispatcher::add_stops(Machine& machine, std::vector<Command>& commands) const {
+  for (auto& [id, attempt] : machine.attempts) {
+    if (attempt.desired_running || !attempt.possibly_present() ||
+        attempt.state == TaskAttemptState::Scheduled)
+      continue;
+    const Job* job = state_.find_job(id.task.job);
+    const bool checkpoint = attempt.graceful && job && job->spec().checkpoints();
+    if (checkpoint && attempt.state == TaskAttemptState::Checkpointing) continue;
+    const Seconds grace =
+        checkpoint ? job->spec().checkpoint_duration_s * kCheckpointGrace + kCheckpointGraceExtra
+                   : 0;
+    commands.push_back({Verb::Stop, id.task, id.attempt, grace});
+  }
+}
+
+/// A worker keeps an attempt that is done until the job's record says so: no other leader would
+/// learn of it.
+bool CommandDispatcher::may_forget(const TaskAttemptId& id, const TaskAttempt& attempt) const {
+  const Job* job = state_.find_job(id.task.job);
+  return attempt.cause != ExitCause::Done || !job || job->spec().kind == JobKind::Service ||
+         job->stored.done.contains(id.task.task);
+}
+
+std::vector<Command> CommandDispatcher::commands_for(Machine& machine, bool with_forgets) {
+  std::vector<Command> commands;
+  add_stops(machine, commands);
+  for (auto& [id, attempt] : machine.attempts) {
+    if (commands.size() >= kMaxCommands) break;
+    if (startable(machine, id, attempt)) {
+      attempt.start_sent = true;
+      commands.push_back({Verb::Start, id.task, id.attempt, 0});
+    } else if (attempt.state == TaskAttemptState::Exited) {
+      if (with_forgets && may_forget(id, attempt))
+        commands.push_back({Verb::Forget, id.task, id.attempt, 0});
+    }
+  }
+  return commands;
+}
+
+/// Whether there is something to tell the worker that no command has told it yet.
+bool CommandDispatcher::has_unsent_commands(const Machine& machine) const {
+  return std::any_of(machine.attempts.begin(), machine.attempts.end(),
+                     [this, &machine](const auto& entry) {
+                       const auto& [id, attempt] = entry;
+                       if (attempt.desired_running)
+                         return !attempt.start_sent && startable(machine, id, attempt);
+                       return attempt.possibly_present() &&
+                              attempt.state != TaskAttemptState::Scheduled && !attempt.stop_sent;
+                     });
+}
+
+void CommandDispatcher::dispatch_to(const std::string& id, Machine& machine, Seconds now,
+                                    std::vector<Action>& actions) {
+  ++work_.dispatch_checks;
+  if (machine.state != MachineState::Up || machine.commands_in_flight ||
+      now < machine.next_commands_at)
+    return;
+  if (machine.info.addr.empty() || !machine.fencing_token_acknowledged ||
+      !has_unsent_commands(machine))
+    return;
+  SendCommands batch{id, machine.info.addr, state_.fencing_token(machine),
+                     std::max<uint64_t>(machine.latest.agent_epoch, 1),
+                     commands_for(machine, false)};
+  for (auto& [attempt_id, attempt] : machine.attempts)
+    if (!attempt.desired_running && attempt.possibly_present()) attempt.stop_sent = true;
+  machine.commands_in_flight = true;
+  actions.emplace_back(std::move(batch));
+}
+
+void CommandDispatcher::dispatch(Seconds now, std::vector<Action>& actions) {
+  while (const auto id = machines_.pop())
+    if (Machine* machine = state_.find_machine(*id)) dispatch_to(*id, *machine, now, actions);
+}
+
+}  // namespace sumacquay
--- a/src/dispatch/fleet_summary_log.cpp
+++ b/src/dispatch/fleet_summary_log.cpp
@@ -1,44 +1,45 @@
-// A summary of the fleet for operators, once a lease, in the log.
-#include <spdlog/spdlog.h>
+#include "dispatch/fleet_summary_log.h"
 
-#include "dispatch/scheduler.h"
+#include "logging/log_event.h"
 
 namespace sumacquay {
 
-/// For operators: what the fleet is paid for, by type.
-void Scheduler::log_fleet_summary(Seconds now) {
-  if (now < next_summary_) return;
-  next_summary_ = now + settings_.lease_s;
-  for (const auto& t : types_) {
-    size_t booting = 0;
-    size_t up = 0;
-    size_t idle = 0;
-    size_t leaving = 0;
-    Resources fetching;
-    Resources used;
-    Resources capacity;
-    for (const auto& [id, machine] : machines_) {
-      if (machine.info.type != t.name) continue;
-      if (machine.state == MachineState::Booting) ++booting;
-      if (machine.state == MachineState::Releasing || machine.state == MachineState::LeaseExpired)
-        ++leaving;
-      if (machine.state != MachineState::Up) continue;
-      ++up;
-      if (!machine.has_possible_attempts()) ++idle;
-      capacity += t.capacity;
-      for (const auto& [key, attempt] : machine.attempts) {
-        if (!attempt.possibly_present()) continue;
-        (attempt.state == TaskAttemptState::Running ? used : fetching) += attempt.request;
-      }
+void FleetSummaryLog::write_type(const MachineType& type) const {
+  size_t booting = 0;
+  size_t up = 0;
+  size_t idle = 0;
+  size_t leaving = 0;
+  Resources changing;  // starting or stopping
+  Resources running;
+  Resources capacity;
+  for (const auto& [id, machine] : state_.machines()) {
+    if (machine.info.type != type.name) continue;
+    if (machine.state == MachineState::Booting) ++booting;
+    if (machine.state == MachineState::Releasing || machine.state == MachineState::LeaseExpired)
+      ++leaving;
+    if (machine.state != MachineState::Up) continue;
+    ++up;
+    if (!machine.has_possible_attempts()) ++idle;
+    capacity += type.capacity;
+    for (const auto& [attempt_id, attempt] : machine.attempts) {
+      if (!attempt.possibly_present()) continue;
+      (attempt.state == TaskAttemptState::Running ? running : changing) += attempt.request;
     }
-    spdlog::info(
-        "{}: {} up, {} of them idle, {} booting, {} leaving; CPUs running {:.0f}, starting or "
-        "stopping {:.0f}, of {:.0f}; GPUs {:.0f}, {:.0f}, of {:.0f}",
-        t.name, up, idle, booting, leaving, used.cpus, fetching.cpus, capacity.cpus, used.gpus,
-        fetching.gpus, capacity.gpus);
   }
-  spdlog::info("{} jobs known, {} without room; {} rounds so far, {} lists of victims",
-               jobs_.size(), unplaced_.size(), work_.rounds, work_.victim_lists);
+  log_info("fleet_summary", log_field("type", type.name), log_field("up", up),
+           log_field("idle", idle), log_field("booting", booting), log_field("leaving", leaving),
+           log_field("cpus_running", running.cpus), log_field("cpus_changing", changing.cpus),
+           log_field("cpus", capacity.cpus), log_field("gpus_running", running.gpus),
+           log_field("gpus_changing", changing.gpus), log_field("gpus", capacity.gpus));
+}
+
+void FleetSummaryLog::write_if_due(size_t unplaced_jobs, Seconds now) {
+  if (now < next_at_) return;
+  next_at_ = now + state_.settings().lease_s;
+  for (const auto& type : state_.machine_types()) write_type(type);
+  log_info("jobs_summary", log_field("jobs", state_.jobs().size()),
+           log_field("unplaced", unplaced_jobs), log_field("rounds", work_.rounds),
+           log_field("victim_lists", work_.victim_lists));
 }
 
 }  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/fleet_summary_log.h
@@ -0,0 +1,27 @@
+#pragma once
+#include <cstddef>
+
+#include "dispatch/cluster_state.h"
+#include "dispatch/work_counters.h"
+
+namespace sumacquay {
+
+/// Writes a summary of the fleet to the log once a worker's lease, for operators: what is paid for
+/// and used of each machine type, and how many jobs wait. Owns when the next one is due.
+class FleetSummaryLog {
+ public:
+  FleetSummaryLog(const ClusterState& state, const WorkCounters& work)
+      : state_(state), work_(work) {}
+
+  /// `unplaced_jobs`: jobs that found no room in the last round.
+  void write_if_due(size_t unplaced_jobs, Seconds now);
+
+ private:
+  void write_type(const MachineType& type) const;
+
+  const ClusterState& state_;
+  const WorkCounters& work_;
+  Seconds next_at_ = 0;
+};
+
+}  // namespace sumacquay
--- a/src/dispatch/host_record_writes.h
+++ b/src/dispatch/host_record_writes.h
@@ -14,7 +14,7 @@
   /// The answer to a write has come, or none will.
   void end(const std::string& machine) { in_flight_.erase(machine); }
 
-  void want_deletion(const std::string& machine) { to_delete_.insert(machine); }
+  void request_deletion(const std::string& machine) { to_delete_.insert(machine); }
   void deleted(const std::string& machine) { to_delete_.erase(machine); }
   const std::set<std::string>& to_delete() const { return to_delete_; }
 
--- a/src/dispatch/job_state.h
+++ b/src/dispatch/job_state.h
@@ -24,7 +24,7 @@
   JobRecord stored;                      ///< what the state service holds
   wire::RecordCapacity record_capacity;  ///< what the record may hold beside the job's description
   uint64_t version = 0;                  ///< of the stored record; guards the next write
-  bool writing = false;                  ///< a write of the record is under way
+  bool write_in_flight = false;          ///< a write of the record is under way
   bool start_record_requested =
       false;  ///< tasks were placed: the record must say so before they start
   bool hosts_record_requested = false;  ///< placed where its record does not say that it may be
--- a/src/dispatch/placement_round.cpp
+++ b/src/dispatch/placement_round.cpp
@@ -1,201 +1,178 @@
-// A placement round: what of each waiting job is started, and where.
-#include <spdlog/spdlog.h>
+#include "dispatch/placement_round.h"
 
 #include <algorithm>
 
-#include "dispatch/scheduler.h"
+#include "logging/log_event.h"
 
 namespace sumacquay {
 namespace {
 
-/// Silence after which nothing new is started on a machine / heartbeat period. Reports come up to a
-/// quarter late, and one may be lost and sent again.
-constexpr double kHeartbeatTimeout = 2.5;
-/// Tasks of one array that a round looks at: so many in any fleet, in a large one so many for each
-/// machine. It keeps a round from looking at all tasks of an array that no fleet could start at
-/// once; the next round looks at the next ones.
-constexpr size_t kTasksInAnyFleet = 500;
+/// Tasks of one array that a round looks at: so many in a fleet of any size, in a large one so many
+/// for each machine. It keeps a round from looking at all tasks of an array that no fleet could
+/// start at once; the next round looks at the next ones.
+constexpr size_t kMinTasksPerRound = 500;
 constexpr size_t kTasksPerMachine = 4;
 
 }  // namespace
 
-bool Scheduler::schedulable(const Machine& machine, Seconds now) const {
-  return machine.state == MachineState::Up && machine.fencing_token_acknowledged &&
-         !machine.quarantined() && !machine.draining && !machine.reclaim_at &&
-         now - machine.last_heartbeat < kHeartbeatTimeout * settings_.heartbeat_period_s + 0.5;
+void PlacementRound::run(Seconds now) {
+  ++links_.work.rounds;
+  unplaced_.clear();
+  links_.quota.count_usage();
+  links_.preemptor.end_round();
+  auto candidates = links_.capacity.up(now);
+  for (Job* job : links_.queue.waiting_jobs(now)) place_job(*job, candidates, now);
+  links_.preemptor.end_round();
+  links_.queue.end_round();
 }
 
-std::vector<CandidateMachine> Scheduler::capacity_snapshot(Seconds now, bool booting) const {
-  std::vector<CandidateMachine> out;
-  for (const auto& [id, machine] : machines_) {
-    const MachineType* t = type(machine.info.type);
-    if (!t) continue;
-    const bool already_releasing = machine.state == MachineState::Booting;
-    if (booting != already_releasing) continue;
-    if (!booting && machine.state != MachineState::Up) continue;
-    CandidateMachine candidate;
-    candidate.machine = id;
-    candidate.of = &machine;
-    candidate.type = machine.info.type;
-    candidate.zone = machine.info.zone;
-    candidate.spot = machine.info.spot;
-    candidate.capacity = candidate.available = t->capacity;
-    candidate.schedulable = booting || schedulable(machine, now);
-    for (const auto& [key, attempt] : machine.attempts) {
-      if (!attempt.possibly_present()) continue;
-      candidate.available -= attempt.request;
-      if (!attempt.desired_running) candidate.releasing += attempt.request;
-    }
-    out.push_back(std::move(candidate));
+/// Places what fits, preempts for the rest, and leaves what still found no room in `unplaced_`.
+void PlacementRound::place_job(Job& job, std::vector<CandidateMachine>& candidates, Seconds now) {
+  const size_t max_tasks =
+      std::min(links_.quota.remaining_tasks(job), state_.token_allocator().attempts_left());
+  auto request = max_tasks > 0 ? create_request(job, max_tasks) : std::nullopt;
+  if (!request) return;
+  if (request->image_first && !links_.failures.crash_looping(job))
+    place_where_image_cached(job, *request, candidates, now);
+  if (!request->tasks.empty()) place_what_fits(job, *request, candidates, now);
+  if (request->tasks.empty()) return;
+  // A crash-looping job preempts nobody.
+  if (!links_.failures.crash_looping(job)) {
+    if (job.spec().kind == JobKind::Gang && request->tasks.size() > 1)
+      links_.preemptor.reserve_partial_gang(job, *request, candidates, now);
+    else
+      links_.preemptor.preempt_for(job, *request, candidates, now);
+    if (request->tasks.empty()) return;
+    if (job.priority == Priority::Low) reserve_beside_gpus(*request, candidates);
   }
-  return out;
+  unplaced_.push_back(std::move(*request));
 }
 
-/// What is still silent some reports after the takeover may be so for long, and the fleet is rented
-/// and returned without it: in a large one some machine always is.
-bool Scheduler::capacity_settled(Seconds now) const {
-  return all_reconciled() ||
-         now - failover_at_ > kHeartbeatTimeout * settings_.heartbeat_period_s + 0.5;
+// ---------------------------------------------------------------- requests
+
+size_t PlacementRound::max_tasks_per_round() const {
+  return std::max(kMinTasksPerRound, kTasksPerMachine * state_.machines().size());
 }
 
-/// Whether a fetch on a machine that lacks the image costs what users were promised: a replica that
-/// is down stays down for it, and one that is new misses the aim for its class.
-bool Scheduler::image_fetch_misses_objective(const Job& job) const {
-  if (job.spec().kind != JobKind::Service) return false;
-  double longest = 0;
-  for (const auto& t : types_)
-    if (t.fetch_gb_per_s > 0 && job.spec().allows_type(t.name) &&
-        job.spec().request.fits_in(t.capacity))
-      longest = std::max(longest, job.spec().image_gb / t.fetch_gb_per_s);
-  if (job.stored.started) return longest > settings_.heartbeat_period_s;
-  return std::any_of(settings_.objectives.begin(), settings_.objectives.end(),
-                     [&](const ServiceLevelObjective& objective) {
-                       return objective.kind == "wait" &&
-                              objective.job_class == job.spec().job_class &&
-                              longest > objective.within_s;
-                     });
+/// The first tasks that are neither done nor possibly present anywhere.
+std::vector<uint32_t> PlacementRound::tasks_to_place(const Job& job, size_t max_tasks) const {
+  std::vector<uint32_t> tasks;
+  auto placed = job.possible_placements.begin();  // both are in order: one pass over them
+  const auto end = job.possible_placements.end();
+  for (uint32_t task = job.done.next_missing(0);
+       task < job.spec().tasks && tasks.size() < max_tasks;
+       task = job.done.next_missing(task + 1)) {
+    while (placed != end && placed->first < task) ++placed;
+    if (placed == end || placed->first != task) tasks.push_back(task);
+  }
+  return tasks;
 }
 
-/// First on machines that have the image, where tasks of lower priority give way; what is left of
-/// the demand goes the ordinary way.
-void Scheduler::place_where_image_cached(Job& job, PlacementRequest& placement_request,
-                                         std::vector<CandidateMachine>& candidates, Seconds now) {
-  PlacementRequest warm = placement_request;
-  warm.avoid = [&placement_request](const CandidateMachine& candidate) {
-    return placement_request.avoid(candidate) || !placement_request.has_image(candidate);
+std::optional<PlacementRequest> PlacementRound::create_request(const Job& job,
+                                                               size_t max_tasks) const {
+  const JobSpec& spec = job.spec();
+  const bool gang = spec.kind == JobKind::Gang;
+  if (gang && max_tasks < spec.tasks) return std::nullopt;
+  if (!gang && links_.failures.crash_looping(job)) max_tasks = std::min<size_t>(max_tasks, 1);
+  const size_t limit = gang ? spec.tasks : std::min(max_tasks, max_tasks_per_round());
+  PlacementRequest request;
+  request.spec = &spec;
+  request.tasks = tasks_to_place(job, limit);
+  if (request.tasks.empty()) return std::nullopt;
+  if (spec.counts_zones())
+    for_each_possible_placement(job, [this, &request](uint32_t, const TaskPlacement& placement) {
+      if (const Machine* machine = state_.find_machine(placement.machine))
+        ++request.zones[machine->info.zone];
+    });
+  if (job.priority > spec.priority) request.inherited_priority = job.priority;
+  request.image_first = image_fetch_misses_objective(job);
+  request.within_fair_share = links_.queue.within_fair_share(spec.id);
+  request.avoid = [&job](const CandidateMachine& candidate) {
+    return job.failed_machines.contains(candidate.machine);
+  };
+  request.has_image = [&job](const CandidateMachine& candidate) {
+    return candidate.of && candidate.of->images.has(job.spec().image);
   };
-  warm.within_fair_share = false;  // other teams' work need not stop where there is room elsewhere
-  place_what_fits(job, warm, candidates, now);
-  if (!warm.tasks.empty()) preempt_for(job, warm, candidates, now);
-  placement_request.tasks = warm.tasks;
-  placement_request.zones = warm.zones;
+  return request;
 }
 
-void Scheduler::place_what_fits(Job& job, PlacementRequest& placement_request,
-                                std::vector<CandidateMachine>& candidates, Seconds now) {
-  const auto assignments = bin_pack(placement_request, candidates);
-  start_assignments(job, assignments, candidates, now);
-  for (const auto& assignment : assignments) {
-    ++placement_request.zones[candidates[assignment.candidate].zone];
-    std::erase(placement_request.tasks, assignment.task);
-  }
+/// Whether a fetch on a machine that lacks the image misses an objective: a replica that is down
+/// stays down for it, and one that is new misses the objective for its class.
+bool PlacementRound::image_fetch_misses_objective(const Job& job) const {
+  const JobSpec& spec = job.spec();
+  const Settings& settings = state_.settings();
+  if (spec.kind != JobKind::Service) return false;
+  double longest = 0;
+  for (const auto& type : state_.machine_types())
+    if (type.fetch_gb_per_s > 0 && spec.allows_type(type.name) &&
+        spec.request.fits_in(type.capacity))
+      longest = std::max(longest, spec.image_gb / type.fetch_gb_per_s);
+  if (job.stored.started) return longest > settings.heartbeat_period_s;
+  return std::any_of(settings.objectives.begin(), settings.objectives.end(),
+                     [&](const ServiceLevelObjective& objective) {
+                       return objective.kind == "wait" && objective.job_class == spec.job_class &&
+                              longest > objective.within_s;
+                     });
 }
 
-size_t Scheduler::max_tasks_per_round() const {
-  return std::max(kTasksInAnyFleet, kTasksPerMachine * machines_.size());
-}
+// ---------------------------------------------------------------- placing
 
-std::optional<PlacementRequest> Scheduler::create_placement_request(Job& job, size_t max_tasks) {
-  PlacementRequest placement_request;
-  placement_request.spec = &job.spec();
-  const bool gang = job.spec().kind == JobKind::Gang;
-  if (gang && max_tasks < job.spec().tasks) return std::nullopt;
-  if (!gang && crash_looping(job)) max_tasks = std::min<size_t>(max_tasks, 1);
-  const size_t limit = gang ? job.spec().tasks : std::min(max_tasks, max_tasks_per_round());
-  auto there = job.possible_placements.begin();  // both in order: one pass over what is somewhere
-  for (uint32_t t = job.done.next_missing(0);
-       t < job.spec().tasks && placement_request.tasks.size() < limit;
-       t = job.done.next_missing(t + 1)) {
-    while (there != job.possible_placements.end() && there->first < t) ++there;
-    if (there == job.possible_placements.end() || there->first != t)
-      placement_request.tasks.push_back(t);
-  }
-  if (placement_request.tasks.empty()) return std::nullopt;
-  if (placement_request.spec->counts_zones())
-    for (const auto& [task, places] : job.possible_placements)
-      for (const auto& [machine_id, attempt_number] : places) {
-        const auto machine = machines_.find(machine_id);
-        if (machine != machines_.end()) ++placement_request.zones[machine->second.info.zone];
-      }
-  if (job.priority > placement_request.spec->priority)
-    placement_request.inherited_priority = job.priority;
-  placement_request.image_first = image_fetch_misses_objective(job);
-  placement_request.within_fair_share = within_fair_share_.contains(job.spec().id);
-  placement_request.avoid = [&job](const CandidateMachine& candidate) {
-    return job.failed_machines.contains(candidate.machine);
-  };
-  placement_request.has_image = [&job](const CandidateMachine& candidate) {
-    return candidate.of && candidate.of->images.has(job.spec().image);
+/// First on machines that have the image, where tasks of lower priority are preempted; what is left
+/// of the request is placed the ordinary way.
+void PlacementRound::place_where_image_cached(Job& job, PlacementRequest& request,
+                                              std::vector<CandidateMachine>& candidates,
+                                              Seconds now) {
+  PlacementRequest cached = request;
+  cached.avoid = [&request](const CandidateMachine& candidate) {
+    return request.avoid(candidate) || !request.has_image(candidate);
   };
-  return placement_request;
+  cached.within_fair_share =
+      false;  // other teams' work need not stop where there is room elsewhere
+  place_what_fits(job, cached, candidates, now);
+  if (!cached.tasks.empty()) links_.preemptor.preempt_for(job, cached, candidates, now);
+  request.tasks = cached.tasks;
+  request.zones = cached.zones;
 }
 
-void Scheduler::run_placement_round(Seconds now) {
-  ++work_.rounds;
-  unplaced_.clear();
-  count_quota_usage();
-  victims_.reset();
-  auto candidates = capacity_snapshot(now, false);
-  for (Job* job : scheduling_queue(now)) {
-    const size_t left = std::min(remaining_quota(*job), token_allocator_.attempts_left());
-    auto placement_request = left > 0 ? create_placement_request(*job, left) : std::nullopt;
-    if (!placement_request) continue;
-    if (placement_request->image_first && !crash_looping(*job))
-      place_where_image_cached(*job, *placement_request, candidates, now);
-    if (!placement_request->tasks.empty())
-      place_what_fits(*job, *placement_request, candidates, now);
-    if (placement_request->tasks.empty()) continue;
-    if (crash_looping(*job)) {
-      unplaced_.push_back(std::move(*placement_request));
-      continue;
-    }
-    if (job->spec().kind == JobKind::Gang && placement_request->tasks.size() > 1)
-      reserve_partial_gang(*job, *placement_request, candidates, now);
-    else
-      preempt_for(*job, *placement_request, candidates, now);
-    if (placement_request->tasks.empty()) continue;
-    if (job->priority == Priority::Low) reserve_beside_gpus(*placement_request, candidates);
-    unplaced_.push_back(std::move(*placement_request));
+void PlacementRound::place_what_fits(Job& job, PlacementRequest& request,
+                                     std::vector<CandidateMachine>& candidates, Seconds now) {
+  const auto assignments = bin_pack(request, candidates);
+  start_assignments(job, assignments, candidates, now);
+  for (const Assignment& assignment : assignments) {
+    ++request.zones[candidates[assignment.candidate].zone];
+    std::erase(request.tasks, assignment.task);
   }
-  victims_.reset();  // these look at names that the jobs own
-  within_fair_share_.clear();
 }
 
-void Scheduler::start_assignments(Job& job, const std::vector<Assignment>& assignments,
-                                  const std::vector<CandidateMachine>& candidates, Seconds now) {
+/// The starts are sent once the records of the job and the machines say that they may be.
+void PlacementRound::start_assignments(Job& job, const std::vector<Assignment>& assignments,
+                                       const std::vector<CandidateMachine>& candidates,
+                                       Seconds now) {
   if (assignments.empty()) return;
-  const bool gang = job.spec().kind == JobKind::Gang;
-  if (gang) job.gang_attempt = token_allocator_.new_attempt();
+  const JobSpec& spec = job.spec();
+  FencingTokenAllocator& numbers = state_.token_allocator();
+  const bool gang = spec.kind == JobKind::Gang;
+  if (gang) job.gang_attempt = numbers.new_attempt();
   job.start_record_requested = true;
-  for (const auto& assignment : assignments) {
-    Machine& machine = machines_.at(candidates[assignment.candidate].machine);
-    const TaskAttemptId key{{job.spec().id, assignment.task},
-                            gang ? job.gang_attempt : token_allocator_.new_attempt()};
-    spdlog::debug("{}/{} try {} placed on {}", key.task.job, key.task.task, key.attempt,
-                  machine.info.id);
-    TaskAttempt& attempt = machine.attempts[key];
+  for (const Assignment& assignment : assignments) {
+    Machine& machine = state_.machines().at(candidates[assignment.candidate].machine);
+    const TaskAttemptId id{{spec.id, assignment.task},
+                           gang ? job.gang_attempt : numbers.new_attempt()};
+    log_debug("task_placed", log_field("job", spec.id), log_field("task", assignment.task),
+              log_field("attempt", id.attempt), log_field("machine", machine.info.id));
+    TaskAttempt& attempt = machine.attempts[id];
     attempt.placed_at = now;
-    attempt.request = job.spec().request;
-    attempt.image = job.spec().image;
-    attempt.image_gb = job.spec().image_gb;
+    attempt.request = spec.request;
+    attempt.image = spec.image;
+    attempt.image_gb = spec.image_gb;
     machine.request_host_record();
     if (!job.next_leader_knows(machine.info.id)) job.hosts_record_requested = true;
-    add_possible_placement(machine, key);
-    quota_usage_[job.spec().team] += attempt.request;
-    enqueue_machine_record(machine);
-    enqueue_commands(machine);
+    state_.add_possible_placement(machine, id);
+    links_.quota.add_usage(spec.team, attempt.request);
+    links_.records.enqueue_machine(machine);
+    links_.commands.enqueue(machine);
   }
-  enqueue_job_record(job, now);
+  links_.records.enqueue_job(job, now);
 }
 
 }  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/quota_tracker.h
@@ -0,0 +1,30 @@
+#pragma once
+#include <cstddef>
+#include <string>
+#include <unordered_map>
+
+#include "dispatch/cluster_state.h"
+#include "jobs/spec.h"
+
+namespace sumacquay {
+
+/// What each team's tasks use, against its quota. Owns the usage of the present round: counted anew
+/// when the round begins, and added to as tasks are placed.
+class QuotaTracker {
+ public:
+  explicit QuotaTracker(const ClusterState& state) : state_(state) {}
+
+  /// Counts what all tasks that may be present use.
+  void count_usage();
+  void add_usage(const std::string& team, const Resources& request) { usage_[team] += request; }
+  /// How many more tasks of the job its team's quota allows; 0 for an unknown team.
+  size_t remaining_tasks(const Job& job) const;
+
+ private:
+  size_t possibly_present_tasks(const Job& job) const;
+
+  const ClusterState& state_;
+  std::unordered_map<std::string, Resources> usage_;  ///< by team
+};
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/rebalancer.cpp
@@ -0,0 +1,149 @@
+#include "dispatch/rebalancer.h"
+
+#include <algorithm>
+
+#include "logging/log_event.h"
+
+namespace sumacquay {
+namespace {
+
+/// The protocol counts a start only if no command stops the task within 30 s of it; a replica is
+/// left alone for several times that, so that none is moved again and again.
+constexpr Seconds kSettled = 4 * 30;
+/// Pause between moves / heartbeat period.
+constexpr double kPausePeriods = 2;
+/// The part of all machines that may be drained at once: few enough that the replicas on their way
+/// don't show among all that run.
+constexpr double kMaxDrainingShare = 0.02;
+/// Machines that cost less than this part of the most expensive are not worth a replica's downtime.
+constexpr double kMinPriceShare = 0.25;
+
+double used_share(const CandidateMachine& candidate) {
+  if (candidate.capacity.gpus > 0) return 1 - candidate.available.gpus / candidate.capacity.gpus;
+  return candidate.capacity.cpus > 0 ? 1 - candidate.available.cpus / candidate.capacity.cpus : 1;
+}
+
+bool empty(const CandidateMachine& candidate) {
+  return candidate.capacity.fits_in(candidate.available);
+}
+
+/// One task of the first gang that found no room; none: there is no such gang.
+std::optional<PlacementRequest> task_of_unplaced_gang(
+    const std::vector<PlacementRequest>& unplaced) {
+  const auto gang = std::find_if(
+      unplaced.begin(), unplaced.end(),
+      [](const PlacementRequest& request) { return request.spec->kind == JobKind::Gang; });
+  if (gang == unplaced.end()) return std::nullopt;
+  PlacementRequest task = *gang;
+  task.tasks.resize(1);
+  return task;
+}
+
+/// Whether the task would fit on the machine if it were empty.
+bool fits_when_empty(const PlacementRequest& task, const CandidateMachine& candidate) {
+  std::vector<CandidateMachine> alone{candidate};
+  alone[0].available = alone[0].capacity;
+  return !bin_pack(task, alone).empty();
+}
+
+}  // namespace
+
+/// Nothing is moved to an empty machine: that would only go back and forth.
+PlacementRequest Rebalancer::request_elsewhere(const Job& job, uint32_t task) const {
+  PlacementRequest request;
+  request.spec = &job.spec();
+  request.tasks = {task};
+  if (request.spec->counts_zones())
+    for_each_possible_placement(job, [&](uint32_t other, const TaskPlacement& placement) {
+      if (other != task) ++request.zones[state_.machines().at(placement.machine).info.zone];
+    });
+  request.avoid = [&job](const CandidateMachine& candidate) {
+    return empty(candidate) || !candidate.of->images.has(job.spec().image) ||
+           job.failed_machines.contains(candidate.machine);
+  };
+  return request;
+}
+
+/// Whether every task on the machine is a settled replica that fits on another machine with its
+/// image.
+bool Rebalancer::evictable(const Machine& machine, TentativePlacement& elsewhere,
+                           Seconds now) const {
+  for (const auto& [id, attempt] : machine.attempts) {
+    if (!attempt.possibly_present()) continue;
+    const Job* job = state_.find_job(id.task.job);
+    if (!job || job->spec().kind != JobKind::Service || !attempt.desired_running) return false;
+    if (attempt.state != TaskAttemptState::Running ||
+        now - attempt.running_since.value_or(now) < kSettled)
+      return false;
+    if (!elsewhere.fits(request_elsewhere(*job, id.task.task))) return false;
+  }
+  return true;
+}
+
+void Rebalancer::drain(Machine& machine, std::string_view reason, Seconds now) {
+  log_info("machine_drained", log_field("machine", machine.info.id), log_field("reason", reason));
+  machine.draining = true;
+  for (auto& [id, attempt] : machine.attempts)
+    if (attempt.possibly_present()) attempts_.request_stop(attempt, false, now);
+}
+
+/// Takes note of the machines that have become empty; returns how many are still being drained.
+size_t Rebalancer::finish_evictions(Seconds now) {
+  size_t draining = 0;
+  for (auto& [id, machine] : state_.machines()) {
+    if (!machine.draining || machine.state != MachineState::Up) continue;
+    if (machine.has_possible_attempts()) {
+      ++draining;
+      continue;
+    }
+    machine.draining = false;
+    machine.idle_since = now;
+  }
+  return draining;
+}
+
+/// The machines that it may pay to drain, the least used first.
+std::vector<size_t> Rebalancer::eviction_candidates(
+    const std::vector<CandidateMachine>& candidates) const {
+  double highest_price = 0;
+  for (const auto& type : state_.machine_types())
+    highest_price = std::max(highest_price, type.price);
+  std::vector<size_t> order;
+  for (size_t i = 0; i < candidates.size(); ++i) {
+    const MachineType* type = state_.find_machine_type(candidates[i].type);
+    const bool expensive = type && type->price >= kMinPriceShare * highest_price;
+    if (candidates[i].schedulable && !empty(candidates[i]) && expensive) order.push_back(i);
+  }
+  std::sort(order.begin(), order.end(), [&](size_t first, size_t second) {
+    return used_share(candidates[first]) < used_share(candidates[second]);
+  });
+  return order;
+}
+
+void Rebalancer::rebalance(const std::vector<PlacementRequest>& unplaced, Seconds now) {
+  size_t draining = finish_evictions(now);
+  if (now < next_rebalance_ || !capacity_.settled(now)) return;
+  auto candidates = capacity_.up(now);
+  const size_t max_draining =
+      1 + static_cast<size_t>(kMaxDrainingShare * static_cast<double>(candidates.size()));
+  if (draining >= max_draining) return;
+  const auto gang_task = task_of_unplaced_gang(unplaced);
+  next_rebalance_ = now + kPausePeriods * state_.settings().heartbeat_period_s;
+  std::set<size_t> receiving;  // machines that get replicas are not drained at the same time
+  for (const size_t index : eviction_candidates(candidates)) {
+    if (receiving.contains(index)) continue;
+    if (gang_task && !fits_when_empty(*gang_task, candidates[index])) continue;
+    Machine& machine = state_.machines().at(candidates[index].machine);
+    candidates[index].schedulable = false;
+    TentativePlacement elsewhere(candidates);
+    if (evictable(machine, elsewhere, now) && (gang_task || autoscaler_.has_headroom(elsewhere))) {
+      for (const size_t receiver : elsewhere.keep()) receiving.insert(receiver);
+      drain(machine, gang_task ? "gang_needs_machine" : "can_be_released", now);
+      if (++draining >= max_draining) return;
+    } else {
+      candidates[index].schedulable = true;
+    }
+  }
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/reconciler.cpp
@@ -0,0 +1,212 @@
+#include "dispatch/reconciler.h"
+
+#include <algorithm>
+#include <tuple>
+
+namespace sumacquay {
+namespace {
+
+TaskAttemptState attempt_state_of(TaskState state) {
+  switch (state) {
+    case TaskState::Fetching:
+      return TaskAttemptState::Fetching;
+    case TaskState::Waiting:
+      return TaskAttemptState::Waiting;
+    case TaskState::Running:
+      return TaskAttemptState::Running;
+    case TaskState::Checkpointing:
+      return TaskAttemptState::Checkpointing;
+    case TaskState::Exited:
+      return TaskAttemptState::Exited;
+  }
+  return TaskAttemptState::Exited;
+}
+
+bool same_attempt(const TaskStatus& task, const TaskAttemptId& id) {
+  return task.attempt == id.attempt && task.key == id.task;
+}
+
+bool goes_before(const TaskStatus& task, const TaskAttemptId& id) {
+  return std::tie(task.key, task.attempt) < std::tie(id.task, id.attempt);
+}
+
+std::vector<const TaskStatus*> sorted_tasks(const WorkerHeartbeat& heartbeat) {
+  std::vector<const TaskStatus*> tasks;
+  tasks.reserve(heartbeat.tasks.size());
+  for (const auto& task : heartbeat.tasks) tasks.push_back(&task);
+  std::sort(tasks.begin(), tasks.end(), [](const TaskStatus* first, const TaskStatus* second) {
+    return std::tie(first->key, first->attempt) < std::tie(second->key, second->attempt);
+  });
+  return tasks;
+}
+
+/// The machine's attempts that the heartbeat doesn't list, but for those that are still to be
+/// started. Both are walked in the same order: the heartbeat of a full machine has hundreds of
+/// tasks.
+std::vector<TaskAttemptId> absent_attempts(const Machine& machine,
+                                           const WorkerHeartbeat& heartbeat) {
+  const auto listed = sorted_tasks(heartbeat);
+  std::vector<TaskAttemptId> absent;
+  auto next = listed.begin();
+  for (const auto& [id, attempt] : machine.attempts) {
+    while (next != listed.end() && goes_before(**next, id)) ++next;
+    const bool present = next != listed.end() && same_attempt(**next, id);
+    const bool to_be_started =
+        attempt.state == TaskAttemptState::Scheduled && attempt.desired_running;
+    if (!present && !to_be_started) absent.push_back(id);
+  }
+  return absent;
+}
+
+}  // namespace
+
+Machine& Reconciler::find_or_add_machine(const WorkerHeartbeat& heartbeat, Seconds now) {
+  auto [entry, added] = state_.machines().try_emplace(heartbeat.machine);
+  Machine& machine = entry->second;
+  if (added) {
+    machine.first_seen = now;
+    machine.info.id = heartbeat.machine;
+    machine.reconciled = true;  // without a record no start was ever sent there
+  }
+  machine.info.addr = heartbeat.addr;
+  machine.info.type = heartbeat.type;
+  machine.info.zone = heartbeat.zone;
+  machine.info.spot = heartbeat.spot;
+  return machine;
+}
+
+HeartbeatAnswer Reconciler::on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act,
+                                         Seconds now) {
+  failure_detector_.record_event(now);
+  // Delayed on its way until the machine was gone.
+  if (state_.released_machines().contains(heartbeat.machine)) return {};
+  Machine& machine = find_or_add_machine(heartbeat, now);
+  HeartbeatAnswer answer;
+  if (heartbeat.sequence() <= machine.latest_own ||
+      heartbeat.agent_epoch < machine.latest.agent_epoch)
+    return answer;
+  machine.latest_own = heartbeat.sequence();
+  answer.fresh = true;
+  machine.last_lease_renewal = now;
+  failure_detector_.record_heartbeat(machine, now);
+  const bool newest = heartbeat.sequence() > machine.latest;
+  const bool no_commands_in_flight = !machine.commands_in_flight;
+  if (newest) reconcile(machine, heartbeat, no_commands_in_flight, now);
+  if (newest && may_act && machine.fencing_token_acknowledged && no_commands_in_flight)
+    answer.commands = commands_.commands_for(machine, true);
+  else
+    // The answer renews the worker's lease: without these a cancelled task whose stop was lost
+    // would go on for as long as it is renewed, though this leader may do nothing else there.
+    answer.commands =
+        stops_of_ended(heartbeat, [this](const std::string& id) { return state_.ended(id); });
+  // A probe shows it the fencing token sooner than its next heartbeat would.
+  if (!machine.fencing_token_acknowledged) machine.next_greeting_probe_at = now;
+  answer.fencing_token = state_.fencing_token(machine);
+  return answer;
+}
+
+void Reconciler::on_commands_answered(const std::string& machine_id,
+                                      const std::optional<WorkerHeartbeat>& heartbeat,
+                                      bool executed, Seconds now) {
+  failure_detector_.record_event(now);
+  Machine* machine = state_.find_machine(machine_id);
+  if (!machine) return;
+  machine->commands_in_flight = false;
+  if (!executed) {
+    // The commands may still be executed, minutes later: a higher fencing token ends that, and
+    // until the worker has shown it nothing new is started there and nothing counts as gone.
+    state_.advance_fencing_token(*machine);
+    machine->next_commands_at = now + state_.settings().heartbeat_period_s;
+    for (auto& [id, attempt] : machine->attempts) attempt.stop_sent = false;
+  }
+  commands_.enqueue(*machine);
+  if (!heartbeat || heartbeat->machine != machine_id) return;
+  if (heartbeat->sequence() > machine->latest) reconcile(*machine, *heartbeat, false, now);
+}
+
+void Reconciler::on_probe_answered(const std::string& machine_id,
+                                   const std::optional<WorkerHeartbeat>& heartbeat, Seconds now) {
+  failure_detector_.record_event(now);
+  Machine* machine = state_.find_machine(machine_id);
+  if (!machine) return;
+  machine->probe_in_flight = false;
+  if (!heartbeat || heartbeat->machine != machine_id) {
+    machine->probe_unanswered = failure_detector_.heartbeat_overdue(*machine, now);
+    return;
+  }
+  if (heartbeat->sequence() > machine->latest) reconcile(*machine, *heartbeat, false, now);
+}
+
+void Reconciler::on_probe_not_sent(const std::string& machine_id) {
+  if (Machine* machine = state_.find_machine(machine_id)) machine->probe_in_flight = false;
+}
+
+/// A new agent epoch begins with nothing: the tasks of the one before ended with its lease.
+void Reconciler::begin_agent_epoch(Machine& machine, Seconds now) {
+  attempts_.remove_all(machine);
+  machine.failed_jobs.clear();
+  machine.fencing_token_acknowledged = false;
+  // Its lease counts from when it began. If that is learnt from an answer to commands or a probe,
+  // the last answer to a heartbeat would say that the lease is over while new tasks run.
+  machine.last_lease_renewal = std::max(machine.last_lease_renewal, now);
+}
+
+/// What a worker that has shown the fencing token in force does not list is gone, but for starts
+/// that may still be on their way to it.
+void Reconciler::remove_unlisted(Machine& machine, const WorkerHeartbeat& heartbeat, Seconds now) {
+  for (const auto& id : absent_attempts(machine, heartbeat)) {
+    const auto attempt = machine.attempts.find(id);
+    if (attempt == machine.attempts.end()) continue;
+    const bool present = attempt->second.possibly_present();
+    state_.remove_attempt(machine, id);
+    if (present) attempts_.stop_gang_of(id.task, now);
+  }
+}
+
+/// The worker follows this leader: it drops an earlier one's answers from here on.
+void Reconciler::accept_worker(Machine& machine, Seconds now) {
+  // The last answer of an earlier leader can't have been later.
+  if (machine.previous_leader_may_answer)
+    machine.last_lease_renewal = std::max(machine.last_lease_renewal, now);
+  machine.previous_leader_may_answer = false;
+  state_.mark_reconciled(machine);
+}
+
+/// Called with heartbeats that are newer than all before. `absence_counts`: what it leaves out may
+/// be gone, which an answer to commands or a probe can't tell.
+void Reconciler::reconcile(Machine& machine, const WorkerHeartbeat& heartbeat, bool absence_counts,
+                           Seconds now) {
+  if (heartbeat.agent_epoch > machine.latest.agent_epoch) begin_agent_epoch(machine, now);
+  machine.latest = heartbeat.sequence();
+  machine.last_heard = now;
+  machine.probe_unanswered = false;
+  failure_detector_.mark_up(machine, now);
+  machine.reclaim_at = heartbeat.preemption_notice_s
+                           ? std::optional<Seconds>(now + *heartbeat.preemption_notice_s)
+                           : std::nullopt;
+  const bool current_token = heartbeat.fencing_token >= state_.fencing_token(machine);
+  if (current_token && !machine.commands_in_flight && !machine.fencing_token_acknowledged) {
+    machine.fencing_token_acknowledged = true;
+    commands_.enqueue(machine);
+  }
+  for (const auto& task : heartbeat.tasks) reconcile_task(machine, task, now);
+  if (!current_token) return;
+  if (absence_counts) remove_unlisted(machine, heartbeat, now);
+  accept_worker(machine, now);
+}
+
+void Reconciler::reconcile_task(Machine& machine, const TaskStatus& task, Seconds now) {
+  const TaskAttemptId id{task.key, task.attempt};
+  auto [entry, added] = machine.attempts.try_emplace(id);
+  TaskAttempt& attempt = entry->second;
+  if (added) {
+    attempt.placed_at = now;
+    attempt.start_sent = true;
+    attempt.desired_running = false;
+    if (Job* job = state_.find_job(task.key.job)) attempts_.adopt(machine, id, attempt, *job, now);
+  }
+  if (task.state == TaskState::Exited) attempt.cause = task.cause;
+  attempts_.set_state(machine, id, attempt, attempt_state_of(task.state), now);
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/record_ingestion.cpp
@@ -0,0 +1,102 @@
+#include "dispatch/record_ingestion.h"
+
+#include <algorithm>
+
+#include "logging/log_event.h"
+
+namespace sumacquay {
+namespace {
+
+/// Whether the record tells the next leader every machine on which a task of the job may be.
+bool next_leader_knows_all(const Job& job) {
+  return std::all_of(job.possible_placements.begin(), job.possible_placements.end(),
+                     [&job](const auto& entry) {
+                       const auto& placements = entry.second;
+                       return std::all_of(placements.begin(), placements.end(),
+                                          [&job](const TaskPlacement& placement) {
+                                            return job.next_leader_knows(placement.machine);
+                                          });
+                     });
+}
+
+}  // namespace
+
+void count_arrival(const ClusterState& state, ArrivalForecast& arrivals, Job& job) {
+  if (job.counted_as_arrival || !state.ready(job)) return;
+  job.counted_as_arrival = true;
+  arrivals.add(job.spec(), state.arrival(job));
+}
+
+void RecordIngestion::on_job_record(const JobRecord& record, uint64_t version, Seconds now) {
+  auto [entry, added] = state_.jobs().try_emplace(record.spec.id);
+  Job& job = entry->second;
+  if (!added && job.version >= version) return;
+  const bool starts_released =
+      record.started && (!job.stored.started || job.stored.hosts != record.hosts);
+  job.stored = record;
+  job.version = version;
+  job.hosts_in_all_writes.reset();
+  job.hosts_record_requested = job.hosts_record_requested && !next_leader_knows_all(job);
+  state_.track_dependencies(record);
+  if (added) add_job(job, now);
+  if (record.state != JobState::Pending) links_.attempts.stop_job(job, false, now);
+  if (record.state == JobState::Cancelled) links_.failures.clear_failures(job);
+  if (starts_released) links_.commands.enqueue_machines_of(job);
+  links_.records.enqueue_job(job, now);
+}
+
+/// The rest of a new job, whose record has been taken in.
+void RecordIngestion::add_job(Job& job, Seconds now) {
+  const JobRecord& record = job.stored;
+  job.done = record.done;
+  state_.inherit_priority(job);
+  count_arrival(state_, links_.arrivals, job);
+  job.record_capacity = wire::record_capacity(record, state_.settings().state_value_bytes());
+  if (!job.record_capacity.any())
+    log_error("job_description_too_large", log_field("job", record.spec.id));
+  log_debug("job_arrived", log_field("job", record.spec.id), log_field("count", record.spec.tasks),
+            log_field("class", record.spec.job_class));
+  adopt_known_attempts(job, now);
+}
+
+/// A heartbeat may have brought tasks of the job before its record was read.
+void RecordIngestion::adopt_known_attempts(Job& job, Seconds now) {
+  const std::string& id = job.spec().id;
+  for (auto& [machine_id, machine] : state_.machines())
+    for (auto attempt = machine.attempts.lower_bound({{id, 0}, 0});
+         attempt != machine.attempts.end() && attempt->first.task.job == id; ++attempt) {
+      ++links_.work.adoption_checks;
+      if (attempt->second.possibly_present())
+        links_.attempts.adopt(machine, attempt->first, attempt->second, job, now);
+    }
+}
+
+void RecordIngestion::on_job_finished(const std::string& id) {
+  const auto entry = state_.jobs().find(id);
+  if (entry == state_.jobs().end()) return;
+  const Job& job = entry->second;
+  for_each_possible_placement(job, [this, &id](uint32_t task, const TaskPlacement& placement) {
+    Machine* machine = state_.find_machine(placement.machine);
+    if (!machine) return;
+    const auto attempt = machine->attempts.find({{id, task}, placement.attempt});
+    if (attempt != machine->attempts.end()) attempt->second.desired_running = false;
+  });
+  if (!job.complete()) links_.failures.clear_failures(job);
+  state_.jobs().erase(entry);
+  state_.dependencies().forget(id);
+}
+
+void RecordIngestion::on_dependency_finished(const std::string& id, const FinishedRecord& record) {
+  state_.dependencies().finished(id, record.state, record.ended_ms);
+}
+
+void RecordIngestion::restore_machine(const HostRecord& host, Seconds now) {
+  Machine& machine = state_.machines()[host.id];
+  machine.info = host;
+  state_.set_machine_state(machine, MachineState::Up);
+  machine.record = HostRecordState::Durable;
+  machine.first_seen = machine.last_heartbeat = now;  // until its worker has found this leader
+  state_.add_unreconciled_machine();
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/record_planner.cpp
@@ -0,0 +1,219 @@
+#include "dispatch/record_planner.h"
+
+#include <algorithm>
+#include <set>
+#include <string_view>
+#include <unordered_set>
+#include <utility>
+
+namespace sumacquay {
+namespace {
+
+/// A job's record is written in place, or moved: one deleted, another written.
+constexpr size_t kMaxChangesPerJob = 2;
+/// The size of a machine's record at most, or nearly so.
+constexpr size_t kMachineRecordBytes = 300;
+
+/// A write without an answer may be applied late: only hosts that every write of the record's
+/// present version names are certain to stay in it.
+void keep_common_hosts(Job& job, const std::optional<std::vector<std::string>>& hosts) {
+  if (!hosts) return;
+  if (!job.hosts_in_all_writes) {
+    job.hosts_in_all_writes = hosts;
+    return;
+  }
+  std::erase_if(*job.hosts_in_all_writes, [&](const std::string& id) {
+    return !std::binary_search(hosts->begin(), hosts->end(), id);
+  });
+}
+
+}  // namespace
+
+/// The writes of one transaction. Its size is kept well under the store's limit of 64 KiB.
+class RecordPlanner::Batch {
+ public:
+  explicit Batch(size_t max_changes) : max_changes_(max_changes) {}
+  bool fits(size_t changes) const { return changes_ + changes <= max_changes_; }
+  bool full() const { return bytes_ > kMaxBytes; }
+  /// `bytes`: the size of its value at most.
+  void add(RecordWrite write, size_t bytes) {
+    changes_ += write.changes();
+    bytes_ += bytes;
+    writes_.push_back(std::move(write));
+  }
+  std::vector<RecordWrite> release() { return std::move(writes_); }
+
+ private:
+  static constexpr size_t kMaxBytes = size_t{48} * 1024;
+  size_t max_changes_;
+  size_t changes_ = 0;
+  size_t bytes_ = 0;
+  std::vector<RecordWrite> writes_;
+};
+
+std::vector<RecordWrite> RecordPlanner::plan_writes(Seconds now, size_t max_changes) {
+  Batch batch(max_changes);
+  add_machine_writes(batch);
+  if (add_job_writes(batch, now)) add_machine_deletions(batch);
+  return batch.release();
+}
+
+/// Machines that are to get their first start: it waits for their records.
+void RecordPlanner::add_machine_writes(Batch& batch) {
+  if (!queue_.prompt()) {
+    for (const auto& [id, machine] : state_.machines()) {
+      if (!batch.fits(1)) return;
+      add_machine_write(batch, id, machine);
+    }
+    return;
+  }
+  while (batch.fits(1)) {
+    const auto id = queue_.pop_machine();
+    if (!id) return;
+    if (const Machine* machine = state_.find_machine(*id)) add_machine_write(batch, *id, *machine);
+  }
+}
+
+void RecordPlanner::add_machine_write(Batch& batch, const std::string& id, const Machine& machine) {
+  ++work_.dispatch_checks;
+  if (machine.record != HostRecordState::Requested || !host_writes_.begin(id)) return;
+  RecordWrite write;
+  write.host = id;
+  write.host_record = machine.info;
+  batch.add(std::move(write), kMachineRecordBytes);
+}
+
+void RecordPlanner::add_machine_deletions(Batch& batch) {
+  for (const auto& id : host_writes_.to_delete()) {
+    if (!batch.fits(1)) return;
+    if (!host_writes_.begin(id)) continue;
+    RecordWrite write;
+    write.host = id;
+    batch.add(std::move(write), kMachineRecordBytes);
+  }
+}
+
+/// Starts wait for some of them and users for others; what is merely tidied up comes last. False if
+/// the batch is full before all are in it.
+bool RecordPlanner::add_job_writes(Batch& batch, Seconds now) {
+  if (queue_.prompt()) return add_queued_job_writes(batch, now);
+  struct PrioritizedJob {
+    WritePriority priority;
+    Job* job;
+  };
+  std::vector<PrioritizedJob> order;
+  for (auto& [id, job] : state_.jobs()) {
+    ++work_.dispatch_checks;
+    const WritePriority priority = queue_.write_priority(job, now);
+    if (priority != WritePriority::None) order.push_back({priority, &job});
+  }
+  std::stable_sort(order.begin(), order.end(),
+                   [](const PrioritizedJob& first, const PrioritizedJob& second) {
+                     return first.priority < second.priority;
+                   });
+  for (const PrioritizedJob& entry : order) {
+    if (!batch.fits(kMaxChangesPerJob) || batch.full()) return false;
+    add_job_write(batch, *entry.job, now);
+  }
+  return true;
+}
+
+bool RecordPlanner::add_queued_job_writes(Batch& batch, Seconds now) {
+  while (batch.fits(kMaxChangesPerJob) && !batch.full()) {
+    const auto id = queue_.pop_job();
+    if (!id) return true;
+    ++work_.dispatch_checks;
+    Job* job = state_.find_job(*id);
+    if (job && queue_.write_priority(*job, now) != WritePriority::None)
+      add_job_write(batch, *job, now);
+  }
+  return queue_.jobs_empty();
+}
+
+void RecordPlanner::add_job_write(Batch& batch, Job& job, Seconds now) {
+  RecordWrite write = write_for(job, now);
+  job.write_in_flight = true;
+  keep_common_hosts(job, write.record->hosts);
+  const size_t bytes = write.finished ? 0 : job.record_capacity.taken_by(*write.record);
+  batch.add(std::move(write), bytes);
+}
+
+RecordWrite RecordPlanner::write_for(const Job& job, Seconds now) const {
+  RecordWrite write;
+  write.job = job.spec().id;
+  write.version = job.version;
+  write.record = job.stored;
+  JobRecord& record = *write.record;
+  if (job.stored.state == JobState::Pending && job.complete()) {
+    record.state = JobState::Done;
+    record.ended_ms = state_.time_of_day_ms(now);
+  }
+  if (state_.cancelled_by_dependency(job)) record.state = JobState::Cancelled;
+  record.started = job.stored.started || job.start_record_requested;
+  if (record.started && !record.spec.dependencies.empty()) {
+    // All of them are done: from here on only the time counts.
+    record.ready_ms = state_.arrival_ms(job);
+    record.spec.dependencies.clear();
+  }
+  if (record.started) record.hosts = possible_hosts(job);
+  write.finished = record.state != JobState::Pending && state_.absent_everywhere(job);
+  // Of a job that is over only their number is kept.
+  record.done = write.finished ? job.done : RecordQueue::done_for_record(job);
+  return write;
+}
+
+/// Where the job's tasks may be, for the next leader: machines that it can't reconcile hold back
+/// this job only if they are among these. None if the list would take too much of a record.
+std::optional<std::vector<std::string>> RecordPlanner::possible_hosts(const Job& job) const {
+  if (state_.placement_unknown(job) && !job.stored.hosts) return std::nullopt;
+  // An array has tens of thousands of placements on a few hundred machines.
+  std::unordered_set<std::string_view> machines;
+  for_each_possible_placement(job, [&machines](uint32_t, const TaskPlacement& placement) {
+    machines.insert(placement.machine);
+  });
+  std::set<std::string> hosts(machines.begin(), machines.end());
+  for (const auto& id : job.stored.hosts.value_or(std::vector<std::string>{})) {
+    const Machine* machine = state_.find_machine(id);
+    if (machine && !machine->reconciled) hosts.insert(id);
+  }
+  std::vector<std::string> sorted(hosts.begin(), hosts.end());
+  if (!job.record_capacity.holds(sorted)) return std::nullopt;
+  return sorted;
+}
+
+void RecordPlanner::on_write_answered(const RecordWrite& write, bool committed, uint64_t version,
+                                      Seconds now) {
+  if (write.host.empty())
+    on_job_write_answered(write, committed, version, now);
+  else
+    on_machine_write_answered(write, committed);
+}
+
+void RecordPlanner::on_machine_write_answered(const RecordWrite& write, bool committed) {
+  host_writes_.end(write.host);
+  if (committed && !write.host_record) host_writes_.deleted(write.host);
+  Machine* machine = state_.find_machine(write.host);
+  if (!machine) return;
+  if (committed && write.host_record) machine->record = HostRecordState::Durable;
+  queue_.enqueue_machine(*machine);
+  commands_.enqueue(*machine);
+}
+
+void RecordPlanner::on_job_write_answered(const RecordWrite& write, bool committed,
+                                          uint64_t version, Seconds now) {
+  Job* job = state_.find_job(write.job);
+  if (!job) return;
+  job->write_in_flight = false;
+  if (!committed) return queue_.enqueue_job(*job, now);
+  const JobRecord& record = *write.record;
+  if (write.finished) {
+    ingestion_.on_dependency_finished(write.job,
+                                      {record.state, record.done.count(), record.ended_ms});
+    return ingestion_.on_job_finished(write.job);
+  }
+  ingestion_.on_job_record(record, version, now);
+  if (job->done == job->stored.done) job->progress_since.reset();
+  queue_.enqueue_job(*job, now);
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/dispatch/record_queue.cpp
@@ -0,0 +1,51 @@
+#include "dispatch/record_queue.h"
+
+namespace sumacquay {
+
+WritePriority RecordQueue::write_priority(const Job& job, Seconds now) const {
+  if (job.write_in_flight || job.version == 0) return WritePriority::None;
+  const bool pending = job.stored.state == JobState::Pending;
+  const bool over = !pending || job.complete();
+  // A record of a version before these limits: the job can still be moved to the finished ones.
+  if (!job.record_capacity.any() && !(over && state_.absent_everywhere(job)))
+    return WritePriority::None;
+  if ((job.start_record_requested && !job.stored.started) || job.hosts_record_requested)
+    return WritePriority::Start;
+  if (pending && job.complete()) return WritePriority::Done;
+  // It stays among the live records until nothing of it is left anywhere: the next leader must
+  // know what may still use resources and count against a quota.
+  if (!pending && state_.absent_everywhere(job)) return WritePriority::Finished;
+  if (state_.cancelled_by_dependency(job)) return WritePriority::Finished;
+  return progress_due(job, now) ? WritePriority::Progress : WritePriority::None;
+}
+
+/// Progress of an array is written in batches, as far as its record has room for it. Only more than
+/// is stored is progress: a record of larger limits isn't rewritten for what it would lose.
+bool RecordQueue::progress_due(const Job& job, Seconds now) const {
+  if (job.done.count() == job.stored.done.count()) return false;
+  const bool due =
+      !job.progress_since || now >= *job.progress_since + state_.settings().heartbeat_period_s;
+  return due && done_for_record(job).count() > job.stored.done.count();
+}
+
+Ranges RecordQueue::done_for_record(const Job& job) {
+  return job.done.first_spans(job.record_capacity.spans, job.stored.done);
+}
+
+void RecordQueue::enqueue_machine(const Machine& machine) {
+  if (prompt() && machine.record == HostRecordState::Requested) machines_.put(machine.info.id);
+}
+
+void RecordQueue::enqueue_job(const Job& job, Seconds now) {
+  if (!prompt()) return;
+  const WritePriority priority = write_priority(job, now);
+  if (priority != WritePriority::None) jobs_.put(job.spec().id, static_cast<size_t>(priority));
+}
+
+void RecordQueue::enqueue_overlooked(Seconds now) {
+  if (!prompt()) return;
+  for (const auto& [id, machine] : state_.machines()) enqueue_machine(machine);
+  for (const auto& [id, job] : state_.jobs()) enqueue_job(job, now);
+}
+
+}  // namespace sumacquay
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -1,107 +1,78 @@
-// What a tick does and in which order, and lookups that all parts of the leader use.
 #include "dispatch/scheduler.h"
 
-#include <spdlog/spdlog.h>
-
 namespace sumacquay {
-namespace {
-
-/// The pause between two events that shows this process to have stood still / workers' lease.
-constexpr double kStallThreshold = 0.1;
-
-}  // namespace
 
 Scheduler::Scheduler(const Settings& settings, uint64_t term, Seconds now,
                      Seconds previous_leader_fenced_at, Seconds wall_offset)
-    : settings_(settings),
-      term_(term),
-      failover_at_(now),
-      previous_leader_fenced_at_(previous_leader_fenced_at),
-      wall_offset_(wall_offset),
-      last_event_(now),
-      listening_since_(now),
-      delegations_(term, settings.delegation_after_s()),
-      token_allocator_(term),
-      scale_out_requests_(term) {}
-
-/// Ends whatever was ordered under the fencing token before, however late it arrives.
-void Scheduler::advance_fencing_token(Machine& machine) {
-  ++machine.counter;
-  machine.fencing_token_acknowledged = false;
-  token_allocator_.record_use(machine.counter);
-}
-
-const Job* Scheduler::find_job(const std::string& id) const {
-  const auto it = jobs_.find(id);
-  return it == jobs_.end() ? nullptr : &it->second;
-}
-
-Job* Scheduler::find_job(const std::string& id) {
-  const auto it = jobs_.find(id);
-  return it == jobs_.end() ? nullptr : &it->second;
-}
+    : state_(settings, term, now, wall_offset),
+      failures_(state_),
+      commands_(state_, work_),
+      record_queue_(state_),
+      attempts_(state_, failures_, commands_, record_queue_, work_),
+      failure_detector_(state_, attempts_, failures_, now, previous_leader_fenced_at),
+      reconciler_(state_, attempts_, commands_, failure_detector_),
+      ingestion_(state_, {failures_, attempts_, commands_, record_queue_, arrivals_, work_}),
+      record_planner_(state_, record_queue_, ingestion_, commands_, work_),
+      capacity_(state_),
+      autoscaler_(state_, {capacity_, attempts_, failure_detector_, record_planner_, arrivals_}),
+      queue_(state_, failures_, arrivals_),
+      quota_(state_),
+      preemptor_(state_, {capacity_, queue_, autoscaler_, attempts_, work_}),
+      round_(state_,
+             {capacity_, failures_, queue_, quota_, preemptor_, commands_, record_queue_, work_}),
+      rebalancer_(state_, capacity_, autoscaler_, attempts_),
+      summary_log_(state_, work_) {}
 
-const MachineType* Scheduler::type(const std::string& name) const {
-  for (const auto& t : types_)
-    if (t.name == name) return &t;
-  return nullptr;
+void Scheduler::on_cached_image(const std::string& machine_id, const std::string& image,
+                                double size_gb) {
+  if (Machine* machine = state_.find_machine(machine_id))
+    state_.record_image_use(*machine, image, size_gb);
 }
 
 std::unordered_map<std::string, uint32_t> Scheduler::running_counts() const {
-  std::unordered_map<std::string, uint32_t> out;
-  for (const auto& [id, machine] : machines_) {
-    const std::string* job = nullptr;  // attempts are in the order of their jobs: one look a job
+  std::unordered_map<std::string, uint32_t> counts;
+  for (const auto& [machine_id, machine] : state_.machines()) {
+    const std::string* job = nullptr;  // attempts are in the order of their jobs: one look-up a job
     uint32_t* count = nullptr;
-    for (const auto& [key, attempt] : machine.attempts) {
+    for (const auto& [id, attempt] : machine.attempts) {
       if (attempt.state != TaskAttemptState::Running) continue;
-      if (!job || *job != key.task.job) {
-        job = &key.task.job;
-        count = &out[*job];
+      if (!job || *job != id.task.job) {
+        job = &id.task.job;
+        count = &counts[*job];
       }
       ++*count;
     }
   }
-  return out;
-}
-
-void Scheduler::on_previous_leader_fenced(Seconds now) {
-  if (previous_leader_fenced_ || now >= previous_leader_fenced_at_) return;
-  previous_leader_fenced_ = true;
-  previous_leader_fenced_at_ = now;
-  spdlog::info("no earlier leader answers any more");
-}
-
-/// Called with every event. A process that stood still, or was busy for long, has heard nobody
-/// meanwhile and must not take that for their silence; but no more than the pause itself is taken
-/// from it, or a leader with slow rounds would never find anybody silent.
-void Scheduler::record_progress(Seconds now) {
-  const Seconds pause = now - last_event_;
-  last_event_ = std::max(last_event_, now);
-  if (pause <= settings_.lease_s * kStallThreshold) return;
-  listening_since_ += pause;
-  for (auto& [id, machine] : machines_) {
-    machine.last_heard += pause;
-    machine.partition_healed_at += pause;
-  }
+  return counts;
 }
 
 std::vector<Action> Scheduler::tick(Seconds now) {
-  std::vector<Action> out;
-  record_progress(now);
+  std::vector<Action> actions;
+  const Settings& settings = state_.settings();
+  failure_detector_.record_event(now);
   if (now >= next_round_) {
-    expire_leases(now);
-    next_round_ = now + settings_.tuning.round * settings_.heartbeat_period_s;
-    run_placement_round(now);
-    rebalance(now);
-    scale_out(now, out);
-    log_fleet_summary(now);
-    unplaced_.clear();
-    fill_backlog(now);
+    failure_detector_.expire_leases(now);
+    next_round_ = now + settings.tuning.round * settings.heartbeat_period_s;
+    round_.run(now);
+    rebalancer_.rebalance(round_.unplaced(), now);
+    const size_t unplaced_jobs = round_.unplaced().size();
+    autoscaler_.scale_out(round_.release_unplaced(), now, actions);
+    summary_log_.write_if_due(unplaced_jobs, now);
+    commands_.enqueue_overlooked();
+    record_queue_.enqueue_overlooked(now);
   }
-  scale_in(now, out);
-  dispatch_starts(now, out);
-  probe(now, out);
-  return out;
+  autoscaler_.scale_in(now, actions);
+  commands_.dispatch(now, actions);
+  failure_detector_.probe(now, actions);
+  return actions;
+}
+
+std::vector<Action> Scheduler::dispatch(Seconds now) {
+  std::vector<Action> actions;
+  if (!record_queue_.prompt()) return actions;
+  failure_detector_.record_event(now);
+  commands_.dispatch(now, actions);
+  return actions;
 }
 
 }  // namespace sumacquay
--- a/src/fleet/worker_heartbeat.h
+++ b/src/fleet/worker_heartbeat.h
@@ -17,8 +17,8 @@
 
 /// How far a start of a task is.
 enum class TaskState { Fetching, Waiting, Running, Checkpointing, Exited };
-/// Why a task has exited; `PeerHeartbeats`: another of its gang has.
-enum class ExitCause { None, Done, Stopped, PeerHeartbeats, Alone, Error, NoRoom, Busy, Unknown };
+/// Why a task has exited; `GangMemberGone`: another task of its gang has.
+enum class ExitCause { None, Done, Stopped, GangMemberGone, Alone, Error, NoRoom, Busy, Unknown };
 
 /// A start of a task as its worker sees it.
 struct TaskStatus {
--- a/src/simulators/simulated_fleet.cpp
+++ b/src/simulators/simulated_fleet.cpp
@@ -131,7 +131,7 @@
   const auto left = std::exchange(found->second.ready, {});
   for (const auto& [task, machine] : left)
     if (SimulatedWorker* worker = find(machine))
-      worker->end_gang_task(task, attempt.second, ExitCause::PeerHeartbeats);
+      worker->end_gang_task(task, attempt.second, ExitCause::GangMemberGone);
   gangs_.erase(attempt);
 }
 
--- a/src/wire/spellings.h
+++ b/src/wire/spellings.h
@@ -16,7 +16,7 @@
                                                       {TaskState::Exited, "exited"}}};
 inline constexpr EnumNames<ExitCause, 8> kExitCauses{{{ExitCause::Done, "done"},
                                                       {ExitCause::Stopped, "stopped"},
-                                                      {ExitCause::PeerHeartbeats, "mates_gone"},
+                                                      {ExitCause::GangMemberGone, "mates_gone"},
                                                       {ExitCause::Alone, "alone"},
                                                       {ExitCause::Error, "error"},
                                                       {ExitCause::NoRoom, "no_room"},
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -110,7 +110,7 @@
        {TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Checkpointing})
     heartbeat.tasks.push_back({{"job-1", task++}, 70000, state, ExitCause::None});
   for (const auto cause :
-       {ExitCause::Done, ExitCause::Stopped, ExitCause::PeerHeartbeats, ExitCause::Alone,
+       {ExitCause::Done, ExitCause::Stopped, ExitCause::GangMemberGone, ExitCause::Alone,
         ExitCause::Error, ExitCause::NoRoom, ExitCause::Busy, ExitCause::Unknown})
     heartbeat.tasks.push_back({{"job-2", task++}, 3, TaskState::Exited, cause});
   return heartbeat;
--- a/tests/host_record_writes_test.cpp
+++ b/tests/host_record_writes_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(HostRecordWrites, ADeletionIsWantedUntilItWasCarriedOut) {
   HostRecordWrites writes;
-  writes.want_deletion("i-1");
+  writes.request_deletion("i-1");
   EXPECT_TRUE(writes.begin("i-1"));
   writes.end("i-1");
   EXPECT_EQ(writes.to_delete(), std::set<std::string>{"i-1"}) << "the write was lost";
