--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -15,7 +15,7 @@
 
 using testing::holds;
 
-const char* kToml = R"(
+const char* settings_text = R"(
 label = "n0"
 area = "east"
 listen = "127.0.0.1:8080"
@@ -65,7 +65,7 @@
 }
 
 TEST(Settings, ReadsThePlatformsFileAndIgnoresWhatItDoesNotKnow) {
-  const Settings s = parse_settings(kToml, "f.toml");
+  const Settings s = parse_settings(settings_text, "f.toml");
   EXPECT_EQ(s.node, "n0");
   EXPECT_EQ(s.listen.port, 8080);
   ASSERT_EQ(s.peers.size(), 1u);
@@ -75,26 +75,29 @@
 }
 
 TEST(Settings, AnErrorNamesTheField) {
+  EXPECT_NE(settings_error(settings_text, "lease_s = 10.0", "lease_s = \"x\"")
+                .find("params.workers.lease_s"),
+            std::string::npos);
   EXPECT_NE(
-      settings_error(kToml, "lease_s = 10.0", "lease_s = \"x\"").find("params.workers.lease_s"),
+      settings_error(settings_text, "txn_ops = 24", "txn_ops = -1").find("params.state.txn_ops"),
       std::string::npos);
-  EXPECT_NE(settings_error(kToml, "txn_ops = 24", "txn_ops = -1").find("params.state.txn_ops"),
+  EXPECT_NE(settings_error(settings_text, "127.0.0.1:8081", "here").find("back"),
+            std::string::npos);
+  EXPECT_NE(settings_error(settings_text, "name = \"blue\"", "").find("params.teams[0].name"),
             std::string::npos);
-  EXPECT_NE(settings_error(kToml, "127.0.0.1:8081", "here").find("back"), std::string::npos);
-  EXPECT_NE(settings_error(kToml, "name = \"blue\"", "").find("params.teams[0].name"),
+  EXPECT_NE(settings_error(settings_text, "[services]", "[services").find("line"),
             std::string::npos);
-  EXPECT_NE(settings_error(kToml, "[services]", "[services").find("line"), std::string::npos);
 }
 
 /// The platform's file with a table of limits to come.
 std::string with_limits_to_come(const std::string& lines) {
-  const std::string text = kToml;
+  const std::string text = settings_text;
   const std::string next_table = "[params.cloud]";
   return std::string(text).insert(text.find(next_table), "[params.state.next]\n" + lines + "\n");
 }
 
 TEST(Settings, OfTheLimitsNowAndToComeTheStricterHolds) {
-  const Settings now = parse_settings(kToml, "f.toml");
+  const Settings now = parse_settings(settings_text, "f.toml");
   EXPECT_EQ(now.state_txn_ops, 24);
   EXPECT_EQ(now.max_preconditions(), 96u);
   EXPECT_EQ(now.state_value_bytes(), 8192u);
@@ -122,7 +125,8 @@
     EXPECT_NE(error.find(std::string("params.state.next.") + field), std::string::npos) << error;
     EXPECT_EQ(error.find('\n'), std::string::npos);
   }
-  const std::string no_table = settings_error(kToml, "txn_ops = 24", "txn_ops = 24\nnext = 3");
+  const std::string no_table =
+      settings_error(settings_text, "txn_ops = 24", "txn_ops = 24\nnext = 3");
   EXPECT_NE(no_table.find("params.state.next"), std::string::npos) << no_table;
 }
 
