--- a/src/store/key_value_store_client.cpp
+++ b/src/store/key_value_store_client.cpp
@@ -9,37 +9,50 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// A node's part of the service's limits. Bursts come to one node at a time, so the parts add up to
-/// more than the whole; 429 empties the node's bucket when they do.
+/// A node's fraction of the service's rate limits. Bursts come to one node at a time, so the nodes'
+/// budgets add up to more than the limits; status 429 empties the node's bucket when they exceed
+/// them.
 constexpr double kBudgetShare = 0.85;
-constexpr size_t kQueueLimit = 2000;
-/// How long requests wait until the budget is looked at again.
-constexpr std::chrono::milliseconds kQueuePause{10};
-/// How long the service has to answer / the workers' lease.
+constexpr size_t kMaxQueued = 2000;
+/// How long queued requests wait until the budget is looked at again.
+constexpr std::chrono::milliseconds kQueueInterval{10};
+/// The time that the service has to answer, as a fraction of the workers' lease.
 constexpr double kDeadlineLeaseShare = 0.15;
-/// The part of a burst that less urgent requests leave alone.
+/// The fraction of a burst that each priority leaves to the more urgent ones.
 constexpr std::array<double, kPriorities> kReserve{0.0, 0.1, 0.3};
 
-constexpr size_t kUrgentQueued = 16;
-constexpr size_t kWatchQueued = 4;
+constexpr size_t kMaxUrgentQueued = 16;
+constexpr size_t kMaxWatchesQueued = 4;
 
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusNotFound = 404;
+constexpr int kStatusConflict = 409;
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusUnavailable = 503;
 
-TransactionResult read_transaction_answer(const HttpResult& answer, bool with_lease) {
+bool rate_limited(const HttpResult& result) {
+  return result.answered && result.status == kStatusTooManyRequests;
+}
+
+bool unavailable(const HttpResult& result) {
+  return result.answered && result.status == kStatusUnavailable;
+}
+
+TransactionResult parse_transaction_answer(const HttpResult& answer, bool with_lease) {
   TransactionResult result;
   if (!answer.answered) return result;
   const auto revision = wire::parse_revision(answer.body);
   switch (answer.status) {
-    case 200:
+    case kStatusOk:
       result.outcome = revision ? TransactionOutcome::Committed : TransactionOutcome::Unknown;
       result.revision = revision.value_or(0);
       break;
-    case 409:
+    case kStatusConflict:
       result.outcome = TransactionOutcome::PreconditionFailed;
       result.failed = wire::parse_failed(answer.body);
       break;
-    case 400:
+    case kStatusBadRequest:
       result.outcome = with_lease ? TransactionOutcome::NoLease : TransactionOutcome::TooLarge;
       break;
     default:
@@ -50,40 +63,39 @@
 
 }  // namespace
 
-KeyValueStoreClient::KeyValueStoreClient(asio::io_context& io, const Settings& s)
+KeyValueStoreClient::KeyValueStoreClient(asio::io_context& io, const Settings& settings)
     : io_(io),
-      deadline_s_(s.lease_s * kDeadlineLeaseShare),
-      urgent_(io, s.state, fixed_sockets::kUrgentStateConnections, kUrgentQueued),
-      normal_(io, s.state, fixed_sockets::kStateConnections, kQueueLimit),
-      watches_(io, s.state, fixed_sockets::kWatchConnections, kWatchQueued),
-      requests_(s.state_rps * kBudgetShare),
-      writes_(s.state_write_rps * kBudgetShare),
-      timer_(io),
-      refilled_(Clock::now()),
+      deadline_s_(settings.lease_s * kDeadlineLeaseShare),
+      urgent_(io, settings.state, fixed_sockets::kUrgentStateConnections, kMaxUrgentQueued),
+      normal_(io, settings.state, fixed_sockets::kStateConnections, kMaxQueued),
+      watches_(io, settings.state, fixed_sockets::kWatchConnections, kMaxWatchesQueued),
+      request_budget_(settings.state_rps * kBudgetShare),
+      write_budget_(settings.state_write_rps * kBudgetShare),
+      queue_timer_(io),
+      refilled_at_(Clock::now()),
       last_served_(Clock::now()) {}
 
-HttpDone KeyValueStoreClient::observe(HttpDone done) {
-  return [this, done = std::move(done)](HttpResult r) {
-    if (r.answered && r.status == kStatusTooManyRequests) requests_.drain();
-    if (r.answered && r.status != kStatusUnavailable && r.status != kStatusTooManyRequests)
-      last_served_ = Clock::now();
-    done(std::move(r));
+HttpDone KeyValueStoreClient::with_status_tracking(HttpDone done) {
+  return [this, done = std::move(done)](HttpResult result) {
+    if (rate_limited(result)) request_budget_.drain();
+    const bool served = result.answered && !unavailable(result) && !rate_limited(result);
+    if (served) last_served_ = Clock::now();
+    done(std::move(result));
   };
 }
 
 void KeyValueStoreClient::send(HttpClient& client, Request request) {
   client.request(request.method, request.target, request.body, deadline_s_,
-                 observe(std::move(request.done)));
+                 with_status_tracking(std::move(request.done)));
 }
 
-/// A request over the limit was not executed: it waits for the budget instead of failing, which
-/// would cost a user a second and more.
+/// A request over the rate limit was not executed. It waits for the budget instead of failing,
+/// which would cost a user a second and more.
 void KeyValueStoreClient::send_until_accepted(RequestPriority priority, Request request) {
   Request attempt = request;
   attempt.done = [this, priority, request = std::move(request)](HttpResult result) {
-    const std::chrono::duration<double> age = Clock::now() - request.asked_at;
-    const bool refused = result.answered && result.status == kStatusTooManyRequests;
-    if (!refused || age.count() > deadline_s_) return request.done(std::move(result));
+    const std::chrono::duration<double> age = Clock::now() - request.submitted_at;
+    if (!rate_limited(result) || age.count() > deadline_s_) return request.done(std::move(result));
     queue(priority).push_front(request);
     send_queued_later();
   };
@@ -91,39 +103,39 @@
 }
 
 void KeyValueStoreClient::submit(RequestPriority priority, Request request) {
-  if (queue(priority).size() >= kQueueLimit) {
+  if (queue(priority).size() >= kMaxQueued) {
     HttpResult refused;
     refused.answered = true;
     refused.status = kStatusTooManyRequests;
     asio::post(io_, [done = std::move(request.done), refused] { done(refused); });
     return;
   }
-  request.asked_at = Clock::now();
+  request.submitted_at = Clock::now();
   queue(priority).push_back(std::move(request));
   send_queued();
 }
 
 void KeyValueStoreClient::refill_buckets() {
   const auto now = Clock::now();
-  const double elapsed_s = std::chrono::duration<double>(now - refilled_).count();
-  refilled_ = now;
-  requests_.refill(elapsed_s);
-  writes_.refill(elapsed_s);
+  const double elapsed_s = std::chrono::duration<double>(now - refilled_at_).count();
+  refilled_at_ = now;
+  request_budget_.refill(elapsed_s);
+  write_budget_.refill(elapsed_s);
 }
 
-/// LeaderElection never waits for the budget: a renewal that comes late costs far more than a 429.
+/// Leadership never waits for the budget: a renewal that comes late costs far more than a 429.
 bool KeyValueStoreClient::within_budget(RequestPriority priority, const Request& request) const {
   if (priority == RequestPriority::Leadership) return true;
-  if (!requests_.has(1, kReserve[static_cast<size_t>(priority)])) return false;
-  // One write in the budget is enough for a transaction of several, which overdraws it.
-  return request.writes <= 0 || writes_.has(std::min(request.writes, 1.0), 0);
+  if (!request_budget_.has(1, kReserve[static_cast<size_t>(priority)])) return false;
+  // One write left in the budget is enough for a transaction of several, which overdraws it.
+  return request.writes <= 0 || write_budget_.has(std::min(request.writes, 1.0), 0);
 }
 
 void KeyValueStoreClient::send_first(RequestPriority priority) {
   Request request = std::move(queue(priority).front());
   queue(priority).pop_front();
-  requests_.take(1);
-  writes_.take(request.writes);
+  request_budget_.take(1);
+  write_budget_.take(request.writes);
   if (priority == RequestPriority::Leadership)
     send(urgent_, std::move(request));
   else
@@ -141,26 +153,26 @@
 }
 
 void KeyValueStoreClient::send_queued_later() {
-  if (timer_armed_) return;
-  timer_armed_ = true;
-  timer_.expires_after(kQueuePause);
-  timer_.async_wait([this](auto error) {
-    timer_armed_ = false;
+  if (queue_timer_armed_) return;
+  queue_timer_armed_ = true;
+  queue_timer_.expires_after(kQueueInterval);
+  queue_timer_.async_wait([this](auto error) {
+    queue_timer_armed_ = false;
     if (!error) send_queued();
   });
 }
 
 void KeyValueStoreClient::compare_and_swap(RequestPriority priority,
                                            const std::vector<wire::Precondition>& preconditions,
-                                           const std::vector<wire::Mutation>& changes,
+                                           const std::vector<wire::Mutation>& mutations,
                                            std::function<void(TransactionResult)> done) {
-  Request request{"POST", wire::path::kTransaction, wire::transaction_body(preconditions, changes),
-                  static_cast<double>(changes.size()), nullptr};
-  const bool with_lease =
-      std::any_of(changes.begin(), changes.end(),
-                  [](const wire::Mutation& change) { return change.lease != 0; });
+  Request request{"POST", wire::path::kTransaction,
+                  wire::transaction_body(preconditions, mutations),
+                  static_cast<double>(mutations.size()), nullptr};
+  const bool with_lease = std::ranges::any_of(
+      mutations, [](const wire::Mutation& mutation) { return mutation.lease != 0; });
   request.done = [done = std::move(done), with_lease](const HttpResult& result) {
-    done(read_transaction_answer(result, with_lease));
+    done(parse_transaction_answer(result, with_lease));
   };
   submit(priority, std::move(request));
 }
@@ -170,25 +182,26 @@
 }
 
 void KeyValueStoreClient::watch(const std::string& target, double wait_s, HttpDone done) {
-  requests_.take(1);
-  watches_.request("GET", target, {}, wait_s + deadline_s_, observe(std::move(done)));
+  request_budget_.take(1);
+  watches_.request("GET", target, {}, wait_s + deadline_s_, with_status_tracking(std::move(done)));
 }
 
 void KeyValueStoreClient::grant(double ttl_s, std::function<void(std::optional<uint64_t>)> done) {
   submit(RequestPriority::Leadership,
          Request{"POST", wire::path::kGrants, wire::grant_body(static_cast<uint64_t>(ttl_s * 1000)),
-                 0, [done = std::move(done)](const HttpResult& r) {
-                   done(r.ok() ? wire::parse_lease(r.body) : std::nullopt);
+                 0, [done = std::move(done)](const HttpResult& result) {
+                   done(result.ok() ? wire::parse_lease(result.body) : std::nullopt);
                  }});
 }
 
 void KeyValueStoreClient::renew(uint64_t lease, double deadline_s,
                                 std::function<void(Renewal)> done) {
-  requests_.take(1);
+  request_budget_.take(1);
   urgent_.request("POST", wire::renew_path(lease), {}, deadline_s,
-                  observe([done = std::move(done)](const HttpResult& r) {
-                    if (r.ok()) return done(Renewal::Renewed);
-                    done(r.answered && r.status == 404 ? Renewal::Ended : Renewal::Failed);
+                  with_status_tracking([done = std::move(done)](const HttpResult& result) {
+                    if (result.ok()) return done(Renewal::Renewed);
+                    done(result.answered && result.status == kStatusNotFound ? Renewal::Ended
+                                                                             : Renewal::Failed);
                   }));
 }
 
--- a/src/store/record_cache.cpp
+++ b/src/store/record_cache.cpp
@@ -1,26 +1,27 @@
 #include "store/record_cache.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <memory>
 #include <optional>
 #include <utility>
 
+#include "logging/log_event.h"
+
 namespace sumacquay {
 namespace {
 
 constexpr int kPageItems = 200;
-/// From the answer of a watch to the next watch, in seconds.
-constexpr double kWatchGap = 0.004;
-/// From a failed read to the next / a watch's wait.
-constexpr double kRetryShare = 0.03;
-/// Between barriers / the time in which the service takes one request of all nodes.
-constexpr double kBarrierGap = 8.0;
+/// From the answer of a watch to the next watch.
+constexpr double kWatchIntervalSeconds = 0.004;
+/// From a failed read to the next, as a fraction of the lease.
+constexpr double kRetryLeaseShare = 0.03;
+/// The interval between barriers, in requests that the service accepts in that time.
+constexpr double kBarrierIntervalRequests = 8.0;
 /// The changes that were asked for are no longer kept.
-constexpr int kGone = 410;
+constexpr int kStatusGone = 410;
 
-/// What is loaded, in this order. Jobs that are over are not: they are read when asked for.
+/// The prefixes that are loaded, in this order. Finished jobs are not: they are read when asked
+/// for.
 const std::vector<std::string>& load_order() {
   static const std::vector<std::string> prefixes{keys::kLeader, keys::kTerm, keys::kHost,
                                                  keys::kLive};
@@ -28,14 +29,14 @@
 }
 
 bool changes_are_gone(const HttpResult& result) {
-  return result.answered && result.status == kGone;
+  return result.answered && result.status == kStatusGone;
 }
 
 std::optional<wire::StorePage> changes_of(const HttpResult& result) {
   return result.ok() ? wire::parse_changes(result.body) : std::nullopt;
 }
 
-/// The leader that a change of its key tells; none if the key was deleted or can't be read.
+/// The leader in a change of a key; none if the key was deleted or can't be read.
 std::optional<wire::LeaderRecord> leader_of(const wire::StoreItem& item) {
   return item.value.missing() ? std::nullopt : wire::decode_leader(item.value);
 }
@@ -46,9 +47,9 @@
                          size_t finished_kept)
     : io_(io),
       store_(store),
-      wait_s_(settings.lease_s),
-      retry_s_(settings.lease_s * kRetryShare),
-      barrier_gap_s_(kBarrierGap / settings.state_rps),
+      watch_wait_s_(settings.lease_s),
+      retry_s_(settings.lease_s * kRetryLeaseShare),
+      barrier_interval_s_(kBarrierIntervalRequests / settings.state_rps),
       finished_kept_(finished_kept) {}
 
 void RecordCache::start() {
@@ -56,7 +57,9 @@
 }
 
 void RecordCache::enter(State next) {
-  if (state_ != next) spdlog::info("records: {}", next == State::Loading ? "loading" : "following");
+  if (state_ != next)
+    log_info("record_cache_state_changed",
+             log_field("to", next == State::Loading ? "loading" : "following"));
   state_ = next;
 }
 
@@ -133,26 +136,27 @@
 }
 
 void RecordCache::follow() {
-  const auto wait_ms = static_cast<uint64_t>(wait_s_ * 1000);
-  store_.watch(wire::changes_path(keys::kRoot, revision_, wait_ms), wait_s_,
-               [this, generation = generation_, asked_at = Clock::now()](const HttpResult& result) {
-                 if (generation != generation_) return;
-                 if (changes_are_gone(result)) return load();
-                 apply_watch_response(result, asked_at);
-               });
+  const auto wait_ms = static_cast<uint64_t>(watch_wait_s_ * 1000);
+  store_.watch(
+      wire::changes_path(keys::kRoot, revision_, wait_ms), watch_wait_s_,
+      [this, generation = generation_, requested_at = Clock::now()](const HttpResult& result) {
+        if (generation != generation_) return;
+        if (changes_are_gone(result)) return load();
+        apply_watch_response(result, requested_at);
+      });
 }
 
-/// Takes in what a watch brought, and watches on.
-void RecordCache::apply_watch_response(const HttpResult& result, Clock::time_point asked_at) {
+/// Applies the changes of a watch and schedules the next watch.
+void RecordCache::apply_watch_response(const HttpResult& result, Clock::time_point requested_at) {
   const auto page = changes_of(result);
-  if (page) apply(*page, asked_at);
+  if (page) apply(*page, requested_at);
   record_read_outcome(result, page.has_value());
-  schedule_unless_reloaded(page ? kWatchGap : retry_s_, [this] { follow(); });
+  schedule_unless_reloaded(page ? kWatchIntervalSeconds : retry_s_, [this] { follow(); });
 }
 
 void RecordCache::read_barrier(BarrierDone done) {
-  constexpr size_t kMostWaiting = 1000;
-  if (!loaded() || waiting_.size() >= kMostWaiting) {
+  constexpr size_t kMaxWaiting = 1000;
+  if (!loaded() || waiting_.size() >= kMaxWaiting) {
     asio::post(io_, [done = std::move(done)] { done(false); });
     return;
   }
@@ -160,7 +164,7 @@
   if (!barrier_running_) send_barrier_read();
 }
 
-/// A barrier that runs while the copy is being loaded would be answered from a part of it.
+/// A barrier that runs while the cache is being loaded would be answered from a part of it.
 void RecordCache::reject_waiting_barriers() {
   for (auto& done : std::exchange(waiting_, {}))
     asio::post(io_, [done = std::move(done)] { done(false); });
@@ -170,40 +174,41 @@
   barrier_running_ = true;
   // Only those who asked before the request is sent are served by it.
   auto served = std::make_shared<std::vector<BarrierDone>>(std::exchange(waiting_, {}));
-  store_.read(
-      RequestPriority::Background, wire::changes_path(keys::kRoot, revision_, 0),
-      [this, served, generation = generation_, asked_at = Clock::now()](const HttpResult& result) {
-        if (generation != generation_) return barrier_answered(*served, false);
-        const auto page = changes_of(result);
-        if (page) apply(*page, asked_at);
-        if (changes_are_gone(result)) load();
-        if (generation == generation_) record_read_outcome(result, page.has_value());
-        barrier_answered(*served, page.has_value());
-      });
+  store_.read(RequestPriority::Background, wire::changes_path(keys::kRoot, revision_, 0),
+              [this, served, generation = generation_,
+               requested_at = Clock::now()](const HttpResult& result) {
+                if (generation != generation_) return barrier_answered(*served, false);
+                const auto page = changes_of(result);
+                if (page) apply(*page, requested_at);
+                if (changes_are_gone(result)) load();
+                if (generation == generation_) record_read_outcome(result, page.has_value());
+                barrier_answered(*served, page.has_value());
+              });
 }
 
 void RecordCache::barrier_answered(const std::vector<BarrierDone>& served, bool fresh) {
   for (const auto& done : served) done(fresh);
-  later(barrier_gap_s_, [this] {
+  later(barrier_interval_s_, [this] {
     barrier_running_ = false;
     if (!waiting_.empty()) send_barrier_read();
   });
 }
 
-/// The changes of a long absence can be more than an answer may hold, or than arrives in time. They
-/// would be asked for in vain until the service drops them; lists come in pages.
+/// The changes of a long partition can be more than an answer may hold, or than arrives in time.
+/// They would be asked for in vain until the service drops them. A snapshot comes in pages, so it
+/// is loaded instead.
 void RecordCache::record_read_outcome(const HttpResult& result, bool readable) {
-  constexpr int kMostUnread = 3;
+  constexpr int kMaxFailedReads = 3;
   if (readable) failed_reads_ = 0;
   const bool refused = result.answered && !result.ok();
   if (readable || refused) return;
   ++failed_reads_;
   const std::chrono::duration<double> age = Clock::now() - known_at_;
-  if (failed_reads_ >= kMostUnread && loaded() && age.count() > wait_s_)
+  if (failed_reads_ >= kMaxFailedReads && loaded() && age.count() > watch_wait_s_)
     reload_if_store_reachable();
 }
 
-/// Where nothing at all is answered, an old copy is better than none.
+/// While the service answers nothing at all, an old cache is better than none.
 void RecordCache::reload_if_store_reachable() {
   if (probing_) return;
   probing_ = true;
@@ -214,8 +219,8 @@
               });
 }
 
-void RecordCache::apply(const wire::StorePage& page, Clock::time_point asked_at) {
-  // Nothing says that changes come in their order: a key could come back after its deletion.
+void RecordCache::apply(const wire::StorePage& page, Clock::time_point requested_at) {
+  // The protocol does not promise changes in order: without sorting, a deleted key could come back.
   std::vector<const wire::StoreItem*> newer;
   for (const auto& item : page.items)
     if (item.version > revision_) newer.push_back(&item);
@@ -224,7 +229,7 @@
   });
   for (const auto* item : newer) apply_item(*item);
   revision_ = std::max(revision_, page.revision);
-  known_at_ = std::max(known_at_, asked_at);
+  known_at_ = std::max(known_at_, requested_at);
 }
 
 void RecordCache::apply_item(const wire::StoreItem& item) {
@@ -239,13 +244,13 @@
 void RecordCache::apply_live(const std::string& id, const wire::StoreItem& item) {
   const auto known = live_.find(id);
   if (known != live_.end() && known->second.version >= item.version) return;
-  // A job that is over never comes back, whatever an older change says.
+  // A finished job never becomes live again, whatever an older change says.
   if (item.value.missing() || finished_.contains(id)) {
     live_.erase(id);
     dependencies_.forget(id);
   } else {
     auto record = wire::decode_job(item.value);
-    if (!record) return spdlog::error("record {} can't be read", item.key);
+    if (!record) return log_error("record_unreadable", log_field("key", item.key));
     track_dependencies(*record);
     live_[id] = {std::move(*record), item.version};
   }
@@ -286,8 +291,8 @@
   if (loaded()) notify_leader_changed();
 }
 
-/// Jobs that are over when others come to depend on them are known from memory, or read. They stay
-/// among the live ones until nothing of them is left anywhere.
+/// A job may depend on one that has finished already, which is then known from memory or has to be
+/// read. A finished job stays live until no task of it is left anywhere.
 void RecordCache::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
@@ -297,7 +302,7 @@
   if (loaded()) read_unknown_dependencies();
 }
 
-/// One at a time: they are few, but for a node that has just started.
+/// Reads one at a time: they are few, except on a node that has just started.
 void RecordCache::read_unknown_dependencies() {
   if (reading_dependency_ || dependencies_.unknown().empty()) return;
   reading_dependency_ = true;
@@ -362,8 +367,8 @@
   return record ? record->value.state != JobState::Pending : finished(id) != nullptr;
 }
 
-/// An answer that was held up may tell of a record that has changed or is gone since. The copy has
-/// that change already, or will have it once it is loaded.
+/// The answer to a write may be delayed, and its record be changed or deleted since. The cache
+/// holds that later change already, or will once it is loaded.
 bool RecordCache::newer_than_cache(uint64_t version) const {
   return loaded() && version > revision_;
 }
--- a/src/store/record_cache.h
+++ b/src/store/record_cache.h
@@ -14,9 +14,10 @@
 #include "wire/records.h"
 #include "wire/store_messages.h"
 
+/// A node's copy of the records in the state service.
 namespace sumacquay {
 
-/// Keys of the state service. Those that end in a slash are followed by a job's or machine's name.
+/// Keys of the state service. Those that end in a slash are followed by the id of a job or machine.
 namespace keys {
 inline const std::string kRoot = "sq/";
 inline const std::string kLive = "sq/live/";
@@ -26,71 +27,73 @@
 inline const std::string kTerm = "sq/term";
 }  // namespace keys
 
-/// A record with the revision at which it was written; 0: there is none.
+/// A record with the store revision at which it was written; 0: there is none.
 template <class T>
 struct Versioned {
   T value{};
   uint64_t version = 0;
 };
 
-/// A node's copy of the state service's records, kept up by a watch. The front end answers from it,
-/// and the node rebuilds the leader's picture from it. What it holds may be old, unless a read
-/// barrier has just been passed. Not thread-safe: everything happens on the io_context.
+/// A watch cache: loads a snapshot of the records and follows their changes. Frontend answers users
+/// from it, and a node that becomes leader restores the scheduler's state from it. What it holds
+/// may be old, except right after a read barrier has succeeded. It writes nothing and knows nothing
+/// of scheduling. Not thread-safe: everything happens on the io_context.
 class RecordCache {
  public:
   using Clock = std::chrono::steady_clock;
   using BarrierDone = std::function<void(bool fresh)>;
 
   struct Listener {
-    std::function<void(const std::string& id)> job_changed;  ///< empty id: any job may have
+    std::function<void(const std::string& id)> job_changed;  ///< empty id: any job may have changed
     std::function<void()> leader_changed;
   };
 
-  /// Jobs that are over and still answered from memory; older ones are read again when asked for.
+  /// Finished jobs that are kept in memory; older ones are read again when asked for.
   static constexpr size_t kFinishedKept = 20000;
 
   RecordCache(asio::io_context& io, const Settings& settings, KeyValueStoreClient& store,
               size_t finished_kept = kFinishedKept);
-  /// Begins to load the copy, and then to follow the changes.
+  /// Starts to load the snapshot, and after that to follow the changes. To be called once.
   void start();
   void set_listener(Listener listener) { listener_ = std::move(listener); }
 
-  /// Whether the copy is whole.
+  /// Whether a whole snapshot has been loaded.
   bool loaded() const { return state_ == State::Following; }
-  /// The copy holds everything that was written before this time.
+  /// The cache holds everything that was written before this time.
   Clock::time_point known_at() const { return known_at_; }
-  /// Calls back with true once the copy holds everything written before this call, or with false if
-  /// that can't be had now. One request serves all who wait.
+  /// Linearizable read: calls back with true once the cache holds everything that was written
+  /// before this call, or with false if that can't be had now. Calls back once, never from inside
+  /// the call. One request to the service serves all barriers that wait.
   void read_barrier(BarrierDone done);
 
-  /// Jobs that are not over, by id.
+  /// Jobs with a live record, by id: those that have not finished, or not been cleaned up.
   const std::unordered_map<std::string, Versioned<JobRecord>>& live() const { return live_; }
   const Versioned<JobRecord>* live(const std::string& id) const;
-  /// A job that is over, if it is still kept in memory.
+  /// A finished job, or null if it is not kept in memory.
   const FinishedRecord* finished(const std::string& id) const;
   /// Whether the job is known to be cancelled or done.
   bool ended(const std::string& id) const;
   /// Machines that may run something, by name.
   const std::map<std::string, Versioned<HostRecord>>& hosts() const { return hosts_; }
-  /// Who holds the lease; version 0: nobody.
+  /// The node that holds the leader's lease; version 0: none.
   const Versioned<wire::LeaderRecord>& leader() const { return leader_; }
-  /// Who was elected last, whether or not that node still holds the lease.
+  /// The node that was elected last, whether or not it still holds the lease.
   const Versioned<wire::LeaderRecord>& term() const { return term_; }
 
   /// How the live jobs depend on one another and on finished ones.
   const DependencyGraph& dependencies() const { return dependencies_; }
 
-  /// How a job ended, as long as it is kept in memory or others wait for it; its count of tasks may
-  /// be missing.
+  /// How a job ended, as long as it is kept in memory or others wait for it; its count of done
+  /// tasks may be missing.
   std::optional<FinishedRecord> dependency_end(const std::string& id) const;
 
-  // What this node itself has written, known before the watch brings it. A host without a record
-  // was deleted.
+  // What this node itself has written, which is thus known before the watch brings it. A host
+  // without a record was deleted.
   void wrote_job(const JobRecord& record, uint64_t version);
   void wrote_finished(const std::string& id, FinishedRecord record, uint64_t version);
   void wrote_host(const std::string& id, const HostRecord* record, uint64_t version);
   void wrote_leader(const wire::LeaderRecord& record, uint64_t version);
-  /// What this node has read of a job that the copy doesn't keep.
+  /// Keeps what this node has read of a finished job that was not in memory.
   void cache_finished(const std::string& id, FinishedRecord record) {
     remember_finished(id, record);
   }
@@ -117,8 +120,8 @@
 
   // Following.
   void follow();
-  void apply_watch_response(const HttpResult& result, Clock::time_point asked_at);
-  void apply(const wire::StorePage& page, Clock::time_point asked_at);
+  void apply_watch_response(const HttpResult& result, Clock::time_point requested_at);
+  void apply(const wire::StorePage& page, Clock::time_point requested_at);
   void record_read_outcome(const HttpResult& result, bool readable);
   void reload_if_store_reachable();
 
@@ -147,15 +150,15 @@
 
   asio::io_context& io_;
   KeyValueStoreClient& store_;
-  double wait_s_;         ///< how long a watch waits for a change
-  double retry_s_;        ///< from a failed read to the next
-  double barrier_gap_s_;  ///< from one barrier's answer to the next barrier
+  double watch_wait_s_;        ///< how long a watch waits for a change
+  double retry_s_;             ///< from a failed read to the next
+  double barrier_interval_s_;  ///< from one barrier's answer to the next barrier
   size_t finished_kept_;
   Listener listener_;
 
   State state_ = State::Loading;
   uint64_t generation_ = 0;  ///< counts loads: answers to earlier ones are dropped
-  uint64_t revision_ = 0;    ///< the copy holds all changes up to it
+  uint64_t revision_ = 0;    ///< the cache holds all changes up to it
   Clock::time_point known_at_{};
   Clock::time_point loading_since_{};
 
