--- a/src/store/record_cache.cpp
+++ b/src/store/record_cache.cpp
@@ -36,11 +36,6 @@
   return result.ok() ? wire::parse_changes(result.body) : std::nullopt;
 }
 
-/// The leader in a change of a key; none if the key was deleted or can't be read.
-std::optional<wire::LeaderRecord> leader_of(const wire::StoreItem& item) {
-  return item.value.missing() ? std::nullopt : wire::decode_leader(item.value);
-}
-
 }  // namespace
 
 RecordCache::RecordCache(asio::io_context& io, const Settings& settings, KeyValueStoreClient& store,
@@ -50,7 +45,7 @@
       watch_wait_s_(settings.lease_s),
       retry_s_(settings.lease_s * kRetryLeaseShare),
       barrier_interval_s_(kBarrierIntervalRequests / settings.state_rps),
-      finished_kept_(finished_kept) {}
+      tables_(finished_kept) {}
 
 void RecordCache::start() {
   load();
@@ -80,24 +75,14 @@
 void RecordCache::load() {
   enter(State::Loading);
   ++generation_;
-  clear();
+  tables_.clear();
+  reading_dependency_ = false;
+  failed_reads_ = 0;
   loading_since_ = Clock::now();
   reject_waiting_barriers();
   load_page({});
 }
 
-void RecordCache::clear() {
-  live_.clear();
-  dependencies_.clear();
-  reading_dependency_ = false;
-  hosts_.clear();
-  host_deleted_.clear();
-  leader_ = {};
-  term_ = {};
-  leader_seen_ = 0;
-  failed_reads_ = 0;
-}
-
 void RecordCache::load_page(const LoadPosition& position) {
   const std::string target =
       wire::page_path(load_order()[position.prefix], position.after, kPageItems);
@@ -126,7 +111,7 @@
 }
 
 void RecordCache::loading_done(uint64_t first_revision) {
-  revision_ = first_revision;
+  tables_.set_revision(first_revision);
   known_at_ = loading_since_;
   enter(State::Following);
   notify_leader_changed();
@@ -138,7 +123,7 @@
 void RecordCache::follow() {
   const auto wait_ms = static_cast<uint64_t>(watch_wait_s_ * 1000);
   store_.watch(
-      wire::changes_path(keys::kRoot, revision_, wait_ms), watch_wait_s_,
+      wire::changes_path(keys::kRoot, tables_.revision(), wait_ms), watch_wait_s_,
       [this, generation = generation_, requested_at = Clock::now()](const HttpResult& result) {
         if (generation != generation_) return;
         if (changes_are_gone(result)) return load();
@@ -149,7 +134,7 @@
 /// Applies the changes of a watch and schedules the next watch.
 void RecordCache::apply_watch_response(const HttpResult& result, Clock::time_point requested_at) {
   const auto page = changes_of(result);
-  if (page) apply(*page, requested_at);
+  if (page) apply_changes(*page, requested_at);
   record_read_outcome(result, page.has_value());
   schedule_unless_reloaded(page ? kWatchIntervalSeconds : retry_s_, [this] { follow(); });
 }
@@ -174,12 +159,12 @@
   barrier_running_ = true;
   // Only those who asked before the request is sent are served by it.
   auto served = std::make_shared<std::vector<BarrierDone>>(std::exchange(waiting_, {}));
-  store_.read(RequestPriority::Background, wire::changes_path(keys::kRoot, revision_, 0),
+  store_.read(RequestPriority::Background, wire::changes_path(keys::kRoot, tables_.revision(), 0),
               [this, served, generation = generation_,
                requested_at = Clock::now()](const HttpResult& result) {
                 if (generation != generation_) return barrier_answered(*served, false);
                 const auto page = changes_of(result);
-                if (page) apply(*page, requested_at);
+                if (page) apply_changes(*page, requested_at);
                 if (changes_are_gone(result)) load();
                 if (generation == generation_) record_read_outcome(result, page.has_value());
                 barrier_answered(*served, page.has_value());
@@ -219,94 +204,43 @@
               });
 }
 
-void RecordCache::apply(const wire::StorePage& page, Clock::time_point requested_at) {
-  // The protocol does not promise changes in order: without sorting, a deleted key could come back.
-  std::vector<const wire::StoreItem*> newer;
-  for (const auto& item : page.items)
-    if (item.version > revision_) newer.push_back(&item);
-  std::stable_sort(newer.begin(), newer.end(), [](const auto* first, const auto* second) {
-    return first->version < second->version;
-  });
-  for (const auto* item : newer) apply_item(*item);
-  revision_ = std::max(revision_, page.revision);
+void RecordCache::apply_changes(const wire::StorePage& page, Clock::time_point requested_at) {
+  for (const auto* item : tables_.newer_changes(page)) apply_item(*item);
+  tables_.advance_revision(page.revision);
   known_at_ = std::max(known_at_, requested_at);
 }
 
 void RecordCache::apply_item(const wire::StoreItem& item) {
-  const auto id_after = [&](const std::string& prefix) { return item.key.substr(prefix.size()); };
-  if (item.key.starts_with(keys::kLive)) return apply_live(id_after(keys::kLive), item);
-  if (item.key.starts_with(keys::kFinished)) return apply_finished(id_after(keys::kFinished), item);
-  if (item.key.starts_with(keys::kHost)) return apply_host(id_after(keys::kHost), item);
-  if (item.key == keys::kLeader) return apply_leader(item);
-  if (item.key == keys::kTerm) return apply_term(item);
-}
-
-void RecordCache::apply_live(const std::string& id, const wire::StoreItem& item) {
-  const auto known = live_.find(id);
-  if (known != live_.end() && known->second.version >= item.version) return;
-  // A finished job never becomes live again, whatever an older change says.
-  if (item.value.missing() || finished_.contains(id)) {
-    live_.erase(id);
-    dependencies_.forget(id);
-  } else {
-    auto record = wire::decode_job(item.value);
-    if (!record) return log_error("record_unreadable", log_field("key", item.key));
-    track_dependencies(*record);
-    live_[id] = {std::move(*record), item.version};
+  const AppliedChange change = tables_.apply(item);
+  if (change.effect == ChangeEffect::Unreadable)
+    log_error("record_unreadable", log_field("key", item.key));
+  if (loaded()) notify(change);
+}
+
+void RecordCache::notify(const AppliedChange& change) {
+  switch (change.effect) {
+    case ChangeEffect::JobUpdated:
+      read_unknown_dependencies();
+      notify_job_changed(change.job);
+      break;
+    case ChangeEffect::JobEnded:
+      notify_job_changed(change.job);
+      break;
+    case ChangeEffect::LeaderChanged:
+      notify_leader_changed();
+      break;
+    case ChangeEffect::None:
+    case ChangeEffect::Unreadable:
+    case ChangeEffect::HostChanged:
+      break;
   }
-  if (loaded()) notify_job_changed(id);
-}
-
-void RecordCache::apply_finished(const std::string& id, const wire::StoreItem& item) {
-  const auto record = item.value.missing() ? std::nullopt : wire::decode_finished(item.value);
-  if (!record) return;
-  remember_finished(id, *record);
-  if (loaded()) notify_job_changed(id);
-}
-
-void RecordCache::apply_host(const std::string& id, const wire::StoreItem& item) {
-  const auto known = hosts_.find(id);
-  if (known != hosts_.end() && known->second.version >= item.version) return;
-  const auto deleted = host_deleted_.find(id);
-  if (deleted != host_deleted_.end() && deleted->second >= item.version) return;
-  const auto record = item.value.missing() ? std::nullopt : wire::decode_host(item.value);
-  if (record)
-    hosts_[id] = {*record, item.version};
-  else
-    hosts_.erase(id);
-}
-
-void RecordCache::apply_leader(const wire::StoreItem& item) {
-  if (item.version <= leader_seen_) return;
-  leader_seen_ = item.version;
-  leader_ = {};
-  if (const auto record = leader_of(item)) leader_ = {*record, item.version};
-  if (loaded()) notify_leader_changed();
-}
-
-void RecordCache::apply_term(const wire::StoreItem& item) {
-  const auto record = leader_of(item);
-  if (!record || item.version <= term_.version) return;
-  term_ = {*record, item.version};
-  if (loaded()) notify_leader_changed();
-}
-
-/// A job may depend on one that has finished already, which is then known from memory or has to be
-/// read. A finished job stays live until no task of it is left anywhere.
-void RecordCache::track_dependencies(const JobRecord& record) {
-  dependencies_.update(record);
-  for (const auto& id : record.spec.dependencies) {
-    if (const auto* known = finished(id)) dependencies_.finished(id, known->state, known->ended_ms);
-    if (const auto* known = live(id)) dependencies_.update(known->value);
-  }
-  if (loaded()) read_unknown_dependencies();
 }
 
 /// Reads one at a time: they are few, except on a node that has just started.
 void RecordCache::read_unknown_dependencies() {
-  if (reading_dependency_ || dependencies_.unknown().empty()) return;
+  if (reading_dependency_ || dependencies().unknown().empty()) return;
   reading_dependency_ = true;
-  const auto& unknown = dependencies_.unknown();
+  const auto& unknown = dependencies().unknown();
   const auto next = unknown.upper_bound(dependency_read_);
   dependency_read_ = next == unknown.end() ? *unknown.begin() : *next;
   read_dependency(dependency_read_);
@@ -336,74 +270,24 @@
   if (listener_.leader_changed) listener_.leader_changed();
 }
 
-void RecordCache::remember_finished(const std::string& id, FinishedRecord record) {
-  live_.erase(id);
-  dependencies_.finished(id, record.state, record.ended_ms);
-  dependencies_.forget(id);
-  if (!finished_.emplace(id, record).second) return;
-  finished_order_.push_back(id);
-  if (finished_order_.size() <= finished_kept_) return;
-  finished_.erase(finished_order_.front());
-  finished_order_.pop_front();
-}
-
-std::optional<FinishedRecord> RecordCache::dependency_end(const std::string& id) const {
-  if (const auto* record = finished(id)) return *record;
-  return dependencies_.end_of(id);
-}
-
-const Versioned<JobRecord>* RecordCache::live(const std::string& id) const {
-  const auto found = live_.find(id);
-  return found == live_.end() ? nullptr : &found->second;
-}
-
-const FinishedRecord* RecordCache::finished(const std::string& id) const {
-  const auto found = finished_.find(id);
-  return found == finished_.end() ? nullptr : &found->second;
-}
-
-bool RecordCache::ended(const std::string& id) const {
-  const auto* record = live(id);
-  return record ? record->value.state != JobState::Pending : finished(id) != nullptr;
-}
-
-/// The answer to a write may be delayed, and its record be changed or deleted since. The cache
-/// holds that later change already, or will once it is loaded.
-bool RecordCache::newer_than_cache(uint64_t version) const {
-  return loaded() && version > revision_;
-}
-
 void RecordCache::wrote_job(const JobRecord& record, uint64_t version) {
-  const std::string& id = record.spec.id;
-  if (!newer_than_cache(version) || finished_.contains(id)) return;
-  auto& known = live_[id];
-  if (known.version >= version) return;
-  known = {record, version};
-  track_dependencies(record);
-  notify_job_changed(id);
+  // While a snapshot is loaded, a delayed answer may be older than what the snapshot deletes.
+  if (!loaded() || !tables_.wrote_job(record, version)) return;
+  notify({ChangeEffect::JobUpdated, record.spec.id});
 }
 
 void RecordCache::wrote_finished(const std::string& id, FinishedRecord record,
                                  uint64_t /*version*/) {
-  remember_finished(id, record);
+  tables_.add_finished(id, record);
   notify_job_changed(id);
 }
 
 void RecordCache::wrote_host(const std::string& id, const HostRecord* record, uint64_t version) {
-  if (!newer_than_cache(version)) return;
-  if (record) {
-    hosts_[id] = {*record, version};
-    return;
-  }
-  hosts_.erase(id);
-  host_deleted_[id] = version;
+  if (loaded()) tables_.wrote_host(id, record, version);
 }
 
 void RecordCache::wrote_leader(const wire::LeaderRecord& record, uint64_t version) {
-  if (!newer_than_cache(version)) return;
-  leader_seen_ = version;
-  leader_ = {record, version};
-  term_ = {record, version};
+  if (loaded()) tables_.wrote_leader(record, version);
 }
 
 }  // namespace sumacquay
--- a/src/store/record_cache.h
+++ b/src/store/record_cache.h
@@ -1,6 +1,5 @@
 #pragma once
 #include <chrono>
-#include <deque>
 #include <functional>
 #include <map>
 #include <optional>
@@ -8,32 +7,16 @@
 #include <unordered_map>
 #include <vector>
 
-#include "jobs/dependency_graph.h"
 #include "jobs/record.h"
 #include "store/key_value_store_client.h"
+#include "store/keys.h"
+#include "store/record_tables.h"
 #include "wire/records.h"
 #include "wire/store_messages.h"
 
 /// A node's copy of the records in the state service.
 namespace sumacquay {
 
-/// Keys of the state service. Those that end in a slash are followed by the id of a job or machine.
-namespace keys {
-inline const std::string kRoot = "sq/";
-inline const std::string kLive = "sq/live/";
-inline const std::string kFinished = "sq/over/";
-inline const std::string kHost = "sq/host/";
-inline const std::string kLeader = "sq/leader";
-inline const std::string kTerm = "sq/term";
-}  // namespace keys
-
-/// A record with the store revision at which it was written; 0: there is none.
-template <class T>
-struct Versioned {
-  T value{};
-  uint64_t version = 0;
-};
-
 /// A watch cache: loads a snapshot of the records and follows their changes. Frontend answers users
 /// from it, and a node that becomes leader restores the scheduler's state from it. What it holds
 /// may be old, except right after a read barrier has succeeded. It writes nothing and knows nothing
@@ -67,25 +50,29 @@
   void read_barrier(BarrierDone done);
 
   /// Jobs with a live record, by id: those that have not finished, or not been cleaned up.
-  const std::unordered_map<std::string, Versioned<JobRecord>>& live() const { return live_; }
-  const Versioned<JobRecord>* live(const std::string& id) const;
+  const std::unordered_map<std::string, Versioned<JobRecord>>& live() const {
+    return tables_.live();
+  }
+  const Versioned<JobRecord>* live(const std::string& id) const { return tables_.live(id); }
   /// A finished job, or null if it is not kept in memory.
-  const FinishedRecord* finished(const std::string& id) const;
+  const FinishedRecord* finished(const std::string& id) const { return tables_.finished(id); }
   /// Whether the job is known to be cancelled or done.
-  bool ended(const std::string& id) const;
+  bool ended(const std::string& id) const { return tables_.ended(id); }
   /// Machines that may run something, by name.
-  const std::map<std::string, Versioned<HostRecord>>& hosts() const { return hosts_; }
+  const std::map<std::string, Versioned<HostRecord>>& hosts() const { return tables_.hosts(); }
   /// The node that holds the leader's lease; version 0: none.
-  const Versioned<wire::LeaderRecord>& leader() const { return leader_; }
+  const Versioned<wire::LeaderRecord>& leader() const { return tables_.leader(); }
   /// The node that was elected last, whether or not it still holds the lease.
-  const Versioned<wire::LeaderRecord>& term() const { return term_; }
+  const Versioned<wire::LeaderRecord>& term() const { return tables_.term(); }
 
   /// How the live jobs depend on one another and on finished ones.
-  const DependencyGraph& dependencies() const { return dependencies_; }
+  const DependencyGraph& dependencies() const { return tables_.dependencies(); }
 
   /// How a job ended, as long as it is kept in memory or others wait for it; its count of done
   /// tasks may be missing.
-  std::optional<FinishedRecord> dependency_end(const std::string& id) const;
+  std::optional<FinishedRecord> dependency_end(const std::string& id) const {
+    return tables_.dependency_end(id);
+  }
 
   // What this node itself has written, which is thus known before the watch brings it. A host
   // without a record was deleted.
@@ -95,7 +82,7 @@
   void wrote_leader(const wire::LeaderRecord& record, uint64_t version);
   /// Keeps what this node has read of a finished job that was not in memory.
   void cache_finished(const std::string& id, FinishedRecord record) {
-    remember_finished(id, record);
+    tables_.add_finished(id, record);
   }
 
  private:
@@ -113,7 +100,6 @@
 
   // Loading.
   void load();
-  void clear();
   void load_page(const LoadPosition& position);
   void apply_loaded_page(const LoadPosition& position, const wire::StorePage& page);
   void loading_done(uint64_t first_revision);
@@ -121,7 +107,7 @@
   // Following.
   void follow();
   void apply_watch_response(const HttpResult& result, Clock::time_point requested_at);
-  void apply(const wire::StorePage& page, Clock::time_point requested_at);
+  void apply_changes(const wire::StorePage& page, Clock::time_point requested_at);
   void record_read_outcome(const HttpResult& result, bool readable);
   void reload_if_store_reachable();
 
@@ -130,16 +116,8 @@
   void barrier_answered(const std::vector<BarrierDone>& served, bool fresh);
   void reject_waiting_barriers();
 
-  // One change of a key.
   void apply_item(const wire::StoreItem& item);
-  void apply_live(const std::string& id, const wire::StoreItem& item);
-  void apply_finished(const std::string& id, const wire::StoreItem& item);
-  void apply_host(const std::string& id, const wire::StoreItem& item);
-  void apply_leader(const wire::StoreItem& item);
-  void apply_term(const wire::StoreItem& item);
-  void remember_finished(const std::string& id, FinishedRecord record);
-  bool newer_than_cache(uint64_t version) const;
-  void track_dependencies(const JobRecord& record);
+  void notify(const AppliedChange& change);
   void read_unknown_dependencies();
   void read_dependency(const std::string& id);
   void notify_job_changed(const std::string& id) const;
@@ -153,26 +131,16 @@
   double watch_wait_s_;        ///< how long a watch waits for a change
   double retry_s_;             ///< from a failed read to the next
   double barrier_interval_s_;  ///< from one barrier's answer to the next barrier
-  size_t finished_kept_;
   Listener listener_;
 
   State state_ = State::Loading;
   uint64_t generation_ = 0;  ///< counts loads: answers to earlier ones are dropped
-  uint64_t revision_ = 0;    ///< the cache holds all changes up to it
   Clock::time_point known_at_{};
   Clock::time_point loading_since_{};
 
-  std::unordered_map<std::string, Versioned<JobRecord>> live_;
-  std::unordered_map<std::string, FinishedRecord> finished_;
-  std::deque<std::string> finished_order_;  ///< the oldest first
-  DependencyGraph dependencies_;
+  RecordTables tables_;
   bool reading_dependency_ = false;
   std::string dependency_read_;  ///< the last one: they are read in turn
-  std::map<std::string, Versioned<HostRecord>> hosts_;
-  std::map<std::string, uint64_t> host_deleted_;  ///< when this node deleted it
-  Versioned<wire::LeaderRecord> leader_;
-  Versioned<wire::LeaderRecord> term_;
-  uint64_t leader_seen_ = 0;  ///< the newest version of the leader's key, also of its deletion
 
   std::vector<BarrierDone> waiting_;
   bool barrier_running_ = false;
--- /dev/null
+++ b/src/store/record_tables.cpp
@@ -0,0 +1,176 @@
+#include "store/record_tables.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "store/keys.h"
+
+namespace sumacquay {
+namespace {
+
+std::string id_after(const std::string& prefix, const std::string& key) {
+  return key.substr(prefix.size());
+}
+
+/// The leader in a change of a key; none if the key was deleted or can't be read.
+std::optional<wire::LeaderRecord> decode_leader_item(const wire::StoreItem& item) {
+  return item.value.missing() ? std::nullopt : wire::decode_leader(item.value);
+}
+
+}  // namespace
+
+void RecordTables::clear() {
+  live_.clear();
+  dependencies_.clear();
+  hosts_.clear();
+  host_deleted_.clear();
+  leader_ = {};
+  term_ = {};
+  leader_version_ = 0;
+}
+
+AppliedChange RecordTables::apply(const wire::StoreItem& item) {
+  const std::string& key = item.key;
+  if (key.starts_with(keys::kLive)) return apply_live(id_after(keys::kLive, key), item);
+  if (key.starts_with(keys::kFinished)) return apply_finished(id_after(keys::kFinished, key), item);
+  if (key.starts_with(keys::kHost)) return apply_host(id_after(keys::kHost, key), item);
+  if (key == keys::kLeader) return apply_leader(item);
+  if (key == keys::kTerm) return apply_term(item);
+  return {};
+}
+
+AppliedChange RecordTables::apply_live(const std::string& id, const wire::StoreItem& item) {
+  const auto known = live_.find(id);
+  if (known != live_.end() && known->second.version >= item.version) return {};
+  // A finished job never becomes live again, whatever an older change says.
+  if (item.value.missing() || finished_.contains(id)) {
+    live_.erase(id);
+    dependencies_.forget(id);
+    return {ChangeEffect::JobEnded, id};
+  }
+  auto record = wire::decode_job(item.value);
+  if (!record) return {ChangeEffect::Unreadable};
+  track_dependencies(*record);
+  live_[id] = {std::move(*record), item.version};
+  return {ChangeEffect::JobUpdated, id};
+}
+
+AppliedChange RecordTables::apply_finished(const std::string& id, const wire::StoreItem& item) {
+  const auto record = item.value.missing() ? std::nullopt : wire::decode_finished(item.value);
+  if (!record) return {};
+  add_finished(id, *record);
+  return {ChangeEffect::JobEnded, id};
+}
+
+AppliedChange RecordTables::apply_host(const std::string& id, const wire::StoreItem& item) {
+  const auto known = hosts_.find(id);
+  if (known != hosts_.end() && known->second.version >= item.version) return {};
+  const auto deleted = host_deleted_.find(id);
+  if (deleted != host_deleted_.end() && deleted->second >= item.version) return {};
+  const auto record = item.value.missing() ? std::nullopt : wire::decode_host(item.value);
+  if (record)
+    hosts_[id] = {*record, item.version};
+  else
+    hosts_.erase(id);
+  return {ChangeEffect::HostChanged};
+}
+
+AppliedChange RecordTables::apply_leader(const wire::StoreItem& item) {
+  if (item.version <= leader_version_) return {};
+  leader_version_ = item.version;
+  leader_ = {};
+  if (const auto record = decode_leader_item(item)) leader_ = {*record, item.version};
+  return {ChangeEffect::LeaderChanged};
+}
+
+AppliedChange RecordTables::apply_term(const wire::StoreItem& item) {
+  const auto record = decode_leader_item(item);
+  if (!record || item.version <= term_.version) return {};
+  term_ = {*record, item.version};
+  return {ChangeEffect::LeaderChanged};
+}
+
+/// A job may depend on one that has finished already, which is then known from memory or has to be
+/// read. A finished job stays live until no task of it is left anywhere.
+void RecordTables::track_dependencies(const JobRecord& record) {
+  dependencies_.update(record);
+  for (const auto& id : record.spec.dependencies) {
+    if (const auto* known = finished(id)) dependencies_.finished(id, known->state, known->ended_ms);
+    if (const auto* known = live(id)) dependencies_.update(known->value);
+  }
+}
+
+std::vector<const wire::StoreItem*> RecordTables::newer_changes(const wire::StorePage& page) const {
+  // The protocol does not promise changes in order: without sorting, a deleted key could come back.
+  std::vector<const wire::StoreItem*> newer;
+  for (const auto& item : page.items)
+    if (item.version > revision_) newer.push_back(&item);
+  std::ranges::stable_sort(newer, {}, &wire::StoreItem::version);
+  return newer;
+}
+
+void RecordTables::advance_revision(uint64_t revision) {
+  revision_ = std::max(revision_, revision);
+}
+
+/// The answer to a write may be delayed, and its record be changed or deleted since. The tables
+/// hold that later change already: those that are not newer than the revision are ignored.
+bool RecordTables::wrote_job(const JobRecord& record, uint64_t version) {
+  const std::string& id = record.spec.id;
+  if (version <= revision_ || finished_.contains(id)) return false;
+  auto& known = live_[id];
+  if (known.version >= version) return false;
+  known = {record, version};
+  track_dependencies(record);
+  return true;
+}
+
+void RecordTables::wrote_host(const std::string& id, const HostRecord* record, uint64_t version) {
+  if (version <= revision_) return;
+  if (record) {
+    hosts_[id] = {*record, version};
+    return;
+  }
+  hosts_.erase(id);
+  host_deleted_[id] = version;
+}
+
+void RecordTables::wrote_leader(const wire::LeaderRecord& record, uint64_t version) {
+  if (version <= revision_) return;
+  leader_version_ = version;
+  leader_ = {record, version};
+  term_ = {record, version};
+}
+
+void RecordTables::add_finished(const std::string& id, FinishedRecord record) {
+  live_.erase(id);
+  dependencies_.finished(id, record.state, record.ended_ms);
+  dependencies_.forget(id);
+  if (!finished_.emplace(id, record).second) return;
+  finished_order_.push_back(id);
+  if (finished_order_.size() <= max_finished_) return;
+  finished_.erase(finished_order_.front());
+  finished_order_.pop_front();
+}
+
+const Versioned<JobRecord>* RecordTables::live(const std::string& id) const {
+  const auto found = live_.find(id);
+  return found == live_.end() ? nullptr : &found->second;
+}
+
+const FinishedRecord* RecordTables::finished(const std::string& id) const {
+  const auto found = finished_.find(id);
+  return found == finished_.end() ? nullptr : &found->second;
+}
+
+bool RecordTables::ended(const std::string& id) const {
+  const auto* record = live(id);
+  return record ? record->value.state != JobState::Pending : finished(id) != nullptr;
+}
+
+std::optional<FinishedRecord> RecordTables::dependency_end(const std::string& id) const {
+  if (const auto* record = finished(id)) return *record;
+  return dependencies_.end_of(id);
+}
+
+}  // namespace sumacquay
