--- /dev/null
+++ b/src/node/peer_heartbeat_exchange.cpp
@@ -0,0 +1,83 @@
+#include "node/peer_heartbeat_exchange.h"
+
+#include <algorithm>
+
+#include "node/leader_hints_source.h"
+#include "node/leads_now.h"
+#include "node/steady_time.h"
+
+namespace sumacquay {
+
+PeerHeartbeatExchange::PeerHeartbeatExchange(const Settings& settings,
+                                             const StateServiceHealth& state_service,
+                                             LeaderElection& election, ActiveScheduler& scheduler,
+                                             DelegatedResponder& delegated_responder)
+    : settings_(settings),
+      state_service_(state_service),
+      election_(election),
+      scheduler_(scheduler),
+      delegated_responder_(delegated_responder) {}
+
+PeerHeartbeats::Hooks PeerHeartbeatExchange::hooks() {
+  PeerHeartbeats::Hooks hooks;
+  hooks.own = [this](wire::PeerHeartbeatPart part) { return own_heartbeat(part); };
+  hooks.answer = [this](const wire::PeerHeartbeat& from) { return answer(from); };
+  hooks.answered = [this](const std::string& node, const wire::PeerHeartbeat& heartbeat,
+                          auto asked_at) { on_answer(node, heartbeat, asked_at); };
+  return hooks;
+}
+
+wire::PeerHeartbeat PeerHeartbeatExchange::own_heartbeat(wire::PeerHeartbeatPart part) const {
+  const Seconds now = steady_now();
+  wire::PeerHeartbeat heartbeat;
+  heartbeat.node = settings_.node;
+  heartbeat.term = election_.highest_term();
+  heartbeat.leading = scheduler_ && election_.may_answer(now);
+  heartbeat.served = state_service_.served();
+  heartbeat.status = delegated_responder_.status(now);
+  if (!heartbeat.leading) return heartbeat;
+  heartbeat.part = part;
+  if (part == wire::PeerHeartbeatPart::Counts) add_counts(*scheduler_, heartbeat);
+  if (part == wire::PeerHeartbeatPart::Hints) add_hints(*scheduler_, now, heartbeat);
+  return heartbeat;
+}
+
+/// None if the settings do not name such a peer.
+const std::string* PeerHeartbeatExchange::zone_of(const std::string& node) const {
+  const auto peer = std::ranges::find(settings_.peers, node, &PeerSettings::node);
+  return peer == settings_.peers.end() ? nullptr : &peer->zone;
+}
+
+void PeerHeartbeatExchange::on_heartbeat(const wire::PeerHeartbeat& heartbeat) {
+  const Seconds now = steady_now();
+  election_.observe_term(now, heartbeat.term);
+  const std::string* zone = zone_of(heartbeat.node);
+  if (scheduler_ && zone)
+    scheduler_->delegations().heard(heartbeat.node, *zone, heartbeat.status, now);
+}
+
+/// Delegations go out with answers only: they count from when they were asked for.
+wire::PeerHeartbeat PeerHeartbeatExchange::answer(const wire::PeerHeartbeat& from) {
+  on_heartbeat(from);
+  wire::PeerHeartbeat answer = own_heartbeat(wire::PeerHeartbeatPart::StatusOnly);
+  const std::string* zone = zone_of(from.node);
+  if (leads_now(scheduler_, election_) && zone && settings_.finds_delegated_responder(*zone))
+    answer.delegation = scheduler_->delegations().delegate(from.node, *zone,
+                                                           election_.answers_until(), steady_now());
+  return answer;
+}
+
+void PeerHeartbeatExchange::on_answer(const std::string& node, const wire::PeerHeartbeat& heartbeat,
+                                      std::chrono::steady_clock::time_point asked_at) {
+  on_heartbeat(heartbeat);
+  if (heartbeat.delegation)
+    delegated_responder_.delegated(*heartbeat.delegation, to_seconds(asked_at), steady_now());
+  if (!scheduler_ || heartbeat.leading || heartbeat.term < election_.term()) return;
+  // That node follows this term: it answers no worker under an older one. Once all do, nobody else
+  // can renew a worker's lease.
+  acknowledged_terms_[node] = heartbeat.term;
+  if (acknowledged_terms_.size() == settings_.peers.size())
+    scheduler_->on_previous_leader_fenced(steady_now());
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/node/scheduler_driver.cpp
@@ -0,0 +1,65 @@
+#include "node/scheduler_driver.h"
+
+#include "node/leads_now.h"
+#include "node/steady_time.h"
+
+namespace sumacquay {
+namespace {
+
+/// The pause after a tick of the scheduler / the tick's own duration: lease renewals, heartbeats
+/// and users need the processor too.
+constexpr double kPausePerTickDuration = 3;
+
+}  // namespace
+
+const char* name(ResignReason reason) {
+  switch (reason) {
+    case ResignReason::TermNearlyExhausted:
+      return "term_nearly_exhausted";
+    case ResignReason::IsolatedFromWorkers:
+      return "isolated_from_workers";
+  }
+  return "?";
+}
+
+SchedulerDriver::SchedulerDriver(const Settings& settings, const LeaderElection& election,
+                                 ActiveScheduler& scheduler, ActionExecutor& executor,
+                                 RecordWriter& record_writer)
+    : settings_(settings),
+      election_(election),
+      scheduler_(scheduler),
+      executor_(executor),
+      record_writer_(record_writer) {}
+
+bool SchedulerDriver::leads() const {
+  return leads_now(scheduler_, election_);
+}
+
+void SchedulerDriver::tick() {
+  const Seconds began = steady_now();
+  if (!leads() || began < next_tick_) return;
+  for (const auto& action : scheduler_->tick(began)) executor_.perform(action);
+  if (leads()) record_writer_.write_planned_records();
+  const Seconds ended = steady_now();
+  next_tick_ = ended + kPausePerTickDuration * (ended - began);
+}
+
+void SchedulerDriver::on_committed() {
+  if (!settings_.tuning.prompt_dispatch) return tick();
+  if (!leads()) return;
+  for (const auto& action : scheduler_->dispatch(steady_now())) executor_.perform(action);
+  if (leads()) record_writer_.write_planned_records();
+}
+
+/// The state service still renews the lease of a leader that no worker can reach: the leader has to
+/// resign by itself, or every worker's lease would expire. A leader that has used up the numbers of
+/// its term could start nothing any more.
+std::optional<ResignReason> SchedulerDriver::reason_to_resign() const {
+  if (!leads()) return std::nullopt;
+  if (scheduler_->term_nearly_exhausted()) return ResignReason::TermNearlyExhausted;
+  if (!settings_.peers.empty() && scheduler_->isolated_from_workers(steady_now()))
+    return ResignReason::IsolatedFromWorkers;
+  return std::nullopt;
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/node/scheduler_feed.cpp
@@ -0,0 +1,61 @@
+#include "node/scheduler_feed.h"
+
+#include <set>
+
+#include "node/steady_time.h"
+#include "node/wall_clock.h"
+
+namespace sumacquay {
+
+std::unique_ptr<Scheduler> SchedulerFeed::create_scheduler(
+    uint64_t term, const std::vector<MachineType>& machine_types, const LeaderHints& hints) const {
+  const Seconds now = steady_now();
+  const Seconds previous_leader_fenced_at = now + settings_.answers_s();
+  const Seconds wall_offset = static_cast<double>(time_of_day_ms()) / 1000 - steady_now();
+  auto scheduler =
+      std::make_unique<Scheduler>(settings_, term, now, previous_leader_fenced_at, wall_offset);
+  scheduler->set_machine_types(machine_types);
+  for (const auto& [id, host] : record_cache_.hosts())
+    scheduler->restore_machine(host.value, steady_now());
+  for (const auto& [id, job] : record_cache_.live())
+    scheduler->on_job_record(job.value, job.version, steady_now());
+  pass_on_finished_dependencies(*scheduler);
+  for (const auto& cached : hints.images())
+    scheduler->on_cached_image(cached.machine, cached.image, cached.gb);
+  // The cloud's list lags: without the previous leader's own list, machines that it has requested
+  // would be requested once more.
+  scheduler->on_machines_listed(hints.booting(), steady_now());
+  return scheduler;
+}
+
+void SchedulerFeed::on_job_record(const std::string& id) {
+  if (!scheduler_) return;
+  if (id.empty())
+    on_all_job_records();
+  else if (const auto* record = record_cache_.live(id))
+    scheduler_->on_job_record(record->value, record->version, steady_now());
+  else
+    scheduler_->on_job_finished(id);
+  pass_on_finished_dependencies(*scheduler_);
+  scheduler_->request_round();
+}
+
+void SchedulerFeed::on_all_job_records() {
+  std::vector<std::string> finished;
+  for (const auto& [id, job] : scheduler_->jobs())
+    if (!record_cache_.live(id)) finished.push_back(id);
+  for (const auto& id : finished) scheduler_->on_job_finished(id);
+  for (const auto& [id, job] : record_cache_.live())
+    scheduler_->on_job_record(job.value, job.version, steady_now());
+}
+
+/// Finished jobs matter to the scheduler only as far as others depend on them.
+void SchedulerFeed::pass_on_finished_dependencies(Scheduler& scheduler) const {
+  // A copy: each call below removes an entry.
+  const std::set<std::string> unknown = scheduler.unknown_dependencies();
+  for (const auto& id : unknown)
+    if (const auto record = record_cache_.dependency_end(id))
+      scheduler.on_dependency_finished(id, *record);
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/node/worker_endpoint.cpp
@@ -0,0 +1,63 @@
+#include "node/worker_endpoint.h"
+
+#include "node/steady_time.h"
+#include "wire/messages.h"
+
+namespace sumacquay {
+
+WorkerEndpoint::WorkerEndpoint(const Settings& settings, const KeyValueStoreClient& store,
+                               const RecordCache& record_cache, LeaderElection& election,
+                               ActiveScheduler& scheduler, const PeerHeartbeats& peer_heartbeats,
+                               DelegatedResponder& delegated_responder)
+    : settings_(settings),
+      store_(store),
+      record_cache_(record_cache),
+      election_(election),
+      scheduler_(scheduler),
+      peer_heartbeats_(peer_heartbeats),
+      delegated_responder_(delegated_responder) {}
+
+void WorkerEndpoint::on_worker_heartbeat(const HttpRequest& request, const Respond& respond) {
+  const auto heartbeat = wire::parse_worker_heartbeat(request.body);
+  if (!heartbeat) return respond({400, wire::error_body("not a report"), 0});
+  election_.observe_term(steady_now(), term_of_fencing_token(heartbeat->fencing_token));
+  if (!scheduler_ || !election_.may_answer(steady_now()))
+    return answer_as_follower(*heartbeat, respond);
+  answer_as_leader(*heartbeat, respond);
+}
+
+void WorkerEndpoint::answer_as_leader(const WorkerHeartbeat& heartbeat, const Respond& respond) {
+  const Seconds now = steady_now();
+  const auto answer = scheduler_->on_heartbeat(heartbeat, election_.may_act(now), now);
+  if (!answer.fresh) return respond({503, {}, 0});
+  respond({200, wire::heartbeat_answer(answer.fencing_token, answer.commands), 0});
+}
+
+/// Answers in the leader's place where this node may, and otherwise with the leader's name.
+void WorkerEndpoint::answer_as_follower(const WorkerHeartbeat& heartbeat, const Respond& respond) {
+  if (may_answer_as_delegate(heartbeat)) {
+    const auto stops = delegated_responder_.answer(
+        heartbeat, election_.highest_term(), to_seconds(record_cache_.known_at()),
+        [this](const std::string& id) { return record_cache_.ended(id); }, steady_now());
+    if (stops) return respond({200, wire::heartbeat_answer(heartbeat.fencing_token, *stops), 0});
+  }
+  respond({421, wire::redirect_body(leader_to_redirect_to()), 0});
+}
+
+/// Empty if no other node is known to lead.
+std::string WorkerEndpoint::leader_to_redirect_to() const {
+  const auto& record = record_cache_.leader().value;
+  const bool record_newer = record.term > peer_heartbeats_.leader_term();
+  const std::string leader = record_newer ? record.node : peer_heartbeats_.leader();
+  return leader == settings_.node ? std::string() : leader;
+}
+
+/// A partitioned zone loses the leader and the state service together. While this node still
+/// reaches either, another leader may be found, and workers had better go on looking.
+bool WorkerEndpoint::may_answer_as_delegate(const WorkerHeartbeat& heartbeat) const {
+  const Seconds served_at = to_seconds(store_.last_served());
+  return election_.state() == LeaderElection::State::Follower && heartbeat.zone == settings_.zone &&
+         steady_now() - served_at > settings_.delegation_after_s();
+}
+
+}  // namespace sumacquay
