--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -1,70 +1,51 @@
 #pragma once
-#include <functional>
-#include <memory>
 #include <string>
-#include <vector>
 
 #include "config/settings.h"
+#include "frontend/cancellation_handler.h"
+#include "frontend/frontend_sources.h"
+#include "frontend/job_lookup.h"
+#include "frontend/query_handler.h"
+#include "frontend/submission_handler.h"
 #include "net/concurrency_limit.h"
 #include "net/http_server.h"
+#include "store/key_value_store_client.h"
 #include "store/record_cache.h"
-#include "wire/peer_heartbeat.h"
-#include "wire/records.h"
 
 namespace sumacquay {
 
-/// The users' side: submissions, queries and cancellations, on any node.
+/// The users' side of a node, whether or not it leads: routes submissions, queries and
+/// cancellations to their handlers and limits how many are in progress. It owns the handlers. The
+/// node calls it; it must not know of the leader's decisions.
 class Frontend {
  public:
-  struct Sources {
-    std::function<const std::vector<MachineType>&()> types;
-    /// Tasks that run, as the leader last said; for display only.
-    std::function<wire::JobProgress(const std::string& id)> counts;
-    std::function<uint64_t()> time_of_day_ms;
-  };
+  using Sources = FrontendSources;
 
-  /// `most_in_progress`: users' requests that may be handled at once.
-  Frontend(const Settings& settings, size_t most_in_progress, KeyValueStoreClient& store,
+  /// Refers to the settings, the store and the cache, which outlive it. `max_in_progress`: users'
+  /// requests that may be handled at once.
+  Frontend(const Settings& settings, size_t max_in_progress, KeyValueStoreClient& store,
            RecordCache& record_cache, Sources sources);
-  /// False: not a path of the users'.
+  Frontend(const Frontend&) = delete;
+  Frontend& operator=(const Frontend&) = delete;
+
+  /// Handles a request to one of the users' paths and responds to it, at once or later. False: it
+  /// is not one of the users' paths, and there is no response.
   bool handle(const HttpRequest& request, Respond respond);
+
   /// Requests that are not answered yet.
   int in_progress() const { return limit_.in_progress(); }
 
  private:
-  void submit(const HttpRequest& request, const Respond& respond);
-  /// A submission while the jobs that it depends on are looked up.
-  struct Submission {
-    JobRecord record;
-    std::vector<std::string> unchecked;
-    void add(const std::string& dependency, JobState state);
-  };
-  void check_dependencies(const std::shared_ptr<Submission>& submission, const Respond& respond);
-  void look_up_dependency(const std::string& id, const std::shared_ptr<Submission>& submission,
-                          const Respond& respond);
-  void accept(const JobRecord& record, const Respond& respond);
-  void answer_accepted(const JobRecord& record, const Respond& respond);
-  void answer_existing_job(const std::string& id, const Respond& respond);
-  void answer_existing_job(const std::string& id, const Respond& respond,
-                           const std::function<void()>& unknown);
-  void refuse_unless_accepted(const std::string& id, int status, const std::string& why,
-                              const Respond& respond);
-  void query(const std::string& id, const Respond& respond);
-  void cancel(const std::string& id, int tries, const Respond& respond);
-  /// The job's state as of now or later; `unknown` is called only if no such job was ever accepted.
-  void look_up(const std::string& id, const Respond& respond,
-               const std::function<void(const Versioned<JobRecord>&)>& live,
-               const std::function<void(const FinishedRecord&)>& finished,
-               const std::function<void()>& unknown);
-  void answer_live(const Versioned<JobRecord>& record, const Respond& respond,
-                   const std::function<void(const Versioned<JobRecord>&)>& live) const;
-  JobState current_state(const JobRecord& record) const;
-  Respond limited(Respond respond);
+  void route(const HttpRequest& request, const Respond& respond);
+  void route_to_job(const HttpRequest& request, const Respond& respond);
+  /// The same response, which also leaves the limit and tells it how long the request took.
+  Respond leaving_limit(Respond respond);
 
-  const Settings& settings_;
-  KeyValueStoreClient& store_;
-  RecordCache& record_cache_;
   Sources sources_;
+  JobLookup lookup_;
+  SubmissionHandler submissions_;
+  QueryHandler queries_;
+  CancellationHandler cancellations_;
   ConcurrencyLimit limit_;
 };
 
