--- a/src/dispatch/zone_partition_detector.cpp
+++ b/src/dispatch/zone_partition_detector.cpp
@@ -1,6 +1,6 @@
 #include "dispatch/zone_partition_detector.h"
 
-#include <spdlog/spdlog.h>
+#include "logging/log_event.h"
 
 namespace sumacquay {
 namespace {
@@ -21,21 +21,21 @@
                                                        Seconds now, Seconds forget_after) {
   for (auto& [zone, last_counted] : partitioned_)
     if (zones.contains(zone)) last_counted = now;
-  std::erase_if(partitioned_, [&](const auto& cut) { return now - cut.second > forget_after; });
+  std::erase_if(partitioned_, [&](const auto& entry) { return now - entry.second > forget_after; });
   reachable_.clear();
-  std::vector<std::string> back;
+  std::vector<std::string> healed;
   for (const auto& [zone, count] : zones) {
     if (more_than(kHeardShare, count.heard_recently, count.up)) reachable_.insert(zone);
     const bool cut = more_than(kSilentShare, count.silent, count.up);
     if (cut != partitioned(zone))
-      spdlog::info("zone {}: {} of {} machines silent, {}", zone, count.silent, count.up,
-                   cut ? "taken for cut off" : "no longer taken for cut off");
+      log_info(cut ? "zone_partitioned" : "zone_partition_healed", log_field("zone", zone),
+               log_field("silent", count.silent), log_field("up", count.up));
     if (cut)
       partitioned_[zone] = now;
     else if (partitioned_.erase(zone) > 0)
-      back.push_back(zone);
+      healed.push_back(zone);
   }
-  return back;
+  return healed;
 }
 
 }  // namespace sumacquay
--- a/src/fleet/worker_heartbeat.h
+++ b/src/fleet/worker_heartbeat.h
@@ -44,7 +44,7 @@
   auto operator<=>(const HeartbeatSequence&) const = default;
 };
 
-/// What a worker says of itself, in a heartbeat of its own or in the answer to an command or a
+/// What a worker says of itself, in a heartbeat of its own or in the answer to a command or a
 /// probe.
 struct WorkerHeartbeat {
   std::string machine, addr, type, zone;
--- a/src/loadtest/quantiles.cpp
+++ b/src/loadtest/quantiles.cpp
@@ -6,7 +6,7 @@
 
 namespace sumacquay::loadtest {
 
-prometheus::Summary::Quantiles Quantiles::desired_running() {
+prometheus::Summary::Quantiles Quantiles::requested() {
   return {{0.5, 0.01}, {0.9, 0.005}, {0.99, 0.001}};
 }
 
--- a/src/loadtest/quantiles.h
+++ b/src/loadtest/quantiles.h
@@ -15,11 +15,11 @@
   size_t count() const { return count_; }
 
  private:
-  static prometheus::Summary::Quantiles desired_running();
+  static prometheus::Summary::Quantiles requested();
   /// Longer than any trial: nothing is forgotten.
   static constexpr std::chrono::hours kKept{24};
 
-  prometheus::Summary summary_{desired_running(), kKept, 1};
+  prometheus::Summary summary_{requested(), kKept, 1};
   double largest_ = 0;
   size_t count_ = 0;
 };
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -6,7 +6,7 @@
 namespace sumacquay {
 namespace {
 
-/// How long an command may take: in heartbeat periods, but at most this part of a worker's lease.
+/// How long a command may take: in heartbeat periods, but at most this part of a worker's lease.
 constexpr double kCommandDeadlineHeartbeats = 1.5;
 constexpr double kCommandDeadlineLeaseShare = 0.2;
 /// How long a machine has to answer a probe / the workers' lease.
@@ -58,7 +58,7 @@
   send_waiting();
 }
 
-/// The scheduler takes it for an command that may still be executed, which is safe and slower.
+/// The scheduler takes it for a command that may still be executed, which is safe and slower.
 void ActionExecutor::give_up(const SendCommands& batch) {
   asio::post(io_, [this, machine = batch.machine, generation = scheduler_.generation()] {
     if (Scheduler* scheduler = scheduler_.get(generation))
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -19,7 +19,7 @@
 /// Guarantees that the scheduler hears the outcome of every action, unless this node has stepped
 /// down since; never from inside `perform`, but for a probe that found no client. A term in a
 /// worker's answer is passed on before the outcome, and may make this node step down. With more
-/// machines than connections for orders, an command waits for a connection; it is sent only while
+/// machines than connections for orders, a command waits for a connection; it is sent only while
 /// this node leads.
 class ActionExecutor {
  public:
--- a/src/simulators/cloud_server.cpp
+++ b/src/simulators/cloud_server.cpp
@@ -130,18 +130,18 @@
       static_cast<size_t>(std::strtoull(query_field(request.query, "most").c_str(), nullptr, 10));
   const size_t most = asked ? std::min(asked, kMostListed) : kMostListed;
   const Seconds as_of = steady_now() - options_.list_lag_s;
-  std::vector<ListedMachine> on_machines_listed;
+  std::vector<ListedMachine> listed;
   for (auto machine = machines_.upper_bound(after); machine != machines_.end(); ++machine) {
     const auto& [id, rented] = *machine;
     if (rented.rented_at > as_of || (rented.released_at && *rented.released_at <= as_of)) continue;
-    if (on_machines_listed.size() == most) return {kOk, machines_body(on_machines_listed, true), 0};
+    if (listed.size() == most) return {kOk, machines_body(listed, true), 0};
     ListedMachine::State state = ListedMachine::State::Running;
     if (rented.up_at > as_of) state = ListedMachine::State::Booting;
     if (rented.failed) state = ListedMachine::State::Failed;
-    on_machines_listed.push_back({id, fleet_.address_of(id), rented.kind.type, rented.kind.zone,
-                                  rented.kind.spot, state, as_of - rented.rented_at});
+    listed.push_back({id, fleet_.address_of(id), rented.kind.type, rented.kind.zone,
+                      rented.kind.spot, state, as_of - rented.rented_at});
   }
-  return {kOk, machines_body(on_machines_listed, false), 0};
+  return {kOk, machines_body(listed, false), 0};
 }
 
 }  // namespace sumacquay::simulators
--- a/tests/simulation/command_channel.cpp
+++ b/tests/simulation/command_channel.cpp
@@ -9,7 +9,7 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// When the leader gives an command up, at most and as a share of the workers' lease.
+/// When the leader gives a command up, at most and as a share of the workers' lease.
 constexpr Seconds kCommandDeadline = 1.5;
 constexpr double kCommandDeadlineShare = 0.2;
 /// When the leader gives a probe up, as a share of the workers' lease.
--- a/tests/simulation/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -31,7 +31,7 @@
     bool answer_lost = false;
     Answer answer;
   };
-  /// How an command travels, as the faults of its way decide.
+  /// How a command travels, as the faults of its way decide.
   struct Way {
     Seconds delay = 0;
     bool lost = false, answer_lost = false;
