--- a/src/store/record_cache.h
+++ b/src/store/record_cache.h
@@ -8,9 +8,12 @@
 #include <vector>
 
 #include "jobs/record.h"
+#include "store/dependency_reader.h"
 #include "store/key_value_store_client.h"
 #include "store/keys.h"
+#include "store/load_generation.h"
 #include "store/record_tables.h"
+#include "store/snapshot_loader.h"
 #include "wire/records.h"
 #include "wire/store_messages.h"
 
@@ -88,21 +91,11 @@
  private:
   enum class State { Loading, Following };
 
-  /// How far the loading is.
-  struct LoadPosition {
-    size_t prefix = 0;  ///< of the prefixes that are loaded, by number
-    std::string after;  ///< the last key that has come; empty: none
-    /// Of the first page, which is 0 in a service where nothing was ever written.
-    std::optional<uint64_t> first_revision;
-  };
-
   void enter(State next);
 
   // Loading.
   void load();
-  void load_page(const LoadPosition& position);
-  void apply_loaded_page(const LoadPosition& position, const wire::StorePage& page);
-  void loading_done(uint64_t first_revision);
+  void on_snapshot_loaded(uint64_t first_revision);
 
   // Following.
   void follow();
@@ -118,14 +111,9 @@
 
   void apply_item(const wire::StoreItem& item);
   void notify(const AppliedChange& change);
-  void read_unknown_dependencies();
-  void read_dependency(const std::string& id);
   void notify_job_changed(const std::string& id) const;
   void notify_leader_changed() const;
 
-  void later(double seconds, std::function<void()> action);
-  void schedule_unless_reloaded(double seconds, std::function<void()> action);
-
   asio::io_context& io_;
   KeyValueStoreClient& store_;
   double watch_wait_s_;        ///< how long a watch waits for a change
@@ -134,13 +122,13 @@
   Listener listener_;
 
   State state_ = State::Loading;
-  uint64_t generation_ = 0;  ///< counts loads: answers to earlier ones are dropped
   Clock::time_point known_at_{};
   Clock::time_point loading_since_{};
 
   RecordTables tables_;
-  bool reading_dependency_ = false;
-  std::string dependency_read_;  ///< the last one: they are read in turn
+  LoadGeneration generation_;
+  SnapshotLoader snapshot_loader_;
+  DependencyReader dependency_reader_;
 
   std::vector<BarrierDone> waiting_;
   bool barrier_running_ = false;
