--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -4,6 +4,15 @@
 #include <limits>
 
 namespace sumacquay {
+namespace {
+
+/// The spread of the nodes' campaigns / the leader's lease, which it prolongs: small beside it.
+constexpr double kCampaignSpreadLeaseShare = 0.05;
+/// The pause before a renewal without an answer is sent again / the renewal period.
+constexpr double kRenewalRetryShare = 0.3;
+constexpr Seconds kNever = std::numeric_limits<Seconds>::max();
+
+}  // namespace
 
 const char* name(LeaderElection::State state) {
   switch (state) {
@@ -34,17 +43,7 @@
 void LeaderElection::tick(Seconds now, bool loaded, bool leader_known, double jitter) {
   switch (state_) {
     case State::Follower:
-      if (!loaded || leader_known || now < rest_until_) {
-        campaign_at_ = -1;
-      } else if (campaign_at_ < 0) {
-        // Not all nodes at once; the spread is small beside the lease, which it prolongs.
-        campaign_at_ = now + jitter * config_.lease * 0.05;
-      } else if (now >= campaign_at_) {
-        enter(State::Campaigning);
-        campaign_end_ = now + config_.lease;
-        effects_.grant(++campaign_, config_.lease);
-      }
-      return;
+      return tick_follower(now, loaded && !leader_known, jitter);
     case State::Campaigning:
       if (now >= campaign_end_) enter(State::Follower);
       return;
@@ -55,15 +54,31 @@
       if (now >= valid_until_ + config_.grace) return enter(State::Follower);
       break;
   }
-  if (renewing_ || now < next_renew_) return;
+  renew_if_due(now);
+}
+
+void LeaderElection::tick_follower(Seconds now, bool office_vacant, double jitter) {
+  if (!office_vacant || now < rest_until_) {
+    campaign_at_ = -1;
+  } else if (campaign_at_ < 0) {
+    // Not all nodes are to campaign at the same time.
+    campaign_at_ = now + jitter * config_.lease * kCampaignSpreadLeaseShare;
+  } else if (now >= campaign_at_) {
+    enter(State::Campaigning);
+    campaign_end_ = now + config_.lease;
+    effects_.grant(++campaign_, config_.lease);
+  }
+}
+
+void LeaderElection::renew_if_due(Seconds now) {
+  if (renewing_ || now < next_renewal_) return;
   renewing_ = true;
-  next_renew_ = now + config_.renew;
+  next_renewal_ = now + config_.renew;
   effects_.renew(lease_);
 }
 
 Seconds LeaderElection::due_at(Seconds now) const {
-  constexpr Seconds kNever = std::numeric_limits<Seconds>::max();
-  const Seconds renewal = renewing_ ? kNever : next_renew_;
+  const Seconds renewal = renewing_ ? kNever : next_renewal_;
   switch (state_) {
     case State::Follower:
       if (campaign_at_ >= 0) return campaign_at_;
@@ -83,18 +98,18 @@
   if (state_ != State::Campaigning || campaign != campaign_) return;
   if (!lease) return enter(State::Follower);
   lease_ = *lease;
-  lease_sent_ = asked_at;
+  lease_asked_at_ = asked_at;
   campaign_end_ = now + config_.lease;
   effects_.elect(campaign_, lease_);
 }
 
 void LeaderElection::elected(Seconds now, Campaign campaign, bool won, uint64_t term) {
   if (state_ != State::Campaigning || campaign != campaign_) return;
-  if (!won || term < highest_) return enter(State::Follower);
-  term_ = highest_ = term;
+  if (!won || term < highest_term_) return enter(State::Follower);
+  term_ = highest_term_ = term;
   // The lease counts from when it was asked for: it can't have begun earlier.
-  valid_until_ = lease_sent_ + config_.lease * (1 - config_.drift);
-  next_renew_ = now;
+  valid_until_ = lease_asked_at_ + config_.lease * (1 - config_.drift);
+  next_renewal_ = now;
   renewing_ = false;
   enter(State::Leading);
 }
@@ -106,7 +121,7 @@
   if (state_ != State::Leading && state_ != State::LeaseExpired) return;
   if (ended) return enter(State::Follower);
   if (!answered) {
-    next_renew_ = std::min(next_renew_, now + config_.renew * 0.3);
+    next_renewal_ = std::min(next_renewal_, now + config_.renew * kRenewalRetryShare);
     return;
   }
   valid_until_ = std::max(valid_until_, sent_at + config_.lease * (1 - config_.drift));
@@ -120,7 +135,7 @@
 }
 
 void LeaderElection::observe_term(Seconds /*now*/, uint64_t term) {
-  highest_ = std::max(highest_, term);
+  highest_term_ = std::max(highest_term_, term);
   if ((state_ == State::Leading || state_ == State::LeaseExpired) && term > term_)
     enter(State::Follower);
 }
--- a/src/leadership/lease_delegation.cpp
+++ b/src/leadership/lease_delegation.cpp
@@ -7,64 +7,70 @@
 namespace {
 
 /// What two clocks may differ by over any span, both ways.
-constexpr double kDrift = 0.002;
-constexpr double kMs = 1000;
+constexpr double kMaxClockDrift = 0.002;
+constexpr double kMillisecondsPerSecond = 1000;
 
 }  // namespace
 
-void DelegatedResponder::delegated(const Delegation& p, Seconds asked_at, Seconds now) {
-  if (p.term < newest_.term || (p.term == newest_.term && p.number <= newest_.number)) return;
-  newest_ = p;
-  until_ = asked_at + p.valid_for_s * (1 - kDrift);
-  heard_ = now;
+void DelegatedResponder::delegated(const Delegation& delegation, Seconds asked_at, Seconds now) {
+  const bool older_term = delegation.term < newest_.term;
+  const bool repeat = delegation.term == newest_.term && delegation.number <= newest_.number;
+  if (older_term || repeat) return;
+  newest_ = delegation;
+  valid_until_ = asked_at + delegation.valid_for_s * (1 - kMaxClockDrift);
+  received_at_ = now;
 }
 
 bool DelegatedResponder::active(uint64_t highest_term, Seconds now) const {
-  return newest_.term > 0 && newest_.term == highest_term && now >= heard_ + after_ && now < until_;
+  return newest_.term > 0 && newest_.term == highest_term && now >= received_at_ + after_ &&
+         now < valid_until_;
 }
 
 DelegationStatus DelegatedResponder::status(Seconds now) const {
-  DelegationStatus w{process_, newest_.term, newest_.number, std::nullopt};
-  if (answered_) w.last_answer_age_s = now - *answered_;
-  return w;
+  DelegationStatus status{process_, newest_.term, newest_.number, std::nullopt};
+  if (last_answer_at_) status.last_answer_age_s = now - *last_answer_at_;
+  return status;
 }
 
 Delegations::Node& Delegations::node(const std::string& name, const std::string& zone) {
-  Node& n = nodes_[name];
-  n.zone = zone;
-  return n;
+  Node& node = nodes_[name];
+  node.zone = zone;
+  return node;
 }
 
 Delegation Delegations::delegate(const std::string& name, const std::string& zone, Seconds until,
                                  Seconds now) {
-  Node& n = node(name, zone);
-  n.until = std::max(n.until, until);
-  return {term_, static_cast<uint64_t>(now * kMs), until - now};
+  Node& delegate = node(name, zone);
+  delegate.valid_until = std::max(delegate.valid_until, until);
+  return {term_, static_cast<uint64_t>(now * kMillisecondsPerSecond), until - now};
 }
 
 void Delegations::heard(const std::string& name, const std::string& zone,
                         const DelegationStatus& status, Seconds now) {
-  Node& n = node(name, zone);
-  if (n.process != status.process) {
-    // What an earlier process answered is forgotten, but it ended before this one spoke.
-    if (n.process != 0) n.last = std::max(n.last, now);
-    n.process = status.process;
-    n.quiet_until = -1;
+  Node& delegate = node(name, zone);
+  if (delegate.process != status.process) {
+    // The answers of an earlier process are unknown, but that process ended before this one began.
+    if (delegate.process != 0) delegate.last_answer = std::max(delegate.last_answer, now);
+    delegate.process = status.process;
+    delegate.silent_until = -1;
   }
   if (status.last_answer_age_s)
-    n.last = std::max(n.last, now - *status.last_answer_age_s * (1 - kDrift));
-  // It waits from when it heard the delegation, which is no earlier than this leader said it.
+    delegate.last_answer =
+        std::max(delegate.last_answer, now - *status.last_answer_age_s * (1 - kMaxClockDrift));
+  // It waits from when it received the delegation, which is no earlier than this leader sent it.
   if (status.term == term_)
-    n.quiet_until =
-        std::max(n.quiet_until, static_cast<double>(status.number) / kMs + after_ * (1 - kDrift));
+    delegate.silent_until = std::max(delegate.silent_until,
+                                     static_cast<double>(status.number) / kMillisecondsPerSecond +
+                                         after_ * (1 - kMaxClockDrift));
 }
 
 Seconds Delegations::last_answer(const std::string& zone, Seconds now) const {
   Seconds last = -1;
-  for (const auto& [name, n] : nodes_) {
-    if (n.zone != zone) continue;
-    last = std::max(last, n.last);
-    if (now >= n.quiet_until) last = std::max(last, std::min(now, n.until));
+  for (const auto& [name, delegate] : nodes_) {
+    if (delegate.zone != zone) continue;
+    last = std::max(last, delegate.last_answer);
+    // It may be answering at this moment, without a way to tell this leader.
+    if (now >= delegate.silent_until) last = std::max(last, std::min(now, delegate.valid_until));
   }
   return last;
 }
