--- a/src/node/outage_log.cpp
+++ b/src/node/outage_log.cpp
@@ -1,6 +1,6 @@
 #include "node/outage_log.h"
 
-#include <spdlog/spdlog.h>
+#include "logging/log_event.h"
 
 namespace sumacquay {
 namespace {
@@ -13,11 +13,11 @@
 void OutageLog::observe(Seconds now, bool state_served) {
   const Seconds gap = now - observed_at_;
   if (observed_at_ > 0 && gap > worker_lease_ * kStallLeaseShare)
-    spdlog::info("this process stood still for {:.1f} s", gap);
+    log_info("process_stalled", log_field("duration_s", gap));
   observed_at_ = now;
   if (state_served == state_served_) return;
   state_served_ = state_served;
-  spdlog::info("state service: {}", state_served ? "answers again" : "does not answer this node");
+  log_info(state_served ? "state_service_recovered" : "state_service_lost");
 }
 
 }  // namespace sumacquay
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -1,8 +1,7 @@
 #include "node/record_writer.h"
 
-#include <spdlog/spdlog.h>
-
 #include "dispatch/record_transaction.h"
+#include "logging/log_event.h"
 #include "node/steady_time.h"
 
 namespace sumacquay {
@@ -35,7 +34,7 @@
                              const TransactionResult& result) {
   const bool committed = result.outcome == TransactionOutcome::Committed;
   if (result.outcome == TransactionOutcome::TooLarge) {
-    spdlog::warn("a transaction of {} records is too large for the state service", writes.size());
+    log_warning("transaction_too_large", log_field("count", writes.size()));
     pacing_.too_large(steady_now());
   }
   if (committed)
@@ -63,7 +62,7 @@
 /// What the records say now decides what is still to be written.
 void RecordWriter::reread(const TransactionResult& result) {
   for (const auto& key : result.failed)
-    if (key == keys::kTerm) spdlog::info("the term has changed");
+    if (key == keys::kTerm) log_info("term_changed");
   state_ = State::Rereading;
   record_cache_.read_barrier([this, generation = scheduler_.generation()](bool) {
     if (generation == scheduler_.generation()) state_ = State::Idle;
--- a/src/node/worker_clients.cpp
+++ b/src/node/worker_clients.cpp
@@ -1,11 +1,11 @@
 #include "node/worker_clients.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <charconv>
 #include <optional>
 
+#include "logging/log_event.h"
+
 namespace sumacquay {
 namespace {
 
@@ -39,7 +39,7 @@
   if (pool_.size() >= limit_ && !drop_longest_unused()) return nullptr;
   const auto endpoint = parse_address(address);
   if (!endpoint) {
-    spdlog::error("a worker has no usable address: {}", address);
+    log_error("worker_address_unusable", log_field("address", address));
     return nullptr;
   }
   auto client =
@@ -57,8 +57,8 @@
   pool_.clear();
 }
 
-/// Finds the first that isn't busy: a look at all of thousands for each order would cost more than
-/// the command. The end: all are busy.
+/// Finds the first that isn't busy: a look at all of thousands for each command would cost more
+/// than the command itself. The end: all are busy.
 WorkerClients::Pool::const_iterator WorkerClients::longest_unused() const {
   return std::find_if(pool_.begin(), pool_.end(),
                       [](const PooledClient& pooled) { return pooled.client->in_progress() == 0; });
--- a/src/peer/peer_heartbeats.cpp
+++ b/src/peer/peer_heartbeats.cpp
@@ -1,10 +1,9 @@
 #include "peer/peer_heartbeats.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 
 #include "config/socket_budget.h"
+#include "logging/log_event.h"
 
 namespace sumacquay {
 namespace {
@@ -57,7 +56,7 @@
                              ? wire::decode_peer_heartbeat(request.body)
                              : std::nullopt;
   if (!heartbeat) return respond({400, {}, 0});
-  note(*heartbeat);
+  record_heartbeat(*heartbeat);
   respond({200, wire::encode_peer_heartbeat(hooks_.answer(*heartbeat)), 0});
 }
 
@@ -73,22 +72,22 @@
 
 void PeerHeartbeats::send(HttpClient& client, const std::string& node, const std::string& body) {
   client.request("POST", wire::path::kPeerHeartbeat, body, period_s_ * kDeadlinePeriods,
-                 [this, node, asked_at = Clock::now()](const HttpResult& r) {
+                 [this, node, asked_at = Clock::now()](const HttpResult& result) {
                    const auto heartbeat =
-                       r.ok() ? wire::decode_peer_heartbeat(r.body) : std::nullopt;
+                       result.ok() ? wire::decode_peer_heartbeat(result.body) : std::nullopt;
                    if (!heartbeat) return;
-                   note(*heartbeat);
+                   record_heartbeat(*heartbeat);
                    hooks_.answered(node, *heartbeat, asked_at);
                  });
 }
 
-/// Each peer that falls silent or is heard again is told once, for operators.
+/// Each peer that falls silent or is heard again is logged once, for operators.
 void PeerHeartbeats::log_silent_peers() {
   for (auto& [node, peer] : peers_) {
     const bool silent = age_s(peer.heard) > kRecentPeriods * period_s_;
     if (silent == peer.silent) continue;
     peer.silent = silent;
-    spdlog::info("peer {}: {}", node, silent ? "silent" : "heard again");
+    log_info(silent ? "peer_silent" : "peer_heard", log_field("peer", node));
   }
 }
 
@@ -105,7 +104,7 @@
   });
 }
 
-void PeerHeartbeats::note(const wire::PeerHeartbeat& heartbeat) {
+void PeerHeartbeats::record_heartbeat(const wire::PeerHeartbeat& heartbeat) {
   const auto peer = peers_.find(heartbeat.node);
   if (peer != peers_.end()) peer->second.heard = Clock::now();
   if (heartbeat.served) served_heard_ = Clock::now();
--- a/src/peer/peer_heartbeats.h
+++ b/src/peer/peer_heartbeats.h
@@ -12,11 +12,11 @@
 
 namespace sumacquay {
 
-/// Heartbeats among controllers: every node tells every other, at a steady pace, which term it
-/// knows; the leader adds the counts that users are shown and the images that machines hold, which
-/// would help its successor place. Made by the node, which supplies what is said (`Hooks`) and asks
-/// what was heard. Nothing that safety needs rests on it, but for one answer: a node that has
-/// answered a term never acts under an older one.
+/// Heartbeats among controllers: every node sends to every other, at a steady pace, which term
+/// it knows; the leader adds the counts that users are shown and the images that machines hold,
+/// which would help its successor place. Made by the node, which supplies what is said (`Hooks`)
+/// and asks what was heard. Nothing that safety needs rests on it, but for one answer: a node that
+/// has answered a term never acts under an older one.
 class PeerHeartbeats {
  public:
   struct Hooks {
@@ -45,7 +45,7 @@
   void send_periodic_peer_heartbeats();
   void on_request(const HttpRequest& request, const Respond& respond);
   void log_silent_peers();
-  void note(const wire::PeerHeartbeat& heartbeat);
+  void record_heartbeat(const wire::PeerHeartbeat& heartbeat);
   void send(HttpClient& client, const std::string& node, const std::string& body);
 
   asio::io_context& io_;
@@ -66,7 +66,7 @@
   uint64_t leader_term_ = 0;
   std::chrono::steady_clock::time_point leader_heard_{}, served_heard_{};
   LeaderHints leader_hints_;
-  uint64_t batches_ = 0;  ///< tellings so far, for the fragments of those that need several
+  uint64_t batches_ = 0;  ///< sent so far; numbers the fragments of those that need several
 };
 
 }  // namespace sumacquay
