--- a/src/simulators/messages.cpp
+++ b/src/simulators/messages.cpp
@@ -4,9 +4,9 @@
 #include <utility>
 
 #include "wire/codec.h"
+#include "wire/enum_names.h"
 #include "wire/field_names.h"
 #include "wire/job_spec_codec.h"
-#include "wire/spellings.h"
 
 namespace sumacquay::simulators {
 namespace {
@@ -68,7 +68,7 @@
   packer.pack_map(exited ? 4 : 3);
   pack_field(packer, field::kTask, task.key.job + "/" + std::to_string(task.key.task));
   pack_field(packer, field::kAttempt, task.attempt);
-  pack_field(packer, field::kStage, name_of(enum_names::kTaskStates, task.state));
+  pack_field(packer, field::kState, name_of(enum_names::kTaskStates, task.state));
   if (exited) pack_field(packer, "cause", name_of(enum_names::kExitCauses, task.cause));
 }
 
@@ -154,7 +154,7 @@
   pack_field(packer, field::kType, machine.type);
   pack_field(packer, field::kZone, machine.zone);
   pack_field(packer, field::kSpot, machine.spot);
-  pack_field(packer, field::kStage, name_of(enum_names::kMachineStates, machine.state));
+  pack_field(packer, field::kState, name_of(enum_names::kMachineStates, machine.state));
   pack_field(packer, "age_s", machine.age_s);
 }
 
@@ -206,7 +206,7 @@
 
 std::optional<JobStatus> parse_job_status(std::string_view body) {
   return read_root<JobStatus>(body, [](View root) -> std::optional<JobStatus> {
-    const auto state = value_of(enum_names::kUserVisibleStates, root[field::kStage]);
+    const auto state = value_of(enum_names::kUserVisibleStates, root[field::kState]);
     if (!state) return std::nullopt;
     JobStatus status;
     status.state = *state;
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -3,8 +3,8 @@
 #include <utility>
 
 #include "wire/codec.h"
+#include "wire/enum_names.h"
 #include "wire/field_names.h"
-#include "wire/spellings.h"
 
 namespace sumacquay::wire {
 namespace {
@@ -14,13 +14,13 @@
 using codec::pack_field;
 using codec::Packer;
 
-constexpr size_t kMostTypeNameBytes = 200;
-constexpr size_t kMostNameBytes = 150;
+constexpr size_t kMaxTypeNameBytes = 200;
+constexpr size_t kMaxNameBytes = 150;
 
 std::optional<MachineType> read_type(View map) {
   Fields fields(map);
   MachineType type;
-  type.name = fields.text("sku", 1, kMostTypeNameBytes);
+  type.name = fields.text("sku", 1, kMaxTypeNameBytes);
   type.capacity.cpus = fields.amount(field::kCpus);
   type.capacity.gpus = fields[field::kGpus].number().value_or(0);
   type.capacity.memory_gb = fields.amount(field::kMemory);
@@ -29,49 +29,35 @@
   type.price = fields.amount("hourly");
   type.spot_price = fields["market_price"].number().value_or(type.price);
   type.boot_s = fields.amount("boot_s");
-  const View zones = fields["halls"];
-  for (size_t i = 0; i < zones.size(); ++i) type.zones.push_back(zones.at(i).text_or(""));
-  if (!fields.ok()) return std::nullopt;
-  return type;
+  type.zones = codec::read_texts(fields["halls"]);
+  return fields.if_ok(std::move(type));
 }
 
 std::optional<std::vector<MachineType>> read_types(View root) {
   const View list = root[field::kTypes];
   if (!list.is_list()) return std::nullopt;
-  std::vector<MachineType> types;
-  for (size_t i = 0; i < list.size(); ++i) {
-    auto type = read_type(list.at(i));
-    if (!type) return std::nullopt;
-    types.push_back(std::move(*type));
-  }
-  return types;
+  return codec::read_list(list, read_type);
 }
 
 std::optional<ListedMachine> read_machine(View map) {
   Fields fields(map);
   ListedMachine machine;
-  machine.id = fields.text(field::kId, 1, kMostNameBytes);
+  machine.id = fields.text(field::kId, 1, kMaxNameBytes);
   machine.addr = fields[field::kAddress].text_or("");
-  machine.type = fields.text(field::kType, 0, kMostNameBytes);
-  machine.zone = fields.text(field::kZone, 0, kMostNameBytes);
+  machine.type = fields.text(field::kType, 0, kMaxNameBytes);
+  machine.zone = fields.text(field::kZone, 0, kMaxNameBytes);
   machine.spot = fields.flag(field::kSpot);
-  machine.state = fields.choice(field::kStage, enum_names::kMachineStates);
+  machine.state = fields.choice(field::kState, enum_names::kMachineStates);
   machine.age_s = fields["age_s"].number().value_or(0);
-  if (!fields.ok()) return std::nullopt;
-  return machine;
+  return fields.if_ok(std::move(machine));
 }
 
 std::optional<MachinePage> read_machines(View root) {
   const View list = root[field::kMachines];
   if (!list.is_list()) return std::nullopt;
-  MachinePage page;
-  page.more = root[field::kMore].flag().value_or(false);
-  for (size_t i = 0; i < list.size(); ++i) {
-    auto machine = read_machine(list.at(i));
-    if (!machine) return std::nullopt;
-    page.machines.push_back(std::move(*machine));
-  }
-  return page;
+  auto machines = codec::read_list(list, read_machine);
+  if (!machines) return std::nullopt;
+  return MachinePage{std::move(*machines), root[field::kMore].flag().value_or(false)};
 }
 
 std::optional<std::vector<std::string>> read_rented(View root) {
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -7,8 +7,8 @@
 #include "fleet/worker_heartbeat.h"
 #include "jobs/spec.h"
 
-/// What the leader asks of the cloud that rents out machines: which types there are, which machines
-/// it has, to rent some and to take some back. The node calls it.
+/// Requests to the cloud that rents out machines, and its answers: which types there are, which
+/// machines are rented, scale out and scale in. The node calls it; when to rent is not known here.
 namespace sumacquay::wire {
 
 namespace path {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -7,12 +7,14 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <utility>
+#include <vector>
 
 #include "wire/view.h"
 
-/// Helpers that the message modules of this directory share: packing MessagePack maps, spelling
-/// enumerators, and reading required fields. Private to src/wire and to the simulators of
-/// src/simulators.
+/// Helpers that the message modules of this directory share: packing MessagePack maps and lists,
+/// mapping enumerators to their names on the wire, and reading required fields and lists. They know
+/// no message. Private to src/wire and to the simulators of src/simulators.
 namespace sumacquay::wire::codec {
 
 using Buffer = msgpack::sbuffer;
@@ -45,10 +47,16 @@
   packer.pack_array(static_cast<uint32_t>(size));
 }
 
+/// Packs a whole list; `pack_member(packer, member)` packs one member.
+template <class List, class PackMember>
+void pack_list(Packer& packer, const List& members, PackMember&& pack_member) {
+  pack_list(packer, members.size());
+  for (const auto& member : members) pack_member(packer, member);
+}
+
 template <class Texts>
 void pack_texts(Packer& packer, const Texts& texts) {
-  pack_list(packer, texts.size());
-  for (const auto& text : texts) pack_text(packer, text);
+  pack_list(packer, texts, pack_text);
 }
 
 // One field of a map: its name and its value.
@@ -70,7 +78,7 @@
   pack_flag(packer, value);
 }
 
-/// How one enumerator is spelled on the wire.
+/// The name of one enumerator on the wire.
 template <class Enum>
 struct EnumName {
   Enum value;
@@ -80,31 +88,53 @@
 template <class Enum, size_t N>
 using EnumNames = std::array<EnumName<Enum>, N>;
 
-/// The spelling of a value; empty if it has none.
+/// The name of a value; empty if it has none.
 template <class Enum, size_t N>
-std::string_view name_of(const EnumNames<Enum, N>& spellings, Enum value) {
-  for (const auto& enum_names : spellings)
-    if (enum_names.value == value) return enum_names.text;
+std::string_view name_of(const EnumNames<Enum, N>& names, Enum value) {
+  for (const auto& name : names)
+    if (name.value == value) return name.text;
   return {};
 }
 
-/// The value that is spelled so; none if it is no known spelling.
+/// The value with this name; none if the name is missing or not known.
 template <class Enum, size_t N>
-std::optional<Enum> value_of(const EnumNames<Enum, N>& spellings, View spelled) {
-  const auto text = spelled.text_view();
-  for (const auto& enum_names : spellings)
-    if (text == enum_names.text) return enum_names.value;
+std::optional<Enum> value_of(const EnumNames<Enum, N>& names, View name_on_wire) {
+  const auto text = name_on_wire.text_view();
+  for (const auto& name : names)
+    if (text == name.text) return name.value;
   return std::nullopt;
 }
 
+/// Reads a list with `read_member`, which returns an optional member for a View; none if any member
+/// is invalid. What isn't a list reads as an empty one.
+template <class ReadMember>
+auto read_list(View list, ReadMember&& read_member) {
+  using Member = typename decltype(read_member(list))::value_type;
+  std::optional<std::vector<Member>> members(std::in_place);
+  for (size_t i = 0; i < list.size(); ++i) {
+    auto member = read_member(list.at(i));
+    if (!member) return std::optional<std::vector<Member>>();
+    members->push_back(std::move(*member));
+  }
+  return members;
+}
+
+/// Reads a list of texts; members that are no texts read as empty ones.
+inline std::vector<std::string> read_texts(View list) {
+  std::vector<std::string> texts;
+  for (size_t i = 0; i < list.size(); ++i) texts.push_back(list.at(i).text_or(""));
+  return texts;
+}
+
 /// Reads the required fields of a map and remembers the first that is missing or invalid.
 class Fields {
  public:
   explicit Fields(View map) : map_(map) {}
 
-  std::string text(const char* name, size_t least, size_t most) {
+  /// A text of so many bytes.
+  std::string text(const char* name, size_t min_bytes = 0, size_t max_bytes = SIZE_MAX) {
     auto value = map_[name].text();
-    if (value && value->size() >= least && value->size() <= most) return *value;
+    if (value && value->size() >= min_bytes && value->size() <= max_bytes) return std::move(*value);
     record_invalid(name);
     return {};
   }
@@ -112,7 +142,7 @@
   /// A quantity: not negative, and finite.
   double amount(const char* name) {
     const auto value = map_[name].number();
-    if (value && *value >= 0 && *value <= kMostAmount) return *value;
+    if (value && *value >= 0 && *value <= kMaxAmount) return *value;
     record_invalid(name);
     return 0;
   }
@@ -123,18 +153,18 @@
     return value.value_or(false);
   }
 
-  uint64_t count(const char* name, uint64_t least, uint64_t most) {
+  uint64_t count(const char* name, uint64_t min = 0, uint64_t max = UINT64_MAX) {
     const auto value = map_[name].count();
-    if (value && *value >= least && *value <= most) return *value;
+    if (value && *value >= min && *value <= max) return *value;
     record_invalid(name);
-    return least;
+    return min;
   }
 
   template <class Enum, size_t N>
-  Enum choice(const char* name, const EnumNames<Enum, N>& spellings) {
-    const auto value = value_of(spellings, map_[name]);
+  Enum choice(const char* name, const EnumNames<Enum, N>& names) {
+    const auto value = value_of(names, map_[name]);
     if (!value) record_invalid(name);
-    return value.value_or(spellings[0].value);
+    return value.value_or(names[0].value);
   }
 
   /// A field that may be missing, as it is.
@@ -146,10 +176,17 @@
 
   /// Names the first invalid field; empty: there is none.
   const std::string& error() const { return error_; }
-  bool ok() const { return error_.empty(); }
+  [[nodiscard]] bool ok() const { return error_.empty(); }
+
+  /// The message that was read from the fields; none if any of them is invalid.
+  template <class Message>
+  std::optional<Message> if_ok(Message message) const {
+    if (!ok()) return std::nullopt;
+    return message;
+  }
 
  private:
-  static constexpr double kMostAmount = 1e12;
+  static constexpr double kMaxAmount = 1e12;
   View map_;
   std::string error_;
 };
--- a/src/wire/spellings.h
+++ b/src/wire/enum_names.h
@@ -3,8 +3,9 @@
 #include "wire/codec.h"
 #include "wire/user_messages.h"
 
-/// How the platform spells enumerators that both sides of a message need: src/wire, and the
-/// simulators of src/simulators, which speak for workers, users, the cloud and the state service.
+/// The protocol's names of enumerators that both sides of a message need: src/wire, and the
+/// simulators of src/simulators, which stand for workers, users, the cloud and the key-value store.
+/// Each entry maps an enumerator, by the code's term, to the protocol's word.
 namespace sumacquay::wire::enum_names {
 
 using codec::EnumNames;
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -1,13 +1,15 @@
 #pragma once
 
-/// The platform's spellings of fields that several messages use. A spelling that occurs in one
-/// message alone stands there, and those of our own records stand in records.cpp and heartbeat.cpp.
-/// Private to src/wire and the simulators.
+/// The protocol's names of fields that several messages use: each line maps the protocol's word, on
+/// the right, to the term that the code uses, on the left. Those that one message alone has stand
+/// in its module (a job's in job_spec_codec.cpp), enumerators in enum_names.h, and the names in our
+/// own records in records.cpp and peer_heartbeat.cpp. No module but these knows the protocol's
+/// words. Private to src/wire and the simulators.
 namespace sumacquay::wire::field {
 
 // Jobs and tasks.
 inline constexpr const char* kId = "id";
-inline constexpr const char* kStage = "stage";
+inline constexpr const char* kState = "stage";
 inline constexpr const char* kTasks = "threads";
 inline constexpr const char* kTask = "thread";
 inline constexpr const char* kAttempt = "try";
@@ -24,11 +26,11 @@
 inline constexpr const char* kGpus = "cards";
 inline constexpr const char* kMemory = "ram_gb";
 
-// Workers' orders.
+// Workers' heartbeats and commands.
 inline constexpr const char* kFencingToken = "baton";
 inline constexpr const char* kAgentEpoch = "shift";
 
-// The state service.
+// The key-value store.
 inline constexpr const char* kKey = "path";
 inline constexpr const char* kVersion = "stamp";
 inline constexpr const char* kValue = "v";
--- a/src/wire/job_spec_codec.cpp
+++ b/src/wire/job_spec_codec.cpp
@@ -9,11 +9,12 @@
 namespace sumacquay::wire::codec {
 namespace {
 
-constexpr size_t kMostNameBytes = 200;
-constexpr size_t kMostTypes = 64;
-constexpr uint64_t kMostTasks = 100000;
+constexpr size_t kMaxNameBytes = 200;
+constexpr size_t kMaxTypes = 64;
+constexpr uint64_t kMaxTasks = 100000;
 constexpr uint32_t kRequiredFields = 17;
 
+// The protocol's words for fields that a job's description alone has.
 constexpr const char* kJobClass = "pattern";
 constexpr const char* kTeam = "guild";
 constexpr const char* kKind = "weave";
@@ -22,9 +23,9 @@
 constexpr const char* kImageSize = "image_gb";
 constexpr const char* kOneZone = "together";
 constexpr const char* kSpread = "scatter";
-constexpr const char* kEstimate = "reckon_s";
-constexpr const char* kCheckpoint = "mark_s";
-constexpr const char* kSave = "stow_s";
+constexpr const char* kEstimatedDuration = "reckon_s";
+constexpr const char* kCheckpointInterval = "mark_s";
+constexpr const char* kCheckpointDuration = "stow_s";
 constexpr const char* kDeadline = "due_s";
 constexpr const char* kDependencies = "awaits";
 
@@ -39,11 +40,11 @@
 void read_types(Fields& fields, JobSpec& spec) {
   const View types = fields[field::kTypes];
   if (types.missing()) return;
-  if (!types.is_list() || types.size() > kMostTypes) fields.record_invalid(field::kTypes);
+  if (!types.is_list() || types.size() > kMaxTypes) fields.record_invalid(field::kTypes);
   spec.types.emplace();
   for (size_t i = 0; i < types.size() && fields.ok(); ++i) {
     const auto type = types.at(i).text();
-    if (!type || type->size() > kMostNameBytes)
+    if (!type || type->size() > kMaxNameBytes)
       fields.record_invalid(field::kTypes);
     else
       spec.types->push_back(*type);
@@ -75,26 +76,26 @@
 }  // namespace
 
 void read_spec(Fields& fields, JobSpec& spec) {
-  spec.id = fields.text(field::kId, 1, kMostNameBytes);
+  spec.id = fields.text(field::kId, 1, kMaxNameBytes);
   if (fields.ok() && !valid_job_id(spec.id)) fields.record_invalid(field::kId);
-  spec.job_class = fields.text(kJobClass, 0, kMostNameBytes);
-  spec.team = fields.text(kTeam, 0, kMostNameBytes);
+  spec.job_class = fields.text(kJobClass, 0, kMaxNameBytes);
+  spec.team = fields.text(kTeam, 0, kMaxNameBytes);
   spec.kind = fields.choice(kKind, kKinds);
   spec.priority = fields.choice(kPriority, kPriorities);
-  spec.tasks = static_cast<uint32_t>(fields.count(field::kTasks, 1, kMostTasks));
+  spec.tasks = static_cast<uint32_t>(fields.count(field::kTasks, 1, kMaxTasks));
   spec.request.cpus = fields.amount(field::kCpus);
   spec.request.gpus = fields.amount(field::kGpus);
   spec.request.memory_gb = fields.amount(field::kMemory);
-  spec.image = fields.text(kImage, 0, kMostNameBytes);
+  spec.image = fields.text(kImage, 0, kMaxNameBytes);
   spec.image_gb = fields.amount(kImageSize);
   read_types(fields, spec);
-  if (!fields[field::kZone].missing()) spec.zone = fields.text(field::kZone, 0, kMostNameBytes);
+  if (!fields[field::kZone].missing()) spec.zone = fields.text(field::kZone, 0, kMaxNameBytes);
   spec.one_zone = fields.flag(kOneZone);
   spec.spread = fields.flag(kSpread);
   spec.spot = fields.flag(field::kSpot);
-  spec.estimate_s = fields.amount(kEstimate);
-  spec.checkpoint_interval_s = fields.amount(kCheckpoint);
-  spec.checkpoint_duration_s = fields.amount(kSave);
+  spec.estimate_s = fields.amount(kEstimatedDuration);
+  spec.checkpoint_interval_s = fields.amount(kCheckpointInterval);
+  spec.checkpoint_duration_s = fields.amount(kCheckpointDuration);
   if (!fields[kDeadline].missing()) spec.deadline_s = fields.amount(kDeadline);
   read_dependencies(fields, spec);
 }
@@ -120,9 +121,9 @@
   pack_field(packer, kOneZone, spec.one_zone);
   pack_field(packer, kSpread, spec.spread);
   pack_field(packer, field::kSpot, spec.spot);
-  pack_field(packer, kEstimate, spec.estimate_s);
-  pack_field(packer, kCheckpoint, spec.checkpoint_interval_s);
-  pack_field(packer, kSave, spec.checkpoint_duration_s);
+  pack_field(packer, kEstimatedDuration, spec.estimate_s);
+  pack_field(packer, kCheckpointInterval, spec.checkpoint_interval_s);
+  pack_field(packer, kCheckpointDuration, spec.checkpoint_duration_s);
   if (spec.deadline_s) pack_field(packer, kDeadline, *spec.deadline_s);
   if (spec.dependencies.empty()) return;
   pack_text(packer, kDependencies);
--- a/src/wire/job_spec_codec.h
+++ b/src/wire/job_spec_codec.h
@@ -2,11 +2,11 @@
 #include "jobs/spec.h"
 #include "wire/codec.h"
 
-/// A job's description on the wire. Users submit it, and records keep it in the same spelling.
+/// A job's description on the wire. Users submit it, and records keep it with the same field names.
 /// Private to src/wire.
 namespace sumacquay::wire::codec {
 
-/// Reads a description into `spec`. `fields` notes the first field that is missing or invalid;
+/// Reads a description into `spec`. `fields` records the first field that is missing or invalid;
 /// unless it is ok, `spec` is incomplete.
 void read_spec(Fields& fields, JobSpec& spec);
 
--- a/src/wire/json_size.cpp
+++ b/src/wire/json_size.cpp
@@ -47,14 +47,14 @@
 }
 
 size_t real_size(double number) {
-  constexpr double kLeastFixed = 1e-6;
-  constexpr double kMostFixed = 1e21;
-  constexpr size_t kMostBytes = 64;
+  constexpr double kMinFixed = 1e-6;
+  constexpr double kMaxFixed = 1e21;
+  constexpr size_t kMaxBytes = 64;
   constexpr size_t kPointZero = 2;
   if (!std::isfinite(number)) return kNull;
   const double magnitude = std::abs(number);
-  const bool fixed = magnitude == 0 || (magnitude >= kLeastFixed && magnitude < kMostFixed);
-  std::array<char, kMostBytes> text{};
+  const bool fixed = magnitude == 0 || (magnitude >= kMinFixed && magnitude < kMaxFixed);
+  std::array<char, kMaxBytes> text{};
   const auto* end = std::to_chars(text.data(), text.data() + text.size(), number,
                                   fixed ? std::chars_format::fixed : std::chars_format::scientific)
                         .ptr;
--- a/src/wire/peer_heartbeat.cpp
+++ b/src/wire/peer_heartbeat.cpp
@@ -1,5 +1,6 @@
 #include "wire/peer_heartbeat.h"
 
+#include <algorithm>
 #include <compare>
 #include <map>
 #include <utility>
@@ -23,12 +24,12 @@
 constexpr const char* kDelegation = "delegation";
 constexpr const char* kCounts = "counts";
 constexpr const char* kImages = "images";
-constexpr const char* kHeld = "held";
+constexpr const char* kCachedImages = "held";
 constexpr const char* kBooting = "booting";
 constexpr const char* kFragment = "piece";
 
 // Lists within a heartbeat hold their fields by position.
-constexpr size_t kStatusFields = 3;  ///< one more if it has answered in the leader's place
+constexpr size_t kStatusFields = 3;  ///< one more if it has answered under a delegation
 constexpr size_t kDelegationFields = 3;
 constexpr size_t kFragmentFields = 4;
 constexpr size_t kPeerHeartbeatFields = 10;  ///< one more for a delegation, and for a fragment
@@ -59,14 +60,11 @@
   packer.pack_uint64(static_cast<uint64_t>(fragment.part));
 }
 
-void pack_counts(Packer& packer, const std::vector<JobProgress>& counts) {
-  pack_list(packer, counts.size());
-  for (const auto& count : counts) {
-    pack_list(packer, kCountFields);
-    pack_text(packer, count.job);
-    packer.pack_uint32(count.done);
-    packer.pack_uint32(count.running);
-  }
+void pack_count(Packer& packer, const JobProgress& count) {
+  pack_list(packer, kCountFields);
+  pack_text(packer, count.job);
+  packer.pack_uint32(count.done);
+  packer.pack_uint32(count.running);
 }
 
 struct Image {
@@ -75,28 +73,28 @@
   auto operator<=>(const Image&) const = default;
 };
 
-/// The images of a heartbeat, each one once, and which of them each machine holds.
+/// The images of a heartbeat, each one once, and which of them each machine caches.
 class ImageTable {
  public:
-  explicit ImageTable(const std::vector<CachedImageHint>& held) {
-    for (const auto& image : held) held_[image.machine].push_back({image.image, image.gb});
-    for (const auto& [machine, images] : held_)
+  explicit ImageTable(const std::vector<CachedImageHint>& cached) {
+    for (const auto& image : cached)
+      images_by_machine_[image.machine].push_back({image.image, image.gb});
+    for (const auto& [machine, images] : images_by_machine_)
       for (const Image& image : images) add(image);
   }
 
   void pack_images(Packer& packer) const {
-    pack_list(packer, images_.size());
-    for (const Image& image : images_) {
-      pack_list(packer, kImageFields);
-      pack_text(packer, image.name);
-      packer.pack_double(image.gb);
-    }
+    pack_list(packer, images_, [](Packer& list, const Image& image) {
+      pack_list(list, kImageFields);
+      pack_text(list, image.name);
+      list.pack_double(image.gb);
+    });
   }
 
   /// A machine's line: its name, then the numbers of its images.
-  void pack_held(Packer& packer) const {
-    pack_list(packer, held_.size());
-    for (const auto& [machine, images] : held_) {
+  void pack_cached_images(Packer& packer) const {
+    pack_list(packer, images_by_machine_.size());
+    for (const auto& [machine, images] : images_by_machine_) {
       pack_list(packer, images.size() + 1);
       pack_text(packer, machine);
       for (const Image& image : images) packer.pack_uint32(numbers_.at(image));
@@ -109,21 +107,18 @@
     if (numbers_.try_emplace(image, number).second) images_.push_back(image);
   }
 
-  std::map<std::string_view, std::vector<Image>> held_;
+  std::map<std::string_view, std::vector<Image>> images_by_machine_;
   std::map<Image, uint32_t> numbers_;
   std::vector<Image> images_;  ///< by number
 };
 
-void pack_booting(Packer& packer, const std::vector<ListedMachine>& booting) {
-  pack_list(packer, booting.size());
-  for (const auto& machine : booting) {
-    pack_list(packer, kBootingFields);
-    pack_text(packer, machine.id);
-    pack_text(packer, machine.type);
-    pack_text(packer, machine.zone);
-    codec::pack_flag(packer, machine.spot);
-    packer.pack_double(machine.age_s);
-  }
+void pack_booting_machine(Packer& packer, const ListedMachine& machine) {
+  pack_list(packer, kBootingFields);
+  pack_text(packer, machine.id);
+  pack_text(packer, machine.type);
+  pack_text(packer, machine.zone);
+  codec::pack_flag(packer, machine.spot);
+  packer.pack_double(machine.age_s);
 }
 
 DelegationStatus read_status(View list) {
@@ -154,15 +149,6 @@
   return JobProgress{*job, static_cast<uint32_t>(*done), static_cast<uint32_t>(*running)};
 }
 
-bool read_counts(View list, std::vector<JobProgress>& counts) {
-  for (size_t i = 0; i < list.size(); ++i) {
-    auto count = read_count(list.at(i));
-    if (!count) return false;
-    counts.push_back(std::move(*count));
-  }
-  return true;
-}
-
 /// One image of a machine, by its number in the list of images.
 std::optional<CachedImageHint> read_image(const std::string& machine, View number, View images) {
   const auto index = number.count();
@@ -175,20 +161,25 @@
   return CachedImageHint{machine, *name, *gb};
 }
 
-bool read_held(View lines, View images, std::vector<CachedImageHint>& held) {
-  for (size_t i = 0; i < lines.size(); ++i) {
-    const View line = lines.at(i);
-    const auto machine = line.size() > 0 ? line.at(0).text() : std::nullopt;
-    if (!machine) return false;
-    for (size_t k = 1; k < line.size(); ++k) {
-      auto image = read_image(*machine, line.at(k), images);
-      if (!image) return false;
-      held.push_back(std::move(*image));
-    }
+/// The images of one machine: its name, then their numbers.
+bool read_machine_images(View line, View images, std::vector<CachedImageHint>& cached) {
+  const auto machine = line.size() > 0 ? line.at(0).text() : std::nullopt;
+  if (!machine) return false;
+  for (size_t position = 1; position < line.size(); ++position) {
+    auto image = read_image(*machine, line.at(position), images);
+    if (!image) return false;
+    cached.push_back(std::move(*image));
   }
   return true;
 }
 
+std::optional<std::vector<CachedImageHint>> read_cached_images(View lines, View images) {
+  std::vector<CachedImageHint> cached;
+  for (size_t i = 0; i < lines.size(); ++i)
+    if (!read_machine_images(lines.at(i), images, cached)) return std::nullopt;
+  return cached;
+}
+
 std::optional<ListedMachine> read_booting_machine(View list) {
   if (list.size() != kBootingFields) return std::nullopt;
   const auto id = list.at(0).text();
@@ -200,15 +191,6 @@
   return ListedMachine{*id, "", *type, *zone, *spot, ListedMachine::State::Booting, *age_s};
 }
 
-bool read_booting(View list, std::vector<ListedMachine>& booting) {
-  for (size_t i = 0; i < list.size(); ++i) {
-    auto machine = read_booting_machine(list.at(i));
-    if (!machine) return false;
-    booting.push_back(std::move(*machine));
-  }
-  return true;
-}
-
 std::optional<PeerHeartbeatPart> read_part(View value) {
   const uint64_t part = value.count().value_or(0);
   if (part > static_cast<uint64_t>(PeerHeartbeatPart::Hints)) return std::nullopt;
@@ -226,24 +208,25 @@
 }
 
 std::optional<PeerHeartbeat> read_peer_heartbeat(View root) {
-  const auto node = root[kNode].text();
-  const auto term = root[kTerm].count();
-  const auto leading = root[kLeading].flag();
-  const auto part = read_part(root[kPart]);
-  const View counts = root[kCounts];
-  if (!node || !term || !leading || !part || !counts.is_list()) return std::nullopt;
+  codec::Fields fields(root);
   PeerHeartbeat heartbeat;
+  heartbeat.node = fields.text(kNode);
+  heartbeat.term = fields.count(kTerm);
+  heartbeat.leading = fields.flag(kLeading);
+  const auto part = read_part(root[kPart]);
+  if (!fields.ok() || !part || !root[kCounts].is_list()) return std::nullopt;
+  auto counts = codec::read_list(root[kCounts], read_count);
+  auto images = read_cached_images(root[kCachedImages], root[kImages]);
+  auto booting = codec::read_list(root[kBooting], read_booting_machine);
+  if (!counts || !images || !booting) return std::nullopt;
   heartbeat.part = *part;
-  heartbeat.node = *node;
-  heartbeat.term = *term;
-  heartbeat.leading = *leading;
   heartbeat.served = root[kServed].flag().value_or(false);
   heartbeat.status = read_status(root[kStatus]);
   heartbeat.delegation = read_delegation(root[kDelegation]);
   heartbeat.fragment = read_fragment(root[kFragment]);
-  if (!read_counts(counts, heartbeat.counts)) return std::nullopt;
-  if (!read_held(root[kHeld], root[kImages], heartbeat.images)) return std::nullopt;
-  if (!read_booting(root[kBooting], heartbeat.booting)) return std::nullopt;
+  heartbeat.counts = std::move(*counts);
+  heartbeat.images = std::move(*images);
+  heartbeat.booting = std::move(*booting);
   return heartbeat;
 }
 
@@ -276,6 +259,19 @@
   return encode_peer_heartbeat(head);
 }
 
+/// None if any fragment is longer than `limit`.
+std::optional<std::vector<std::string>> encode_in_fragments(const PeerHeartbeat& whole,
+                                                            const PeerHeartbeat& head,
+                                                            uint64_t batch, size_t fragments,
+                                                            size_t limit) {
+  std::vector<std::string> bodies;
+  for (size_t index = 0; index < fragments; ++index) {
+    bodies.push_back(encode_fragment(whole, head, {batch, index, fragments, whole.part}));
+    if (bodies.back().size() > limit) return std::nullopt;
+  }
+  return bodies;
+}
+
 size_t longest_list(const PeerHeartbeat& heartbeat) {
   return std::max({heartbeat.counts.size(), heartbeat.images.size(), heartbeat.booting.size()});
 }
@@ -303,14 +299,14 @@
       pack_fragment(packer, *heartbeat.fragment);
     }
     pack_text(packer, kCounts);
-    pack_counts(packer, heartbeat.counts);
+    pack_list(packer, heartbeat.counts, pack_count);
     const ImageTable images(heartbeat.images);
     pack_text(packer, kImages);
     images.pack_images(packer);
-    pack_text(packer, kHeld);
-    images.pack_held(packer);
+    pack_text(packer, kCachedImages);
+    images.pack_cached_images(packer);
     pack_text(packer, kBooting);
-    pack_booting(packer, heartbeat.booting);
+    pack_list(packer, heartbeat.booting, pack_booting_machine);
   });
 }
 
@@ -321,17 +317,14 @@
   std::string whole = encode_peer_heartbeat(heartbeat);
   if (whole.size() <= limit) return {std::move(whole)};
   const PeerHeartbeat head = without_lists(heartbeat);
-  const size_t most = longest_list(heartbeat);
-  const double fits = kMargin * static_cast<double>(limit);
-  for (auto fragments = static_cast<size_t>(static_cast<double>(whole.size()) / fits) + 1;;
-       ++fragments) {
-    std::vector<std::string> bodies;
-    bool all_fit = true;
-    for (size_t index = 0; index < fragments && all_fit; ++index) {
-      bodies.push_back(encode_fragment(heartbeat, head, {batch, index, fragments, heartbeat.part}));
-      all_fit = bodies.back().size() <= limit || fragments >= most;
-    }
-    if (all_fit) return bodies;
+  const size_t max_fragments = longest_list(heartbeat);
+  const double usable = kMargin * static_cast<double>(limit);
+  auto fragments = static_cast<size_t>(static_cast<double>(whole.size()) / usable) + 1;
+  for (;; ++fragments) {
+    // With one member in each, more fragments would not be smaller.
+    const size_t fragment_limit = fragments < max_fragments ? limit : SIZE_MAX;
+    auto bodies = encode_in_fragments(heartbeat, head, batch, fragments, fragment_limit);
+    if (bodies) return std::move(*bodies);
   }
 }
 
--- a/src/wire/record_capacity.cpp
+++ b/src/wire/record_capacity.cpp
@@ -9,7 +9,7 @@
 namespace sumacquay::wire {
 namespace {
 
-/// The part of the room that is left free / the limit on a value.
+/// The part of the limit on a value that is left free.
 constexpr double kReserveShare = 1.0 / 32;
 /// Of what the description leaves, the part that done numbers may take. Hosts get the rest.
 constexpr double kDoneShare = 2.0 / 3;
@@ -51,7 +51,7 @@
   return lengths * (std::log10(tasks / lengths) + kFirstDigitAndComma) + kEmptyFirstGap;
 }
 
-/// How many spans of done numbers find room in so many bytes.
+/// How many spans of done numbers fit in so many bytes.
 size_t spans_within(double bytes, uint32_t tasks) {
   size_t fit = 0;
   size_t too_many = (size_t{tasks} + 1) / 2 + 1;  // between two spans is a task that isn't done
@@ -77,21 +77,21 @@
   return described + named + static_cast<size_t>(std::ceil(done));
 }
 
-RecordCapacity record_capacity(const JobRecord& record, size_t most_bytes) {
-  RecordCapacity room;
-  room.described = described_size(record);
-  const auto limit = static_cast<double>(most_bytes);
-  const double left = limit * (1 - kReserveShare) - static_cast<double>(room.described);
-  if (left <= 0) return room;
-  room.spans = spans_within(left * kDoneShare, record.spec.tasks);
-  room.hosts = static_cast<size_t>(left - spans_size(room.spans, record.spec.tasks));
-  return room;
+RecordCapacity record_capacity(const JobRecord& record, size_t max_bytes) {
+  RecordCapacity capacity;
+  capacity.described = described_size(record);
+  const auto limit = static_cast<double>(max_bytes);
+  const double left = limit * (1 - kReserveShare) - static_cast<double>(capacity.described);
+  if (left <= 0) return capacity;
+  capacity.spans = spans_within(left * kDoneShare, record.spec.tasks);
+  capacity.hosts = static_cast<size_t>(left - spans_size(capacity.spans, record.spec.tasks));
+  return capacity;
 }
 
-JobRecord fitting_record(JobRecord record, size_t most_bytes) {
-  const RecordCapacity room = record_capacity(record, most_bytes);
-  if (record.hosts && !room.holds(*record.hosts)) record.hosts.reset();
-  record.done = record.done.first_spans(room.spans, record.done);
+JobRecord fitting_record(JobRecord record, size_t max_bytes) {
+  const RecordCapacity capacity = record_capacity(record, max_bytes);
+  if (record.hosts && !capacity.holds(*record.hosts)) record.hosts.reset();
+  record.done = record.done.first_spans(capacity.spans, record.done);
   return record;
 }
 
--- a/src/wire/record_capacity.h
+++ b/src/wire/record_capacity.h
@@ -5,8 +5,8 @@
 
 #include "jobs/record.h"
 
-/// How much of a job's progress and places its record can hold: the state service limits the size
-/// of a value in JSON form. The leader and the frontend, who write the records, call it.
+/// How much of a job's progress and hosts its record can hold: the key-value store limits the size
+/// of a value in JSON form. The leader and the front end, who write the records, call it.
 namespace sumacquay::wire {
 
 /// What a job's record may hold beside its description. It depends on the description alone, so it
@@ -24,12 +24,12 @@
   size_t taken_by(const JobRecord& record) const;
 };
 
-/// `most_bytes`: the limit on a value.
-RecordCapacity record_capacity(const JobRecord& record, size_t most_bytes);
+/// `max_bytes`: the limit on a value.
+RecordCapacity record_capacity(const JobRecord& record, size_t max_bytes);
 
 /// The same record, or as much of it as fits: without its hosts, which means that its tasks may be
 /// anywhere, and with the first spans of its done numbers. One whose description leaves no room is
 /// as small as it can be.
-JobRecord fitting_record(JobRecord record, size_t most_bytes);
+JobRecord fitting_record(JobRecord record, size_t max_bytes);
 
 }  // namespace sumacquay::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 using codec::build;
+using codec::Fields;
 using codec::pack_field;
 using codec::Packer;
-using codec::value_of;
 
 constexpr const char* kSpec = "spec";
 constexpr const char* kState = "state";
@@ -41,18 +41,18 @@
 
 void pack_ranges(Packer& packer, const Ranges& ranges) {
   const std::vector<uint32_t> lengths = ranges.to_lengths();
-  codec::pack_list(packer, lengths.size());
-  for (const uint32_t length : lengths) packer.pack_uint32(length);
+  codec::pack_list(packer, lengths,
+                   [](Packer& list, uint32_t length) { list.pack_uint32(length); });
 }
 
-bool read_ranges(View value, uint32_t most, Ranges& ranges) {
+bool read_ranges(View value, uint32_t tasks, Ranges& ranges) {
   std::vector<uint32_t> lengths;
   for (size_t i = 0; i < value.size(); ++i) {
     // A number that can't be read is past any limit, and so makes the whole invalid.
     const uint64_t length = value.at(i).count().value_or(UINT32_MAX);
     lengths.push_back(static_cast<uint32_t>(length));
   }
-  return Ranges::from_lengths(lengths, most, ranges);
+  return Ranges::from_lengths(lengths, tasks, ranges);
 }
 
 constexpr uint32_t kRequiredFields = 5;
@@ -65,12 +65,6 @@
   return count;
 }
 
-std::vector<std::string> read_texts(View list) {
-  std::vector<std::string> texts;
-  for (size_t i = 0; i < list.size(); ++i) texts.push_back(list.at(i).text_or(""));
-  return texts;
-}
-
 }  // namespace
 
 std::string encode_job(const JobRecord& record) {
@@ -97,20 +91,18 @@
   const View spec = value[kSpec];
   const View done = value[kDone];
   if (!spec.is_map() || !done.is_list()) return std::nullopt;
-  codec::Fields fields(spec);
-  codec::read_spec(fields, record.spec);
+  Fields spec_fields(spec);
+  codec::read_spec(spec_fields, record.spec);
+  if (!spec_fields.ok()) return std::nullopt;
+  Fields fields(value);
+  record.state = fields.choice(kState, kJobStates);
+  record.started = fields.flag(kStarted);
+  record.submitted_ms = fields.count(kSubmittedAt);
   if (!fields.ok()) return std::nullopt;
-  const auto state = value_of(kJobStates, value[kState]);
-  const auto started = value[kStarted].flag();
-  const auto submitted_ms = value[kSubmittedAt].count();
-  if (!state || !started || !submitted_ms) return std::nullopt;
-  record.state = *state;
-  record.started = *started;
-  record.submitted_ms = *submitted_ms;
   record.ready_ms = value[kReadyAt].count().value_or(0);
   record.ended_ms = value[kEndedAt].count().value_or(0);
   if (const View hosts = value[kHosts]; hosts.is_list()) {
-    record.hosts = read_texts(hosts);
+    record.hosts = codec::read_texts(hosts);
     if (!std::is_sorted(record.hosts->begin(), record.hosts->end())) return std::nullopt;
   }
   if (!read_ranges(done, record.spec.tasks, record.done)) return std::nullopt;
@@ -127,10 +119,12 @@
 }
 
 std::optional<FinishedRecord> decode_finished(View value) {
-  const auto state = value_of(kJobStates, value[kState]);
-  const auto done = value[kDone].count();
-  if (!state || !done) return std::nullopt;
-  return FinishedRecord{*state, static_cast<uint32_t>(*done), value[kEndedAt].count().value_or(0)};
+  Fields fields(value);
+  FinishedRecord record;
+  record.state = fields.choice(kState, kJobStates);
+  record.done = static_cast<uint32_t>(fields.count(kDone));
+  record.ended_ms = fields[kEndedAt].count().value_or(0);
+  return fields.if_ok(record);
 }
 
 std::string encode_host(const HostRecord& host) {
@@ -145,13 +139,14 @@
 }
 
 std::optional<HostRecord> decode_host(View value) {
-  const auto id = value[kId].text();
-  const auto address = value[kAddress].text();
-  const auto type = value[kType].text();
-  const auto zone = value[kZone].text();
-  const auto spot = value[kSpot].flag();
-  if (!id || !address || !type || !zone || !spot) return std::nullopt;
-  return HostRecord{*id, *address, *type, *zone, *spot};
+  Fields fields(value);
+  HostRecord host;
+  host.id = fields.text(kId);
+  host.addr = fields.text(kAddress);
+  host.type = fields.text(kType);
+  host.zone = fields.text(kZone);
+  host.spot = fields.flag(kSpot);
+  return fields.if_ok(std::move(host));
 }
 
 std::string encode_leader(const LeaderRecord& record) {
@@ -165,11 +160,13 @@
 }
 
 std::optional<LeaderRecord> decode_leader(View value) {
-  const auto node = value[kNode].text();
-  const auto nonce = value[kNonce].count();
-  const auto term = value[kTerm].count();
-  if (!node || !nonce || !term) return std::nullopt;
-  return LeaderRecord{*node, *nonce, *term, value[kLease].count().value_or(0)};
+  Fields fields(value);
+  LeaderRecord record;
+  record.node = fields.text(kNode);
+  record.nonce = fields.count(kNonce);
+  record.term = fields.count(kTerm);
+  record.lease = fields[kLease].count().value_or(0);
+  return fields.if_ok(std::move(record));
 }
 
 }  // namespace sumacquay::wire
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -6,10 +6,10 @@
 #include "jobs/record.h"
 #include "wire/view.h"
 
-/// Our own values in the state service. Every controller reads what the others wrote, also of
+/// Our own values in the key-value store. Every controller reads what the others wrote, also of
 /// another version during an upgrade: fields may be added, and none may change its meaning. A value
-/// that can't be read whole decodes as none. The node and the front end write them, the mirror
-/// reads them.
+/// that can't be read whole decodes as none. The node and the front end write them, the record
+/// cache reads them.
 namespace sumacquay::wire {
 
 using sumacquay::FinishedRecord;
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -42,24 +42,19 @@
   if (!list.is_list() || !revision) return std::nullopt;
   page.revision = *revision;
   page.more = root[field::kMore].flag().value_or(false);
-  for (size_t i = 0; i < list.size(); ++i) {
-    auto item = read(list.at(i));
-    if (!item) return std::nullopt;
-    page.items.push_back(std::move(*item));
-  }
+  auto items = codec::read_list(list, read);
+  if (!items) return std::nullopt;
+  page.items = std::move(*items);
   return page;
 }
 
-void pack_preconditions(Packer& packer, const std::vector<Precondition>& preconditions) {
-  pack_text(packer, "guards");
-  pack_list(packer, preconditions.size());
-  for (const auto& precondition : preconditions) {
-    packer.pack_map(2);
-    pack_field(packer, field::kKey, precondition.key);
-    pack_field(packer, field::kVersion, precondition.version);
-  }
+void pack_precondition(Packer& packer, const Precondition& precondition) {
+  packer.pack_map(2);
+  pack_field(packer, field::kKey, precondition.key);
+  pack_field(packer, field::kVersion, precondition.version);
 }
 
+/// `buffer` is the one that the packer packs into.
 void pack_mutation(codec::Buffer& buffer, Packer& packer, const Mutation& mutation) {
   if (mutation.value.empty()) {
     packer.pack_map(1);
@@ -114,10 +109,11 @@
   codec::Buffer buffer;
   Packer packer(buffer);
   packer.pack_map(2);
-  pack_preconditions(packer, preconditions);
+  pack_text(packer, "guards");
+  pack_list(packer, preconditions, pack_precondition);
   pack_text(packer, "apply");
-  pack_list(packer, mutations.size());
-  for (const auto& mutation : mutations) pack_mutation(buffer, packer, mutation);
+  pack_list(packer, mutations,
+            [&](Packer&, const Mutation& mutation) { pack_mutation(buffer, packer, mutation); });
   return {buffer.data(), buffer.size()};
 }
 
@@ -126,12 +122,9 @@
 }
 
 std::vector<std::string> parse_failed(std::string_view body) {
-  std::vector<std::string> keys;
   const auto document = Document::parse(body);
-  if (!document) return keys;
-  const View failed = document->root()["failed"];
-  for (size_t i = 0; i < failed.size(); ++i) keys.push_back(failed.at(i).text_or(""));
-  return keys;
+  if (!document) return {};
+  return codec::read_texts(document->root()["failed"]);
 }
 
 std::string grant_body(uint64_t ttl_ms) {
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -8,9 +8,9 @@
 
 #include "wire/view.h"
 
-/// Requests to the state service and its answers: items, pages, changes, transactions and leases.
-/// What the values hold is not known here (see records.h). The store client, the mirror and the
-/// front end call it.
+/// Requests to the key-value store and its answers: items, pages, changes, compare-and-swap
+/// transactions and leases. What the values hold is not known here (see records.h). The store
+/// client, the record cache and the front end call it.
 namespace sumacquay::wire {
 
 namespace path {
@@ -67,14 +67,14 @@
 /// Reads such changes; none if any of them is invalid. They may be in any order.
 std::optional<StorePage> parse_changes(std::string_view body);
 
-/// A transaction: all changes are made if every guard holds, else none.
+/// A transaction: all mutations are made if every precondition holds, else none.
 std::string transaction_body(const std::vector<Precondition>& preconditions,
                              const std::vector<Mutation>& mutations);
 
 /// Reads the revision at which a transaction was carried out.
 std::optional<uint64_t> parse_revision(std::string_view body);
 
-/// Reads the keys whose guards failed; empty if they can't be read.
+/// Reads the keys whose preconditions failed; empty if they can't be read.
 std::vector<std::string> parse_failed(std::string_view body);
 
 /// Asks for a lease of this length.
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -4,9 +4,9 @@
 #include <utility>
 
 #include "wire/codec.h"
+#include "wire/enum_names.h"
 #include "wire/field_names.h"
 #include "wire/job_spec_codec.h"
-#include "wire/spellings.h"
 
 namespace sumacquay::wire {
 namespace {
@@ -24,8 +24,8 @@
 
 bool valid_job_id(std::string_view id) {
   constexpr std::string_view kPrefix = "job-";
-  constexpr size_t kMostBytes = 64;
-  if (id.size() <= kPrefix.size() || id.size() > kMostBytes) return false;
+  constexpr size_t kMaxBytes = 64;
+  if (id.size() <= kPrefix.size() || id.size() > kMaxBytes) return false;
   if (!id.starts_with(kPrefix)) return false;
   const std::string_view number = id.substr(kPrefix.size());
   return std::all_of(number.begin(), number.end(),
@@ -50,7 +50,7 @@
   return build([&](Packer& packer) {
     packer.pack_map(2);
     pack_field(packer, field::kId, id);
-    pack_field(packer, field::kStage, name_of(enum_names::kUserVisibleStates, state));
+    pack_field(packer, field::kState, name_of(enum_names::kUserVisibleStates, state));
   });
 }
 
@@ -59,7 +59,7 @@
   return build([&](Packer& packer) {
     packer.pack_map(4);
     pack_field(packer, field::kId, id);
-    pack_field(packer, field::kStage, name_of(enum_names::kUserVisibleStates, state));
+    pack_field(packer, field::kState, name_of(enum_names::kUserVisibleStates, state));
     pack_field(packer, "done", uint64_t{done});
     pack_field(packer, "running", uint64_t{running});
   });
--- a/src/wire/view.cpp
+++ b/src/wire/view.cpp
@@ -5,12 +5,12 @@
 namespace sumacquay::wire {
 
 std::shared_ptr<Document> Document::parse(std::string_view bytes) {
-  constexpr size_t kMostDepth = 16;
+  constexpr size_t kMaxDepth = 16;
   auto document = std::make_shared<Document>();
   document->bytes_ = std::string(bytes);
   // A list's or map's header may claim 2^32 members: none can have more than there are bytes.
-  const size_t most = bytes.size();
-  const msgpack::unpack_limit limit(most, most, most, 0, 0, kMostDepth);
+  const size_t max_members = bytes.size();
+  const msgpack::unpack_limit limit(max_members, max_members, max_members, 0, 0, kMaxDepth);
   // Texts stay in `bytes_` instead of being copied.
   const auto refer_to_bytes = [](msgpack::type::object_type, std::size_t, void*) { return true; };
   try {
--- a/src/wire/view.h
+++ b/src/wire/view.h
@@ -26,7 +26,10 @@
     return {};
   }
 
+  /// The number of a list's members; 0 if it isn't a list.
   size_t size() const { return is_list() ? object_->via.array.size : 0; }
+
+  /// The member with this number, which has to be below `size()`.
   View at(size_t i) const { return View(&object_->via.array.ptr[i]); }
 
   /// The decoded value itself, for what looks at all of it whatever it holds; null if there is
@@ -38,8 +41,8 @@
     return std::string_view(object_->via.str.ptr, object_->via.str.size);
   }
   std::optional<std::string> text() const {
-    auto v = text_view();
-    return v ? std::optional<std::string>(std::string(*v)) : std::nullopt;
+    const auto view = text_view();
+    return view ? std::optional<std::string>(std::string(*view)) : std::nullopt;
   }
   std::string text_or(std::string fallback) const { return text().value_or(std::move(fallback)); }
 
@@ -76,7 +79,8 @@
 /// A decoded body. Hostile bytes are bounded by the size of the body and by the depth limit.
 class Document {
  public:
-  static std::shared_ptr<Document> parse(std::string_view bytes);
+  /// Null if the bytes are not one whole MessagePack value or are nested too deep.
+  [[nodiscard]] static std::shared_ptr<Document> parse(std::string_view bytes);
   View root() const { return View(&handle_.get()); }
 
  private:
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -5,8 +5,8 @@
 #include <utility>
 
 #include "wire/codec.h"
+#include "wire/enum_names.h"
 #include "wire/field_names.h"
-#include "wire/spellings.h"
 
 namespace sumacquay::wire {
 namespace {
@@ -17,9 +17,9 @@
 using codec::Packer;
 using codec::value_of;
 
-constexpr size_t kMostNameBytes = 150;
+constexpr size_t kMaxNameBytes = 150;
 
-/// Whether a name can stand in a key of the state service: printable and without spaces.
+/// Whether a name can stand in a key of the store: printable and without spaces.
 bool safe_in_keys(std::string_view name) {
   return std::all_of(name.begin(), name.end(),
                      [](unsigned char byte) { return byte > 32 && byte < 127; });
@@ -30,7 +30,7 @@
   return key.job + "/" + std::to_string(key.task);
 }
 
-std::optional<TaskKey> parse_task_name(View value) {
+std::optional<TaskKey> read_task_name(View value) {
   const auto name = value.text_view();
   if (!name) return std::nullopt;
   const auto slash = name->rfind('/');
@@ -43,39 +43,37 @@
 }
 
 /// A cause that is missing or unknown counts as an error of a task that has exited.
-ExitCause parse_exit_cause(View task, TaskState state) {
+ExitCause read_exit_cause(View task, TaskState state) {
   const auto cause = value_of(enum_names::kExitCauses, task["cause"]);
   if (cause) return *cause;
   return state == TaskState::Exited ? ExitCause::Error : ExitCause::None;
 }
 
-std::optional<TaskStatus> parse_task(View task) {
-  const auto key = parse_task_name(task[field::kTask]);
+std::optional<TaskStatus> read_task(View task) {
+  const auto key = read_task_name(task[field::kTask]);
   const auto attempt = task[field::kAttempt].count();
-  const auto state = value_of(enum_names::kTaskStates, task[field::kStage]);
+  const auto state = value_of(enum_names::kTaskStates, task[field::kState]);
   if (!key || !attempt || !state) return std::nullopt;
-  return TaskStatus{*key, *attempt, *state, parse_exit_cause(task, *state)};
+  return TaskStatus{*key, *attempt, *state, read_exit_cause(task, *state)};
 }
 
 std::optional<WorkerHeartbeat> read_worker_heartbeat(View root) {
   Fields fields(root);
   WorkerHeartbeat heartbeat;
-  heartbeat.machine = fields.text(field::kMachine, 1, kMostNameBytes);
-  heartbeat.addr = fields.text(field::kAddress, 1, kMostNameBytes);
-  heartbeat.type = fields.text(field::kType, 0, kMostNameBytes);
-  heartbeat.zone = fields.text(field::kZone, 0, kMostNameBytes);
+  heartbeat.machine = fields.text(field::kMachine, 1, kMaxNameBytes);
+  heartbeat.addr = fields.text(field::kAddress, 1, kMaxNameBytes);
+  heartbeat.type = fields.text(field::kType, 0, kMaxNameBytes);
+  heartbeat.zone = fields.text(field::kZone, 0, kMaxNameBytes);
   heartbeat.spot = fields.flag(field::kSpot);
-  heartbeat.agent_epoch = fields.count(field::kAgentEpoch, 0, UINT64_MAX);
-  heartbeat.sequence_number = fields.count("tally", 0, UINT64_MAX);
-  heartbeat.fencing_token = fields.count(field::kFencingToken, 0, UINT64_MAX);
+  heartbeat.agent_epoch = fields.count(field::kAgentEpoch);
+  heartbeat.sequence_number = fields.count("tally");
+  heartbeat.fencing_token = fields.count(field::kFencingToken);
   heartbeat.preemption_notice_s = root["warning_s"].number();
   const View tasks = root[field::kTasks];
   if (!fields.ok() || !tasks.is_list() || !safe_in_keys(heartbeat.machine)) return std::nullopt;
-  for (size_t i = 0; i < tasks.size(); ++i) {
-    auto task = parse_task(tasks.at(i));
-    if (!task) return std::nullopt;
-    heartbeat.tasks.push_back(std::move(*task));
-  }
+  auto statuses = codec::read_list(tasks, read_task);
+  if (!statuses) return std::nullopt;
+  heartbeat.tasks = std::move(*statuses);
   return heartbeat;
 }
 
@@ -90,8 +88,7 @@
 
 void pack_commands(Packer& packer, const std::vector<Command>& commands) {
   codec::pack_text(packer, "orders");
-  codec::pack_list(packer, commands.size());
-  for (const auto& command : commands) pack_command(packer, command);
+  codec::pack_list(packer, commands, pack_command);
 }
 
 }  // namespace
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -7,9 +7,9 @@
 
 #include "fleet/worker_heartbeat.h"
 
-/// What workers and controllers say to one another. Workers report to a controller, and its answer
-/// carries commands; the leader also sends commands of its own accord, as commands, which a worker
-/// answers with a heartbeat. The node calls it.
+/// Messages between workers and controllers. A worker sends heartbeats with its status to a
+/// controller, whose answer carries commands. The leader also sends commands of its own accord,
+/// which a worker answers with a heartbeat. The node calls it; what to command is not decided here.
 namespace sumacquay::wire {
 
 namespace path {
