--- /dev/null
+++ b/src/placement/bin_packing.cpp
@@ -0,0 +1,157 @@
+#include "placement/bin_packing.h"
+
+#include <algorithm>
+#include <compare>
+#include <functional>
+#include <utility>
+
+#include "placement/eligibility.h"
+
+namespace sumacquay {
+namespace {
+
+/// How well a machine suits a task, by the first field in which two machines differ; smaller is
+/// better. The fullest machine is the best, GPUs first. A task without GPUs keeps off machines that
+/// have some as long as others fit, since what is available beside idle GPUs is what GPU tasks
+/// need.
+struct CandidateRank {
+  bool wastes_gpus = false;             ///< the task needs no GPUs and the machine has some
+  bool must_fetch_large_image = false;  ///< the image is missing and costs more than packing gains
+  double capacity_gpus = 0;
+  bool must_fetch_image = false;
+  double available_gpus = 0;
+  double available_cpus = 0;
+  double available_memory_gb = 0;
+
+  auto operator<=>(const CandidateRank&) const = default;
+};
+
+struct RankedCandidate {
+  CandidateRank rank;
+  size_t candidate = 0;
+
+  auto operator<=>(const RankedCandidate&) const = default;
+};
+
+CandidateRank rank_of(const CandidateMachine& candidate,
+                      const PlacementRequest& placement_request) {
+  const bool has_image = placement_request.has_image && placement_request.has_image(candidate);
+  CandidateRank rank;
+  rank.wastes_gpus = placement_request.spec->request.gpus == 0 && candidate.capacity.gpus > 0;
+  rank.must_fetch_large_image = placement_request.image_first && !has_image;
+  rank.capacity_gpus = candidate.capacity.gpus;
+  rank.must_fetch_image = !has_image;
+  rank.available_gpus = candidate.available.gpus;
+  rank.available_cpus = candidate.available.cpus;
+  rank.available_memory_gb = candidate.available.memory_gb;
+  return rank;
+}
+
+/// The machines that the tasks fit on, handed out best first. A heap costs no more than the
+/// machines that are used: of thousands that fit, a job needs a few.
+class CandidateQueue {
+ public:
+  CandidateQueue(const PlacementRequest& placement_request,
+                 const std::vector<CandidateMachine>& candidates, const TasksPerZone& zones) {
+    for (size_t i = 0; i < candidates.size(); ++i)
+      if (candidates[i].fits(placement_request.spec->request) &&
+          eligible(candidates[i], placement_request, zones))
+        heap_.push_back({rank_of(candidates[i], placement_request), i});
+    std::make_heap(heap_.begin(), heap_.end(), std::greater<>());
+  }
+
+  bool empty() const { return heap_.empty(); }
+
+  /// The index of the best machine that is left.
+  size_t pop() {
+    std::pop_heap(heap_.begin(), heap_.end(), std::greater<>());
+    const size_t best = heap_.back().candidate;
+    heap_.pop_back();
+    return best;
+  }
+
+ private:
+  std::vector<RankedCandidate> heap_;
+};
+
+void release(const PlacementRequest& placement_request, std::vector<CandidateMachine>& candidates,
+             const std::vector<Assignment>& assignments) {
+  for (const auto& assignment : assignments)
+    candidates[assignment.candidate].available += placement_request.spec->request;
+}
+
+/// A gang in one zone may fit in another zone than the one the fullest machine is in.
+std::vector<Assignment> pack_gang_in_some_zone(const PlacementRequest& placement_request,
+                                               std::vector<CandidateMachine>& candidates) {
+  std::vector<std::string> zones;
+  append_zones(zones, candidates);
+  for (const auto& zone : zones) {
+    if (!allowed_zone(*placement_request.spec, zone)) continue;
+    auto assignments = pack_partially_in_zone(zone, placement_request, candidates);
+    if (assignments.size() == placement_request.tasks.size()) return assignments;
+    release(placement_request, candidates, assignments);
+  }
+  return {};
+}
+
+}  // namespace
+
+std::vector<Assignment> bin_pack(const PlacementRequest& placement_request,
+                                 std::vector<CandidateMachine>& candidates) {
+  auto assignments = pack_partially(placement_request, candidates);
+  const bool whole = assignments.size() == placement_request.tasks.size();
+  if (placement_request.spec->kind != JobKind::Gang || whole) return assignments;
+  release(placement_request, candidates, assignments);
+  if (!placement_request.spec->one_zone) return {};
+  return pack_gang_in_some_zone(placement_request, candidates);
+}
+
+/// The best machine stays the best while tasks of the same job are put on it, since each makes it
+/// fuller, and one that they no longer fit on, or whose zone is full, stays so. Ranking once is
+/// therefore the same as looking for the best machine again for each task, at a fraction of the
+/// cost.
+std::vector<Assignment> pack_partially(const PlacementRequest& placement_request,
+                                       std::vector<CandidateMachine>& candidates) {
+  const JobSpec& spec = *placement_request.spec;
+  TasksPerZone zones = placement_request.zones;
+  CandidateQueue queue(placement_request, candidates, zones);
+  std::vector<Assignment> assignments;
+  auto task = placement_request.tasks.begin();
+  while (task != placement_request.tasks.end() && !queue.empty()) {
+    const size_t index = queue.pop();
+    CandidateMachine& candidate = candidates[index];
+    while (task != placement_request.tasks.end() && candidate.fits(spec.request) &&
+           zone_has_room(spec, zones, candidate.zone)) {
+      candidate.available -= spec.request;
+      ++zones[candidate.zone];
+      assignments.push_back({*task++, index});
+    }
+  }
+  return assignments;
+}
+
+std::vector<Assignment> pack_partially_in_zone(const std::string& zone,
+                                               const PlacementRequest& placement_request,
+                                               std::vector<CandidateMachine>& candidates) {
+  JobSpec pinned = *placement_request.spec;
+  pinned.zone = zone;
+  PlacementRequest in_zone = placement_request;
+  in_zone.spec = &pinned;
+  return pack_partially(in_zone, candidates);
+}
+
+size_t count_fitting_in_zone(const std::string& zone, const PlacementRequest& placement_request,
+                             std::vector<CandidateMachine>& candidates) {
+  const auto assignments = pack_partially_in_zone(zone, placement_request, candidates);
+  release(placement_request, candidates, assignments);
+  return assignments.size();
+}
+
+void append_zones(std::vector<std::string>& zones,
+                  const std::vector<CandidateMachine>& candidates) {
+  for (const auto& candidate : candidates)
+    if (std::find(zones.begin(), zones.end(), candidate.zone) == zones.end())
+      zones.push_back(candidate.zone);
+}
+
+}  // namespace sumacquay
--- /dev/null
+++ b/src/placement/preemption.cpp
@@ -0,0 +1,164 @@
+#include "placement/preemption.h"
+
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
+#include "placement/eligibility.h"
+
+namespace sumacquay {
+namespace {
+
+/// Whether the victim is work that another team runs beyond its fair share, and the request is
+/// within its own team's. Higher priority is left alone: it would be placed before the request in
+/// the next round, and stop it.
+bool yields_to_fair_share(const PlacementRequest& placement_request, const Victim& victim) {
+  return placement_request.within_fair_share && victim.beyond_fair_share &&
+         victim.team != placement_request.spec->team &&
+         victim.priority <= placement_request.priority();
+}
+
+/// Whether the request may stop the victim: it has lower priority or is beyond its team's fair
+/// share. A gang, which stops on all its machines, is stopped only for a task that takes a good
+/// part of one of them.
+bool may_stop(const PlacementRequest& placement_request, const Victim& victim) {
+  constexpr double kMinGangShare = 0.4;
+  const JobSpec& spec = *placement_request.spec;
+  if (victim.stopped) return false;
+  if (victim.priority >= placement_request.priority() &&
+      !yields_to_fair_share(placement_request, victim))
+    return false;
+  if (!victim.gang) return true;
+  const bool by_gpus = victim.request.gpus > 0;
+  return by_gpus ? spec.request.gpus >= kMinGangShare * victim.request.gpus
+                 : spec.request.cpus >= kMinGangShare * victim.request.cpus;
+}
+
+/// In seconds of lost progress. One class of priority counts as much as a thousand of them.
+double cost_of(const Victim& victim) {
+  return 1 + victim.loss_s + 1000.0 * static_cast<int>(victim.priority);
+}
+
+/// What is stopped on one machine, and what that costs.
+struct PreemptionPlan {
+  Preemption preemption;
+  double cost = 0;
+};
+
+/// The search for one task, machine by machine.
+class PreemptionSearch {
+ public:
+  PreemptionSearch(const PlacementRequest& placement_request, const std::vector<Victim>& victims,
+                   const RunningResources& running)
+      : placement_request_(placement_request),
+        request_(placement_request.spec->request),
+        victims_(victims),
+        running_(running) {}
+
+  /// The victims that the request may stop, by the machine they run on.
+  std::vector<std::vector<size_t>> victims_per_candidate(size_t candidates) const {
+    std::vector<std::vector<size_t>> per_candidate(candidates);
+    for (size_t victim = 0; victim < victims_.size(); ++victim)
+      if (may_stop(placement_request_, victims_[victim]))
+        per_candidate[victims_[victim].candidate].push_back(victim);
+    return per_candidate;
+  }
+
+  /// What to stop on the machine with this index; none if that does not make the task fit.
+  /// `stoppable` are the victims there.
+  std::optional<PreemptionPlan> plan(size_t index, const CandidateMachine& candidate,
+                                     std::vector<size_t>& stoppable) const {
+    Resources open = candidate.available;
+    open += candidate.releasing;
+    // What follows costs more, and the search ends here on most machines.
+    if (!fits_without_all(stoppable, open) ||
+        !eligible(candidate, placement_request_, placement_request_.zones))
+      return std::nullopt;
+    if (request_.fits_in(open)) return PreemptionPlan{{index, {}, true}, 0};
+    sort_by_cost(stoppable);
+    return choose_victims(index, stoppable, open);
+  }
+
+ private:
+  bool fits_without_all(const std::vector<size_t>& stoppable, Resources open) const {
+    for (const size_t victim : stoppable) open += victims_[victim].request;
+    return request_.fits_in(open);
+  }
+
+  void sort_by_cost(std::vector<size_t>& stoppable) const {
+    std::sort(stoppable.begin(), stoppable.end(), [&](size_t left, size_t right) {
+      return std::tie(victims_[left].priority, victims_[left].loss_s) <
+             std::tie(victims_[right].priority, victims_[right].loss_s);
+    });
+  }
+
+  /// Adds victims, the cheapest first, until the task fits.
+  std::optional<PreemptionPlan> choose_victims(size_t index, const std::vector<size_t>& stoppable,
+                                               Resources open) const {
+    PreemptionPlan plan{{index, {}, false}, 0};
+    std::vector<size_t>& chosen = plan.preemption.victims;
+    for (const size_t victim : stoppable) {
+      if (request_.fits_in(open)) break;
+      if (victims_[victim].priority >= placement_request_.priority() &&
+          !team_keeps_fair_share(victims_[victim], chosen))
+        continue;
+      open += victims_[victim].request;
+      plan.cost += cost_of(victims_[victim]);
+      chosen.push_back(victim);
+    }
+    if (!request_.fits_in(open)) return std::nullopt;
+    if (placement_request_.within_fair_share) plan.cost -= drop_unneeded_victims(chosen, open);
+    return plan;
+  }
+
+  /// Whether the victim's team keeps its fair share if it loses this one beside those chosen
+  /// already.
+  bool team_keeps_fair_share(const Victim& victim, const std::vector<size_t>& chosen) const {
+    Resources lost = victim.stops;
+    for (const size_t other : chosen)
+      if (victims_[other].team == victim.team) lost += victims_[other].stops;
+    return running_.keeps_fair_share_without(victim.team, lost);
+  }
+
+  /// Leaves out, the most costly first, victims without which the task fits all the same: a large
+  /// one that was added last may make small ones needless. Returns what they would have cost.
+  double drop_unneeded_victims(std::vector<size_t>& chosen, Resources open) const {
+    double saved = 0;
+    for (size_t i = chosen.size(); i-- > 0;) {
+      const Victim& victim = victims_[chosen[i]];
+      Resources without = open;
+      without -= victim.request;
+      if (!request_.fits_in(without)) continue;
+      open = without;
+      saved += cost_of(victim);
+      chosen.erase(chosen.begin() + static_cast<std::ptrdiff_t>(i));
+    }
+    return saved;
+  }
+
+  const PlacementRequest& placement_request_;
+  const Resources& request_;
+  const std::vector<Victim>& victims_;
+  const RunningResources& running_;
+};
+
+}  // namespace
+
+std::optional<Preemption> preempt(const PlacementRequest& placement_request,
+                                  const std::vector<CandidateMachine>& candidates,
+                                  const std::vector<Victim>& victims,
+                                  const RunningResources& running) {
+  const PreemptionSearch search(placement_request, victims, running);
+  auto stoppable = search.victims_per_candidate(candidates.size());
+  std::optional<PreemptionPlan> best;
+  for (size_t i = 0; i < candidates.size(); ++i) {
+    auto plan = search.plan(i, candidates[i], stoppable[i]);
+    if (!plan) continue;
+    if (plan->preemption.already_releasing) return std::move(plan->preemption);
+    if (!best || plan->cost < best->cost) best = std::move(plan);
+  }
+  if (!best) return std::nullopt;
+  return std::move(best->preemption);
+}
+
+}  // namespace sumacquay
