--- a/src/autoscaling/scale_out_planner.cpp
+++ b/src/autoscaling/scale_out_planner.cpp
@@ -2,64 +2,68 @@
 
 #include <algorithm>
 #include <cmath>
+#include <compare>
 #include <set>
 
 namespace sumacquay {
 namespace {
 
-double part(double request, double capacity) {
+double share(double request, double capacity) {
   return capacity > 0 ? request / capacity : 0;
 }
 
-/// The largest part of the machine that one task takes of any resource.
-double dominant(const Resources& request, const Resources& capacity) {
-  return std::max({part(request.cpus, capacity.cpus), part(request.gpus, capacity.gpus),
-                   part(request.memory_gb, capacity.memory_gb), 1e-6});
+/// The largest share of the machine that one task takes of any resource.
+double dominant_share(const Resources& request, const Resources& capacity) {
+  return std::max({share(request.cpus, capacity.cpus), share(request.gpus, capacity.gpus),
+                   share(request.memory_gb, capacity.memory_gb), 1e-6});
 }
 
-/// What renting this for `tasks` costs: the part that they use, half of the part that they leave
-/// (others may use it), and the wait for boot and image on top.
+/// What it costs to scale out by this offering for `tasks` tasks: the part of the machines that the
+/// tasks use, half of the part that they leave (others may use it), and the time to boot and to
+/// fetch the image on top.
 double cost(const InstanceOffering& offering, const JobSpec& spec, size_t tasks) {
-  const auto desired_running = static_cast<double>(tasks);
-  const double each = dominant(spec.request, offering.type->capacity);
-  const double per_machine = std::max(1.0, std::floor(1 / each + 1e-9));
-  const double machines = std::ceil(desired_running / per_machine);
-  const double used = std::min(machines, desired_running * each);
-  const double fetch = spec.image_gb / std::max(offering.type->fetch_gb_per_s, 1e-3);
-  constexpr double kWaitScale = 120;  // seconds of waiting that count like the price itself
+  constexpr double kWaitScaleSeconds = 120;  // so long a wait counts like the price itself
+  const auto task_count = static_cast<double>(tasks);
+  const double per_task = dominant_share(spec.request, offering.type->capacity);
+  const double tasks_per_machine = std::max(1.0, std::floor(1 / per_task + 1e-9));
+  const double machines = std::ceil(task_count / tasks_per_machine);
+  const double used = std::min(machines, task_count * per_task);
+  const double fetch_s = spec.image_gb / std::max(offering.type->fetch_gb_per_s, 1e-3);
   return offering.price * (0.5 * used + 0.5 * machines) *
-         (1 + (offering.type->boot_s + fetch) / kWaitScale);
+         (1 + (offering.type->boot_s + fetch_s) / kWaitScaleSeconds);
 }
 
 CandidateMachine new_candidate(const InstanceOffering& offering) {
-  CandidateMachine s;
-  s.type = offering.type->name;
-  s.zone = offering.zone;
-  s.spot = offering.spot;
-  s.capacity = s.available = offering.type->capacity;
-  return s;
+  CandidateMachine candidate;
+  candidate.type = offering.type->name;
+  candidate.zone = offering.zone;
+  candidate.spot = offering.spot;
+  candidate.capacity = candidate.available = offering.type->capacity;
+  return candidate;
 }
 
+/// Whether a new machine of the offering has room for one task, whatever the kind of job.
 bool one_task_fits(const PlacementRequest& placement_request, const InstanceOffering& offering) {
-  std::vector<CandidateMachine> one{new_candidate(offering)};
+  std::vector<CandidateMachine> new_machine{new_candidate(offering)};
   PlacementRequest probe = placement_request;
   JobSpec spec = *placement_request.spec;
   spec.kind = JobKind::Service;
   probe.spec = &spec;
   probe.tasks.resize(1);
-  return !bin_pack(probe, one).empty();
+  return !bin_pack(probe, new_machine).empty();
 }
 
 void remove_placed(PlacementRequest& placement_request, const std::vector<Assignment>& assignments,
                    const std::vector<CandidateMachine>& candidates) {
-  std::set<uint32_t> gone;
-  for (const auto& p : assignments) {
-    gone.insert(p.task);
-    ++placement_request.zones[candidates[p.candidate].zone];
+  std::set<uint32_t> placed;
+  for (const auto& assignment : assignments) {
+    placed.insert(assignment.task);
+    ++placement_request.zones[candidates[assignment.candidate].zone];
   }
-  std::erase_if(placement_request.tasks, [&](uint32_t t) { return gone.contains(t); });
+  std::erase_if(placement_request.tasks, [&](uint32_t task) { return placed.contains(task); });
 }
 
+/// The offering at the lowest cost for the tasks, the first of equals; null if none will do.
 const InstanceOffering* cheapest(const PlacementRequest& placement_request,
                                  const std::vector<InstanceOffering>& offerings) {
   const InstanceOffering* best = nullptr;
@@ -69,40 +73,76 @@
         !allowed(*placement_request.spec, offering.type->name, offering.zone, offering.spot))
       continue;
     if (!one_task_fits(placement_request, offering)) continue;
-    const double c = cost(offering, *placement_request.spec, placement_request.tasks.size());
-    if (!best || c < best_cost) best = &offering, best_cost = c;
+    const double offering_cost =
+        cost(offering, *placement_request.spec, placement_request.tasks.size());
+    if (best && offering_cost >= best_cost) continue;
+    best = &offering;
+    best_cost = offering_cost;
   }
   return best;
 }
 
+/// A kind of machine, in the order in which scale-out requests are listed.
+struct InstanceKind {
+  std::string type;
+  std::string zone;
+  bool spot = false;
+  auto operator<=>(const InstanceKind&) const = default;
+};
+
+/// Collects the machines to add, up to a limit.
+class ScaleOutPlan {
+ public:
+  ScaleOutPlan(std::vector<CandidateMachine>& booting,
+               const std::vector<InstanceOffering>& offerings, int max_machines)
+      : booting_(booting), offerings_(offerings), max_machines_(max_machines) {}
+
+  /// Adds machines until the tasks fit. A gang needs all its tasks to fit at once, so machines are
+  /// added until it fits whole.
+  void add_machines_for(PlacementRequest& placement_request) {
+    const size_t booting_before = booting_.size();
+    for (;;) {
+      remove_placed(placement_request, bin_pack(placement_request, booting_), booting_);
+      if (placement_request.tasks.empty() || machines_ >= max_machines_ ||
+          booting_.size() - booting_before > placement_request.tasks.size())
+        return;
+      const InstanceOffering* offering = cheapest(placement_request, offerings_);
+      if (!offering) return;
+      add_machine(*offering);
+    }
+  }
+
+  std::vector<ScaleOutRequest> requests() const {
+    std::vector<ScaleOutRequest> requests;
+    requests.reserve(counts_.size());
+    for (const auto& [kind, count] : counts_)
+      requests.push_back({kind.type, kind.zone, kind.spot, count});
+    return requests;
+  }
+
+ private:
+  void add_machine(const InstanceOffering& offering) {
+    booting_.push_back(new_candidate(offering));
+    ++counts_[{offering.type->name, offering.zone, offering.spot}];
+    ++machines_;
+  }
+
+  std::vector<CandidateMachine>& booting_;
+  const std::vector<InstanceOffering>& offerings_;
+  int max_machines_;
+  int machines_ = 0;
+  std::map<InstanceKind, int> counts_;
+};
+
 }  // namespace
 
 std::vector<ScaleOutRequest> plan_scale_out(std::vector<PlacementRequest> unplaced,
                                             std::vector<CandidateMachine>& booting,
                                             const std::vector<InstanceOffering>& offerings,
-                                            int most) {
-  std::map<std::tuple<std::string, std::string, bool>, int> counts;
-  int rented = 0;
-  for (auto& placement_request : unplaced) {
-    const size_t before = booting.size();
-    // A gang needs room for all its tasks at once, so machines are added until it fits whole.
-    for (;;) {
-      remove_placed(placement_request, bin_pack(placement_request, booting), booting);
-      if (placement_request.tasks.empty() || rented >= most ||
-          booting.size() - before > placement_request.tasks.size())
-        break;
-      const InstanceOffering* offering = cheapest(placement_request, offerings);
-      if (!offering) break;
-      booting.push_back(new_candidate(*offering));
-      ++counts[{offering->type->name, offering->zone, offering->spot}];
-      ++rented;
-    }
-  }
-  std::vector<ScaleOutRequest> out;
-  out.reserve(counts.size());
-  for (const auto& [key, n] : counts)
-    out.push_back({std::get<0>(key), std::get<1>(key), std::get<2>(key), n});
-  return out;
+                                            int max_machines) {
+  ScaleOutPlan plan(booting, offerings, max_machines);
+  for (auto& placement_request : unplaced) plan.add_machines_for(placement_request);
+  return plan.requests();
 }
 
 }  // namespace sumacquay
--- a/src/backlog/pending_queue.cpp
+++ b/src/backlog/pending_queue.cpp
@@ -5,11 +5,11 @@
 namespace sumacquay {
 
 void PendingQueue::put(const std::string& name, size_t priority) {
-  const auto known = places_.find(name);
-  if (known != places_.end()) {
-    if (known->second.priority == priority) return;
-    names_[known->second.priority].erase(known->second.at);
-    places_.erase(known);
+  const auto queued = places_.find(name);
+  if (queued != places_.end()) {
+    if (queued->second.priority == priority) return;
+    names_[queued->second.priority].erase(queued->second.position);
+    places_.erase(queued);
   }
   Names& names = names_[priority];
   names.push_back(name);
@@ -17,8 +17,8 @@
 }
 
 std::optional<std::string> PendingQueue::pop() {
-  auto* const names =
-      std::find_if(names_.begin(), names_.end(), [](const Names& n) { return !n.empty(); });
+  auto* const names = std::find_if(names_.begin(), names_.end(),
+                                   [](const Names& waiting) { return !waiting.empty(); });
   if (names == names_.end()) return std::nullopt;
   std::string name = std::move(names->front());
   names->pop_front();
--- a/src/backlog/pending_queue.h
+++ b/src/backlog/pending_queue.h
@@ -6,18 +6,19 @@
 #include <string>
 #include <unordered_map>
 
+/// The queue that the dispatch backlog is made of. It knows nothing of what its names stand for.
 namespace sumacquay {
 
-/// Names that wait for something to be done about them, each once. They leave by urgency, the most
-/// urgent first, and within one urgency in the order in which they came.
+/// A queue of names with priorities, each name once. They leave by priority, and within one
+/// priority in the order in which they came.
 class PendingQueue {
  public:
   static constexpr size_t kPriorities = 4;
 
-  /// Puts a name in; `priority`: 0 is the most urgent. One that waits already keeps its place,
-  /// unless its urgency is another now.
+  /// Adds a name. `priority` is below kPriorities, and 0 is the most urgent. A name that is queued
+  /// already keeps its place, unless it had another priority.
   void put(const std::string& name, size_t priority = 0);
-  /// Takes the next name out; none: the queue is empty.
+  /// Removes and returns the next name; none: the queue is empty.
   std::optional<std::string> pop();
   bool empty() const { return places_.empty(); }
   size_t size() const { return places_.size(); }
@@ -26,7 +27,7 @@
   using Names = std::list<std::string>;
   struct Place {
     size_t priority = 0;
-    Names::iterator at;
+    Names::iterator position;
   };
 
   std::array<Names, kPriorities> names_;
--- a/src/config/number_file.cpp
+++ b/src/config/number_file.cpp
@@ -13,17 +13,17 @@
 
 using Parser = std::unique_ptr<cfg_t, decltype(&cfg_free)>;
 
-/// libconfuse hands its complaint to a callback without a place for data of ours.
-std::string& parser_complaint() {
+/// libconfuse passes its error message to a callback that has no place for data of ours.
+std::string& parser_error() {
   static std::string text;
   return text;
 }
 
-void take_complaint(cfg_t* parser, const char* format, va_list arguments) {
+void record_parser_error(cfg_t* parser, const char* format, va_list arguments) {
   std::array<char, 300> text{};
   vsnprintf(text.data(), text.size(), format, arguments);
   const int line = parser ? parser->line : 0;
-  parser_complaint() = "line " + std::to_string(line) + ": " + text.data();
+  parser_error() = "line " + std::to_string(line) + ": " + text.data();
 }
 
 /// The options as the library wants them: the list ends with an empty one.
@@ -37,10 +37,10 @@
 }
 
 void parse_into(const Parser& parser, const std::string& text, const std::string& source) {
-  parser_complaint() = "not a list of settings";
-  cfg_set_error_function(parser.get(), take_complaint);
+  parser_error() = "not a list of settings";
+  cfg_set_error_function(parser.get(), record_parser_error);
   if (cfg_parse_buf(parser.get(), text.c_str()) == CFG_SUCCESS) return;
-  throw SettingsError(source + ": " + parser_complaint());
+  throw SettingsError(source + ": " + parser_error());
 }
 
 }  // namespace
--- a/src/config/number_file.h
+++ b/src/config/number_file.h
@@ -10,9 +10,9 @@
 /// A number that a file may set.
 struct NumberField {
   const char* name;
-  double* value;  ///< holds the default, and afterwards what the file says
+  double* value;  ///< the default; replaced if the file sets the field
   SettingRange range;
-  bool whole = false;  ///< it counts something
+  bool whole = false;  ///< only whole numbers will do
 };
 
 /// Reads the fields; throws SettingsError for an unknown one, and for a value out of its range.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 // What a sensible file can hold; anything else is taken for a mistake.
-constexpr double kMostSeconds = 36000;
-constexpr double kMostAmount = 1e9;
-constexpr SettingRange kAnyAmount{0, kMostAmount};
-constexpr SettingRange kAnySpan{0, kMostSeconds};
+constexpr double kMaxSeconds = 36000;
+constexpr double kMaxAmount = 1e9;
+constexpr SettingRange kAnyAmount{0, kMaxAmount};
+constexpr SettingRange kAnySpan{0, kMaxSeconds};
 constexpr SettingRange kShareRange{0, 1};
 constexpr SettingRange kHeartbeatPeriodRange{0.01, 3600};
-constexpr SettingRange kLeaseRange{0.1, kMostSeconds};
-constexpr SettingRange kStateRateRange{1, kMostAmount};
-constexpr SettingRange kCloudRateRange{0.01, kMostAmount};
+constexpr SettingRange kLeaseRange{0.1, kMaxSeconds};
+constexpr SettingRange kStateRateRange{1, kMaxAmount};
+constexpr SettingRange kCloudRateRange{0.01, kMaxAmount};
 constexpr SettingRange kValueSizeRange{1, 1e6};
 constexpr SettingRange kTransactionOpsRange{2, 1e6};
-constexpr SettingRange kSocketsRange{1, kMostAmount};  ///< the least depends on the peers
+constexpr SettingRange kSocketsRange{1, kMaxAmount};  ///< the least depends on the peers
 
 toml::table parse_toml(const std::string& text, const std::string& source) {
   try {
@@ -77,8 +77,8 @@
   return to_come ? std::min(limit, to_come->number_or(name, limit, range)) : limit;
 }
 
-/// The service lowers its limits without notice, so everything written keeps to both from the
-/// start.
+/// The key-value store lowers its limits without notice, so everything written keeps to both from
+/// the start.
 void read_state_limits(const TomlTable& state, Settings& settings) {
   const std::optional<TomlTable> to_come = state.optional_child("next");
   settings.state_rps = stricter(state, to_come, "rps", kStateRateRange);
@@ -114,22 +114,22 @@
 }
 
 double Settings::answers_s() const {
-  // Both clocks may drift; a little is added for what the arithmetic leaves out.
+  // Both clocks may drift; the slack, in seconds, is for what the arithmetic leaves out.
   constexpr double kDrift = 0.002;
   constexpr double kSlack = 0.3;
-  // Where a cancellation leaves less than a leader's lease, nothing could hold its time anyway.
-  const double least = leader_lease_s();
-  return std::max(least,
+  // Where a cancellation has less time than a leader's lease, no setting could make it succeed.
+  const double min_answers_s = leader_lease_s();
+  return std::max(min_answers_s,
                   tuning.grace * (cancel_s * (1 - kDrift) - lease_s * (1 + kDrift) - kSlack));
 }
 
 bool Settings::finds_delegated_responder(const std::string& of_zone) const {
   // The protocol's: a worker waits 4 s for an answer and turns to the next node 1 s later.
-  constexpr double kEachNode = 4 + 1;
+  constexpr double kSecondsPerNode = 4 + 1;
   size_t elsewhere = zone == of_zone ? 0 : 1;
   for (const auto& peer : peers)
     if (peer.zone != of_zone) ++elsewhere;
-  return static_cast<double>(elsewhere) * kEachNode + 1.25 * heartbeat_period_s <= lease_s;
+  return static_cast<double>(elsewhere) * kSecondsPerNode + 1.25 * heartbeat_period_s <= lease_s;
 }
 
 Settings parse_settings(const std::string& toml_text, const std::string& source) {
--- a/src/config/settings_error.cpp
+++ b/src/config/settings_error.cpp
@@ -12,19 +12,19 @@
 
 void check_range(const std::string& source, const std::string& field, double value,
                  SettingRange range) {
-  if (std::isfinite(value) && value >= range.least && value <= range.most) return;
+  if (std::isfinite(value) && value >= range.min && value <= range.max) return;
   std::ostringstream why;
-  why << "must be from " << range.least << " to " << range.most;
+  why << "must be from " << range.min << " to " << range.max;
   refuse_setting(source, field, why.str());
 }
 
 std::string read_settings_file(const std::string& path) {
-  std::ifstream in(path, std::ios::binary);
-  if (!in) throw SettingsError(path + ": can't be read");
-  std::ostringstream out;
-  out << in.rdbuf();
-  if (in.bad()) throw SettingsError(path + ": can't be read");
-  return out.str();
+  std::ifstream file(path, std::ios::binary);
+  if (!file) throw SettingsError(path + ": can't be read");
+  std::ostringstream content;
+  content << file.rdbuf();
+  if (file.bad()) throw SettingsError(path + ": can't be read");
+  return content.str();
 }
 
 }  // namespace sumacquay
--- a/src/config/settings_error.h
+++ b/src/config/settings_error.h
@@ -2,7 +2,8 @@
 #include <stdexcept>
 #include <string>
 
-/// How a settings file is refused. The readers of both files share it.
+/// How a settings file is refused. The readers of both files share it; the program prints the error
+/// and does not start.
 namespace sumacquay {
 
 /// A settings file that can't be used; what() is one line that names the field.
@@ -12,8 +13,8 @@
 
 /// The values that a number may have, both ends included.
 struct SettingRange {
-  double least;
-  double most;
+  double min;
+  double max;
 };
 
 /// Throws the error of a field. `source` names the file.
--- a/src/config/socket_budget.cpp
+++ b/src/config/socket_budget.cpp
@@ -7,26 +7,26 @@
 namespace sumacquay {
 namespace {
 
-/// The part of all sockets that commands to workers may keep.
+/// The share of all sockets that is for commands to workers.
 constexpr double kCommandShare = 0.2;
-/// The part of the served connections that is left for those that come and go.
+/// The share of the served connections that is left for those that come and go.
 constexpr double kTurnoverShare = 0.1;
-/// The part of the connections that only tells peers to come back.
+/// The share of the connections that only get a refusal, with the time to come back.
 constexpr double kRefusalShare = 0.05;
-/// The part of the served connections that users' requests may hold while they are handled: in an
-/// outage of the state service they hold them for long, and workers must not lose their leases.
+/// The share of the served connections that users' requests may occupy while they are handled: in
+/// an outage of the key-value store they do so for long, and workers must not lose their leases.
 constexpr double kUserShare = 0.75;
 
-/// A handful of workers, and orders to some of them at once.
-constexpr size_t kFewestServed = 16;
+/// Enough for a handful of workers, and for commands to some of them at once.
+constexpr size_t kMinServed = 16;
 constexpr size_t kMinCommandConnections = 4;
-constexpr size_t kFewestTurnover = 4;
-constexpr size_t kFewestRefusals = 2;
+constexpr size_t kMinTurnover = 4;
+constexpr size_t kMinRefusals = 2;
 
 constexpr const char* kField = "params.quota.fd_limit";
 
-size_t share_of(size_t whole, double share, size_t least) {
-  return std::max(least, static_cast<size_t>(share * static_cast<double>(whole)));
+size_t share_of(size_t whole, double share, size_t minimum) {
+  return std::max(minimum, static_cast<size_t>(share * static_cast<double>(whole)));
 }
 
 size_t remaining(size_t whole, size_t part) {
@@ -44,11 +44,11 @@
   return static_cast<size_t>(settings.max_sockets);
 }
 
-/// What is left beside the fixed sockets and the commands, and no more than the operators' share.
+/// What the fixed sockets and the commands leave, and no more than the operators' share.
 size_t sockets_to_serve(const Settings& settings, const SocketBudget& budget) {
   const size_t sockets = all_sockets(settings);
   const size_t left = remaining(sockets, budget.fixed + budget.worker_commands);
-  return std::min(left, share_of(sockets, settings.tuning.sockets, kFewestServed));
+  return std::min(left, share_of(sockets, settings.tuning.sockets, kMinServed));
 }
 
 }  // namespace
@@ -58,27 +58,27 @@
   budget.fixed = fixed_for(settings.peers.size());
   budget.worker_commands = share_of(all_sockets(settings), kCommandShare, kMinCommandConnections);
   budget.served_and_refused = sockets_to_serve(settings, budget);
-  budget.refusals = share_of(budget.served_and_refused, kRefusalShare, kFewestRefusals);
+  budget.refusals = share_of(budget.served_and_refused, kRefusalShare, kMinRefusals);
   const size_t served = remaining(budget.served_and_refused, budget.refusals);
-  budget.kept_open = remaining(served, share_of(served, kTurnoverShare, kFewestTurnover));
+  budget.kept_open = remaining(served, share_of(served, kTurnoverShare, kMinTurnover));
   budget.users_in_progress = share_of(served, kUserShare, 1);
   return budget;
 }
 
 void check_sockets(const Settings& settings, const std::string& source) {
   const SocketBudget budget = socket_budget(settings);
-  if (budget.served_and_refused >= kFewestServed) return;
+  if (budget.served_and_refused >= kMinServed) return;
   refuse_setting(source, kField,
                  "too few: " + std::to_string(settings.peers.size()) +
                      " peers, the state service and the cloud take " +
                      std::to_string(budget.fixed) + " and orders " +
                      std::to_string(budget.worker_commands) + ", which leaves less than " +
-                     std::to_string(kFewestServed) + " for workers");
+                     std::to_string(kMinServed) + " for workers");
 }
 
 std::optional<std::string> cost_of_few_sockets(const Settings& settings) {
   const SocketBudget budget = socket_budget(settings);
-  const size_t asked_for = share_of(all_sockets(settings), settings.tuning.sockets, kFewestServed);
+  const size_t asked_for = share_of(all_sockets(settings), settings.tuning.sockets, kMinServed);
   if (budget.served_and_refused >= asked_for) return std::nullopt;
   return std::string(kField) + ": " + std::to_string(all_sockets(settings)) +
          " sockets are few for " + std::to_string(settings.peers.size()) + " peers: beyond " +
--- a/src/config/socket_budget.h
+++ b/src/config/socket_budget.h
@@ -5,8 +5,8 @@
 
 #include "config/settings.h"
 
-/// How the sockets that the platform gives a controller are shared out. Every part of the node that
-/// opens sockets takes its share from here, so that none lives at the cost of another.
+/// How the sockets that the platform grants a node are shared out. Every part of the node that
+/// opens sockets gets its limit from here, so that none can starve another.
 namespace sumacquay {
 
 /// Sockets that a node needs whatever the size of the fleet.
@@ -25,7 +25,7 @@
 
 /// The shares of one node. `kept_open` and `refusals` are parts of `served_and_refused`.
 struct SocketBudget {
-  size_t fixed = 0;               ///< for the state service, the cloud, the peers and the process
+  size_t fixed = 0;               ///< for the key-value store, the cloud, the peers and the process
   size_t served_and_refused = 0;  ///< connections of users and workers
   size_t refusals = 0;            ///< of these, for those that are only refused
   size_t kept_open = 0;           ///< of these, between requests
@@ -40,8 +40,8 @@
 /// workers.
 void check_sockets(const Settings& settings, const std::string& source);
 
-/// What operators are to know of a budget that works, but not as well as the platform's other
-/// settings let expect. None if there is nothing to say.
+/// A warning for operators about a budget that works, but not as well as the platform's other
+/// settings let one expect. None if there is nothing to warn of.
 std::optional<std::string> cost_of_few_sockets(const Settings& settings);
 
 }  // namespace sumacquay
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -73,14 +73,14 @@
 
 Endpoint TomlTable::endpoint(const char* name) const {
   constexpr const char* kExpected = "must be address:port";
-  constexpr unsigned kMostPort = 65535;
+  constexpr unsigned kMaxPort = 65535;
   const std::string value = text(name);
   const auto colon = value.rfind(':');
   if (colon == std::string::npos || colon == 0) refuse(name, kExpected);
   unsigned port = 0;
   const char* const end = value.data() + value.size();
-  const auto [parsed_to, error] = std::from_chars(value.data() + colon + 1, end, port);
-  if (error != std::errc() || parsed_to != end || port > kMostPort) refuse(name, kExpected);
+  const auto [parsed_end, error] = std::from_chars(value.data() + colon + 1, end, port);
+  if (error != std::errc() || parsed_end != end || port > kMaxPort) refuse(name, kExpected);
   return Endpoint{value.substr(0, colon), static_cast<unsigned short>(port)};
 }
 
--- a/src/config/toml_table.h
+++ b/src/config/toml_table.h
@@ -28,10 +28,14 @@
 
   /// A text that isn't empty.
   std::string text(const char* name) const;
+  /// The same, or the fallback if the field is missing.
   std::string text_or(const char* name, const std::string& fallback) const;
+  /// A list of texts.
   std::vector<std::string> texts(const char* name) const;
 
+  /// A number in the range.
   double number(const char* name, SettingRange range) const;
+  /// The same, or the fallback, which is not checked, if the field is missing.
   double number_or(const char* name, double fallback, SettingRange range) const;
 
   /// An address and a port with a colon between.
--- a/src/fleet/machine.cpp
+++ b/src/fleet/machine.cpp
@@ -20,8 +20,8 @@
   return "unknown";
 }
 
-std::string_view name(MachineState stage) {
-  switch (stage) {
+std::string_view name(MachineState state) {
+  switch (state) {
     case MachineState::Booting:
       return "booting";
     case MachineState::Up:
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -8,32 +8,35 @@
 #include <string_view>
 #include <vector>
 
+#include "fleet/image_cache.h"
 #include "fleet/worker_heartbeat.h"
 #include "jobs/record.h"
 
+/// The leader's state of machines and of the task attempts on them. Data with simple questions; the
+/// scheduler owns the machines and changes them. Times are steady, in seconds.
 namespace sumacquay {
 
 /// The time of something that has not happened: earlier than all others.
 constexpr Seconds kNever = -std::numeric_limits<Seconds>::infinity();
 
-/// One start of one task.
+/// One start of one task. Attempt numbers are never reused.
 struct TaskAttemptId {
   TaskKey task;
   uint64_t attempt = 0;
   auto operator<=>(const TaskAttemptId&) const = default;
 };
 
-/// How far an attempt is, as its worker last said.
+/// How far an attempt is, according to its worker's last heartbeat.
 enum class TaskAttemptState { Scheduled, Fetching, Waiting, Running, Checkpointing, Exited };
 
 /// A task that is on a machine, or may be: it is here until it is proven to be gone.
 struct TaskAttempt {
   TaskAttemptState state = TaskAttemptState::Scheduled;
   ExitCause cause = ExitCause::None;
-  bool desired_running = true;  ///< false: it is to stop
+  bool desired_running = true;  ///< false: it is to be stopped
   bool start_sent = false;      ///< a start may have left for the worker
-  bool graceful = false;        ///< stop: lets it save first
-  bool exit_recorded = false;   ///< exit: has been taken into account
+  bool graceful = false;        ///< when it is stopped, it may write a checkpoint first
+  bool exit_recorded = false;   ///< its exit has been taken into account
   Seconds placed_at = 0;
   std::optional<Seconds> running_since;
   std::optional<Seconds> stop_since;
@@ -45,48 +48,19 @@
   bool possibly_present() const { return state != TaskAttemptState::Exited; }
 };
 
-/// An image on a machine.
-struct CachedImage {
-  std::string image;
-  double gb = 0;
-};
-
-/// The images a machine has as far as can be told: it reports none, but keeps the most recently
-/// used ones that fit its disk.
-class ImageCache {
- public:
-  void use(const std::string& image, double gb, double room_gb) {
-    std::erase_if(kept_, [&](const CachedImage& i) { return i.image == image; });
-    kept_.push_back({image, gb});
-    double sum = 0;
-    for (const CachedImage& i : kept_) sum += i.gb;
-    while (kept_.size() > 1 && sum > room_gb) {
-      sum -= kept_.front().gb;
-      kept_.erase(kept_.begin());
-    }
-  }
-  bool has(const std::string& image) const {
-    return std::any_of(kept_.begin(), kept_.end(),
-                       [&](const CachedImage& i) { return i.image == image; });
-  }
-  const std::vector<CachedImage>& kept() const { return kept_; }
-
- private:
-  std::vector<CachedImage> kept_;  ///< the most recently used last
-};
-
-/// How far a machine is in its life.
+/// The states of a machine, in the order in which they follow one another.
 enum class MachineState {
-  Booting,       ///< rented, not heard yet
-  Up,            ///< reports
+  Booting,       ///< requested from the cloud; no heartbeat yet
+  Up,            ///< sends heartbeats
   LeaseExpired,  ///< its worker's lease has certainly ended: nothing runs there
-  Releasing,     ///< the cloud was asked to take it back
+  Releasing,     ///< scaled in: the cloud was asked to terminate it
 };
 
-/// Its record in the state service. Nothing is started on a machine before its record is durable.
+/// How far a machine's record in the key-value store is. Nothing is started on a machine before its
+/// record is durable.
 enum class HostRecordState { None, Requested, Durable };
 
-/// A machine as the leader knows it.
+/// A machine and everything that the leader knows of it.
 struct Machine {
   HostRecord info;
   MachineState state = MachineState::Booting;
@@ -95,49 +69,50 @@
   HeartbeatSequence latest;      ///< of all heartbeats that were applied
   HeartbeatSequence latest_own;  ///< of those that the worker sent by itself
   uint64_t counter = 0;          ///< low part of the fencing token in force at this worker
-  bool fencing_token_acknowledged = false;  ///< has shown the fencing token in force
-  bool reconciled = false;  ///< since the takeover: told what it has, or certainly has nothing
-  Seconds last_heard = kNever;
-  /// When a heartbeat of its own came; answers to commands don't count, and show no lease renewed.
+  bool fencing_token_acknowledged = false;  ///< its heartbeats carry the fencing token in force
+  bool reconciled = false;      ///< since the failover: it said what runs there, or nothing can
+  Seconds last_heard = kNever;  ///< when any heartbeat came, also one that answers a command
+  /// When a heartbeat came that the worker sent by itself. Answers to commands do not count: they
+  /// do not show that its lease was renewed.
   Seconds last_heartbeat = kNever;
-  Seconds partition_healed_at = kNever;  ///< when its zone was heard again
-  Seconds last_lease_renewal = kNever;   ///< last answer that may renew
-  /// An earlier leader may have answered it until the fence.
+  Seconds partition_healed_at = kNever;  ///< when its zone was reachable again
+  Seconds last_lease_renewal = kNever;   ///< when the last answer that may renew its lease was sent
+  /// The previous leader may have renewed its lease until that leader was fenced.
   bool previous_leader_may_answer = true;
   bool commands_in_flight = false;
   Seconds next_commands_at = 0, next_greeting_probe_at = 0;
-  bool probe_in_flight = false;   ///< asked whether it is there
-  bool probe_unanswered = false;  ///< it has not answered that
+  bool probe_in_flight = false;   ///< a probe of whether it is there is on its way
+  bool probe_unanswered = false;  ///< the last probe got no answer
 
   Seconds first_seen = 0;
-  std::optional<Seconds> up_since;  ///< if this leader saw it boot
-  bool listed_failed = false;
-  std::optional<Seconds> reclaim_at;  ///< spot notice: when the cloud takes it
+  std::optional<Seconds> up_since;    ///< only if it booted under this leader
+  bool listed_failed = false;         ///< the cloud lists it as failed
+  std::optional<Seconds> reclaim_at;  ///< spot instance: when the cloud takes it back
   std::optional<Seconds> idle_since;
-  /// Fails what it starts: gets nothing new, and is returned once that is certain.
+  /// Tasks fail there: it gets no new ones, and is scaled in once the fault is certainly its own.
   std::optional<Seconds> quarantined_since;
   bool quarantined() const { return quarantined_since.has_value(); }
   bool failed_jobs_succeed_elsewhere = false;  ///< a job that failed here has succeeded elsewhere
   std::set<std::string> failed_jobs;           ///< jobs that failed here since one last succeeded
   ImageCache images;
-  bool draining = false;  ///< its tasks are moved elsewhere: gets nothing new
+  bool draining = false;  ///< its tasks are moved elsewhere, and it gets no new ones
 
   std::map<TaskAttemptId, TaskAttempt> attempts;
 
-  /// Something is to be started here.
+  /// Has the record written, which must be durable before anything is started here.
   void request_host_record() {
     if (record == HostRecordState::None) record = HostRecordState::Requested;
   }
-  /// Since a takeover that may be so although none is known.
+  /// Until it is reconciled that may be so although no attempt is known.
   bool may_run_tasks() const { return !reconciled || has_possible_attempts(); }
   bool has_possible_attempts() const {
     return std::any_of(attempts.begin(), attempts.end(),
-                       [](const auto& r) { return r.second.possibly_present(); });
+                       [](const auto& entry) { return entry.second.possibly_present(); });
   }
 };
 
-/// For logs.
+/// The names that log lines show.
 std::string_view name(TaskAttemptState state);
-std::string_view name(MachineState stage);
+std::string_view name(MachineState state);
 
 }  // namespace sumacquay
--- a/src/fleet/worker_heartbeat.h
+++ b/src/fleet/worker_heartbeat.h
@@ -6,6 +6,8 @@
 
 #include "jobs/spec.h"
 
+/// What workers and the cloud say of machines, and what workers are commanded to do, as values.
+/// src/wire knows their encoding.
 namespace sumacquay {
 
 /// A task of a job.
@@ -15,12 +17,12 @@
   auto operator<=>(const TaskKey&) const = default;
 };
 
-/// How far a start of a task is.
+/// How far a task attempt is.
 enum class TaskState { Fetching, Waiting, Running, Checkpointing, Exited };
-/// Why a task has exited; `GangMemberGone`: another task of its gang has.
+/// Why a task attempt has exited; `GangMemberGone`: another task of its gang has.
 enum class ExitCause { None, Done, Stopped, GangMemberGone, Alone, Error, NoRoom, Busy, Unknown };
 
-/// A start of a task as its worker sees it.
+/// A task attempt as its worker describes it.
 struct TaskStatus {
   TaskKey key;
   uint64_t attempt = 0;
@@ -28,16 +30,17 @@
   ExitCause cause = ExitCause::None;
 };
 
-/// A token is the term of the leader that gave it, and below it a counter of the worker's own.
+/// A fencing token is the term of the leader that issued it, and in its low bits a counter of the
+/// worker's own.
 inline constexpr int kFencingTokenCounterBits = 20;
-/// The first number that no longer fits below a term.
+/// The first counter that no longer fits in the low bits.
 inline constexpr uint64_t kFencingTokenCounterEnd = uint64_t{1} << kFencingTokenCounterBits;
 inline uint64_t term_of_fencing_token(uint64_t fencing_token) {
   return fencing_token >> kFencingTokenCounterBits;
 }
 
-/// The order of a worker's reports: those of a later agent epoch are newer than all of an earlier
-/// one.
+/// The order of a worker's heartbeats: all those of a later agent epoch are newer than those of an
+/// earlier one.
 struct HeartbeatSequence {
   uint64_t agent_epoch = 0;
   uint64_t number = 0;
@@ -56,27 +59,28 @@
   HeartbeatSequence sequence() const { return {agent_epoch, sequence_number}; }
 };
 
+/// `Forget`: the exit is recorded, and the worker need not mention the attempt any more.
 enum class Verb { Start, Stop, Forget };
 
-/// What a worker is to do about one start of a task.
+/// What a worker is to do about one task attempt.
 struct Command {
   Verb verb = Verb::Start;
   TaskKey key;
   uint64_t attempt = 0;
-  double grace_s = 0;
+  double grace_s = 0;  ///< stop: seconds to write a checkpoint in
   bool operator==(const Command&) const = default;
 };
 
-/// Stops for all tasks of a heartbeat whose jobs are known to be cancelled or finished. They do no
-/// harm at any time, since attempts are never reused, and whoever renews a worker's lease sends
-/// them.
+/// Stop commands for all tasks of a heartbeat whose jobs are known to be cancelled or finished:
+/// `ended` says so of a job's id. They do no harm at any time, since attempts are never reused, and
+/// whoever renews a worker's lease sends them.
 template <class Ended>
 std::vector<Command> stops_of_ended(const WorkerHeartbeat& heartbeat, Ended&& ended) {
-  std::vector<Command> out;
-  for (const auto& t : heartbeat.tasks)
-    if (t.state != TaskState::Exited && ended(t.key.job))
-      out.push_back({Verb::Stop, t.key, t.attempt, 0});
-  return out;
+  std::vector<Command> commands;
+  for (const auto& status : heartbeat.tasks)
+    if (status.state != TaskState::Exited && ended(status.key.job))
+      commands.push_back({Verb::Stop, status.key, status.attempt, 0});
+  return commands;
 }
 
 /// A machine in the cloud's list.
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -11,22 +11,23 @@
 
 namespace sumacquay {
 
-/// Which jobs wait for which, without I/O. A job is ready once all its dependencies are done, and
-/// cancelled if one of them is cancelled, directly or through others. Used by the leader's core,
-/// which starts what is ready, and by each node's copy of the records, which users are answered
-/// from.
+/// The dependencies between jobs, a directed acyclic graph, without I/O. A job is ready once all
+/// its dependencies are done, and cancelled if one of them is cancelled, directly or through
+/// others. The scheduler uses it to start jobs that are ready, and each node's record cache to
+/// answer users.
 ///
-/// Only durable states go in: a job that ready() or cancelled() has told of stays so, because
-/// states that are final never change. Every walk is iterative, and a job's change is passed on to
+/// Only durable states go in: a job that was once ready() or cancelled() stays so, because final
+/// states never change. Every walk is iterative, and a job's change is passed on to
 /// each of its dependents once, so long chains and wide fans cost no more than their edges.
 class DependencyGraph {
  public:
-  /// A live job, as its record tells. What it depends on is taken from the first record that names
-  /// any: a record that is written later may leave out dependencies that are done.
+  /// Enters a job that is not over, from its record. What it depends on is taken from the first
+  /// record that names any: a record that is written later may leave out dependencies that are
+  /// done.
   void update(const JobRecord& record);
-  /// The job is over, as its record among the finished ones tells.
+  /// Enters that the job is over; `ended_ms` is the time of day. Does nothing for an unknown job.
   void finished(const std::string& id, JobState state, uint64_t ended_ms);
-  /// The job is no longer live, and how it ended is not known here.
+  /// The job's record is gone, and how the job ended is not known here.
   void forget(const std::string& id);
   void clear();
 
@@ -34,14 +35,17 @@
   bool ready(const std::string& id) const;
   /// Whether a job that it depends on, directly or through others, is cancelled.
   bool cancelled(const std::string& id) const;
-  /// Whether `cancelled` knows about all jobs that it depends on, directly or through others.
+  /// Whether cancelled() is based on the states of all jobs that it depends on, directly or through
+  /// others.
   bool certain(const std::string& id) const;
-  /// Time of day at which the last dependency ended; 0: there was none, or it is not known.
+  /// Time of day in milliseconds at which the last dependency ended; 0: there was none, or it is
+  /// not known.
   uint64_t ready_ms(const std::string& id) const;
 
-  /// How a job ended that others wait for, without its count of tasks; none: it isn't known here.
+  /// How a job ended that others depend on, without its count of tasks; none: it is not known here.
   std::optional<FinishedRecord> end_of(const std::string& id) const;
 
+  /// Empty for a job that is over.
   const std::vector<std::string>& dependencies(const std::string& id) const;
   /// Jobs that depend on this one and are not over.
   const std::set<std::string>& dependents(const std::string& id) const;
--- a/src/jobs/fair_share.cpp
+++ b/src/jobs/fair_share.cpp
@@ -9,20 +9,20 @@
 /// Sums of decimals are not exact.
 constexpr double kSlack = 1e-6;
 
-bool covers(const TeamSettings& team, const Resources& need) {
-  return need.gpus > 0 ? team.gpus > 0 : team.cpus > 0;
+bool covers(const TeamSettings& team, const Resources& request) {
+  return request.gpus > 0 ? team.gpus > 0 : team.cpus > 0;
 }
 
-bool exceeds(double used, double guaranteed) {
-  return guaranteed > 0 && used > guaranteed + kSlack;
+bool exceeds(double used, double fair_share) {
+  return fair_share > 0 && used > fair_share + kSlack;
 }
 
-bool falls_short(double running, double lost, double guaranteed) {
-  return guaranteed > 0 && lost > 0 && running - lost < guaranteed - kSlack;
+bool falls_short(double running, double lost, double fair_share) {
+  return fair_share > 0 && lost > 0 && running - lost < fair_share - kSlack;
 }
 
-bool earlier(const UnfinishedJob& a, const UnfinishedJob& b) {
-  return std::tie(a.submitted_ms, a.spec->id) < std::tie(b.submitted_ms, b.spec->id);
+bool submitted_earlier(const UnfinishedJob& left, const UnfinishedJob& right) {
+  return std::tie(left.submitted_ms, left.spec->id) < std::tie(right.submitted_ms, right.spec->id);
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
   for (const auto& team : teams)
     if (has_fair_share(team)) claims[team.name].team = &team;
   std::erase_if(jobs, [&](const UnfinishedJob& job) { return !claims.contains(job.spec->team); });
-  std::sort(jobs.begin(), jobs.end(), earlier);
+  std::sort(jobs.begin(), jobs.end(), submitted_earlier);
 
   JobIds within;
   for (const auto& job : jobs) {
--- a/src/jobs/ranges.h
+++ b/src/jobs/ranges.h
@@ -10,23 +10,24 @@
 /// A set of task numbers kept as ranges: small for arrays that finish roughly in order.
 class Ranges {
  public:
-  bool contains(uint32_t n) const {
-    auto it = spans_.upper_bound(n);
-    return it != spans_.begin() && std::prev(it)->second > n;
+  bool contains(uint32_t number) const {
+    const auto after = spans_.upper_bound(number);
+    return after != spans_.begin() && std::prev(after)->second > number;
   }
 
-  bool add(uint32_t n) {
-    if (contains(n)) return false;
-    uint32_t first = n;
-    uint32_t last = n + 1;
-    auto next = spans_.find(last);
+  /// Adds one number; returns whether it is new.
+  bool add(uint32_t number) {
+    if (contains(number)) return false;
+    uint32_t first = number;
+    uint32_t last = number + 1;
+    const auto next = spans_.find(last);
     if (next != spans_.end()) {
       last = next->second;
       spans_.erase(next);
     }
-    auto before = spans_.lower_bound(n);
-    if (before != spans_.begin() && std::prev(before)->second == n) {
-      first = std::prev(before)->first;
+    const auto after = spans_.lower_bound(number);
+    if (after != spans_.begin() && std::prev(after)->second == number) {
+      first = std::prev(after)->first;
       spans_.erase(first);
     }
     spans_[first] = last;
@@ -34,34 +35,38 @@
     return true;
   }
 
-  /// The first number from n on that is not in the set.
-  uint32_t next_missing(uint32_t n) const {
-    auto it = spans_.upper_bound(n);
-    if (it != spans_.begin() && std::prev(it)->second > n) return std::prev(it)->second;
-    return n;
+  /// The first number from this one on that is not in the set.
+  uint32_t next_missing(uint32_t number) const {
+    const auto after = spans_.upper_bound(number);
+    if (after != spans_.begin() && std::prev(after)->second > number)
+      return std::prev(after)->second;
+    return number;
   }
 
+  /// How many numbers are in the set.
   uint32_t count() const { return count_; }
+  /// How many ranges it takes to hold them.
   size_t spans() const { return spans_.size(); }
-  bool operator==(const Ranges& o) const { return spans_ == o.spans_; }
+  bool operator==(const Ranges& other) const { return spans_ == other.spans_; }
 
-  /// At most so many spans of the set: those that hold numbers of `kept` go first, so that a record
-  /// of limited size loses nothing that it holds already, then the first of the others.
-  Ranges first_spans(size_t most, const Ranges& kept) const {
-    if (spans_.size() <= most) return *this;
+  /// At most `max_spans` spans of the set: those that contain numbers of `kept` first, so that a
+  /// record of limited size loses nothing that it contains already, then the lowest of the others.
+  Ranges first_spans(size_t max_spans, const Ranges& kept) const {
+    if (spans_.size() <= max_spans) return *this;
     Ranges out;
     for (const auto& [first, last] : kept.spans_) {
-      if (out.spans_.size() >= most) return out;
+      if (out.spans_.size() >= max_spans) return out;
       if (contains(first)) out.insert_span(*std::prev(spans_.upper_bound(first)));
     }
     for (const auto& span : spans_) {
-      if (out.spans_.size() >= most) return out;
+      if (out.spans_.size() >= max_spans) return out;
       out.insert_span(span);
     }
     return out;
   }
 
-  /// Alternating lengths of gap and run from 0 on: two small integers a span.
+  /// The form in which records store the set: alternating lengths of gap and run from 0 on, two
+  /// small integers a span.
   std::vector<uint32_t> to_lengths() const {
     std::vector<uint32_t> out;
     uint32_t at = 0;
@@ -73,19 +78,21 @@
     return out;
   }
 
-  static bool from_lengths(const std::vector<uint32_t>& lengths, uint32_t most, Ranges& out) {
+  /// Reads that form into `out`. Returns false, and leaves `out` as it is, if the lengths are not
+  /// what to_lengths() writes for a set of numbers below `end`.
+  static bool from_lengths(const std::vector<uint32_t>& lengths, uint32_t end, Ranges& out) {
     if (lengths.size() % 2) return false;
     uint64_t at = 0;
-    Ranges r;
+    Ranges ranges;
     for (size_t i = 0; i < lengths.size(); i += 2) {
       const uint64_t first = at + lengths[i];
       const uint64_t last = first + lengths[i + 1];
-      if (last > most || lengths[i + 1] == 0 || (i > 0 && lengths[i] == 0)) return false;
-      r.spans_[static_cast<uint32_t>(first)] = static_cast<uint32_t>(last);
-      r.count_ += lengths[i + 1];
+      if (last > end || lengths[i + 1] == 0 || (i > 0 && lengths[i] == 0)) return false;
+      ranges.spans_[static_cast<uint32_t>(first)] = static_cast<uint32_t>(last);
+      ranges.count_ += lengths[i + 1];
       at = last;
     }
-    out = std::move(r);
+    out = std::move(ranges);
     return true;
   }
 
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -5,6 +5,20 @@
 #include "config/settings.h"
 
 namespace sumacquay {
+namespace {
+
+bool is_in_allowed_zone(const JobSpec& spec, const MachineType& type) {
+  return !spec.zone ||
+         std::find(type.zones.begin(), type.zones.end(), *spec.zone) != type.zones.end();
+}
+
+/// Sums of decimals are not exact. A quota of 0 means that there is none.
+bool exceeds_quota(double amount, double quota) {
+  constexpr double kSlack = 1e-6;
+  return quota > 0 && amount > quota + kSlack;
+}
+
+}  // namespace
 
 bool JobSpec::allows_type(const std::string& type) const {
   return !types || std::find(types->begin(), types->end(), type) != types->end();
@@ -13,14 +27,14 @@
 std::string never_runs(const JobSpec& spec, const std::vector<MachineType>& types,
                        const TeamSettings* team) {
   if (!team) return "unknown team";
-  const bool fits = std::any_of(types.begin(), types.end(), [&](const MachineType& t) {
-    return spec.allows_type(t.name) && spec.request.fits_in(t.capacity) &&
-           (!spec.zone || std::find(t.zones.begin(), t.zones.end(), *spec.zone) != t.zones.end());
+  const bool fits = std::any_of(types.begin(), types.end(), [&](const MachineType& type) {
+    return spec.allows_type(type.name) && spec.request.fits_in(type.capacity) &&
+           is_in_allowed_zone(spec, type);
   });
   if (!fits) return "a task fits no allowed machine type";
-  const Resources all = spec.request.times(spec.kind == JobKind::Array ? 1 : spec.tasks);
-  if ((team->cpus_max > 0 && all.cpus > team->cpus_max + 1e-6) ||
-      (team->gpus_max > 0 && all.gpus > team->gpus_max + 1e-6))
+  // The tasks of an array may run one after the other, the others' run at the same time.
+  const Resources at_once = spec.request.times(spec.kind == JobKind::Array ? 1 : spec.tasks);
+  if (exceeds_quota(at_once.cpus, team->cpus_max) || exceeds_quota(at_once.gpus, team->gpus_max))
     return "more than the team's limit";
   return {};
 }
--- a/src/net/asio_conversions.h
+++ b/src/net/asio_conversions.h
@@ -4,9 +4,10 @@
 
 #include "config/settings.h"
 
-/// Our types as those of Asio.
+/// Conversions from our types to those of Asio.
 namespace sumacquay {
 
+/// Seconds as whole milliseconds, rounded down.
 inline std::chrono::milliseconds to_milliseconds(double seconds) {
   return std::chrono::milliseconds(static_cast<long long>(seconds * 1000));
 }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -17,7 +17,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr size_t kChunkBytes = 4096;
-constexpr size_t kMostBodyBytes = 4 << 20;
+constexpr size_t kMaxBodyBytes = 4 << 20;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
 class HttpClient::Connection : public std::enable_shared_from_this<HttpClient::Connection> {
  public:
   Connection(HttpClient& client, asio::io_context& io)
-      : client_(&client), alive_(client.alive_), socket_(io), parser_(kMostBodyBytes) {}
+      : client_(&client), alive_(client.alive_), socket_(io), parser_(kMaxBodyBytes) {}
 
   /// Sends a request, over a new connection unless it has one.
   void run(std::shared_ptr<PendingRequest> request) {
@@ -51,7 +51,7 @@
       connect();
   }
 
-  /// The answer is complete.
+  /// The response is complete.
   void succeed() {
     if (state_ == State::Closed) return;
     HttpResult result;
@@ -61,7 +61,8 @@
     finish(std::move(result), parser_.keep_alive() == KeepAlive::Yes);
   }
 
-  /// There is no answer, and none can be told from a later one on this connection.
+  /// There is no response. The connection is closed, since a late response could not be told from
+  /// that to the next request.
   void fail() {
     if (state_ == State::Closed) return;
     parser_.take_body();
@@ -76,7 +77,8 @@
 
   const std::shared_ptr<PendingRequest>& request() const { return request_; }
 
-  bool schedulable() {
+  /// Whether the connection is idle and still open on both sides.
+  bool reusable() {
     if (state_ != State::Idle) return false;
     // A peer that restarted has closed its side: seen here instead of as a failed request.
     asio::error_code error;
@@ -135,13 +137,13 @@
   }
 
   /// Leaves the request before it calls back, since that may start the next one here.
-  void finish(HttpResult result, bool reusable) {
+  void finish(HttpResult result, bool keep_open) {
     const auto request = std::exchange(request_, nullptr);
-    if (reusable)
+    if (keep_open)
       state_ = State::Idle;
     else
       close();
-    if (*alive_) client_->release(shared_from_this(), reusable);
+    if (*alive_) client_->release(shared_from_this(), keep_open);
     if (request) request->finish(std::move(result));
   }
 
@@ -181,8 +183,8 @@
   start_next();
 }
 
-/// One timer serves all requests. It isn't put off when they are answered: most are, and the next
-/// one's deadline is seldom earlier.
+/// One timer serves all requests. It is not postponed when they are answered: most are, and the
+/// next request's deadline is seldom earlier.
 void HttpClient::wake_by(Clock::time_point deadline) {
   if (wakes_at_ && *wakes_at_ <= deadline) return;
   wakes_at_ = deadline;
@@ -200,21 +202,21 @@
   const auto alive = alive_;
   for (const auto& request : requests_in_progress()) {
     if (request->finished || now < request->deadline) continue;
-    expire_leases(request);
+    expire(request);
     if (!*alive) return;
   }
   for (const auto& request : requests_in_progress()) wake_by(request->deadline);
 }
 
 std::vector<std::shared_ptr<HttpClient::PendingRequest>> HttpClient::requests_in_progress() const {
-  std::vector<std::shared_ptr<PendingRequest>> out(queue_.begin(), queue_.end());
+  std::vector<std::shared_ptr<PendingRequest>> requests(queue_.begin(), queue_.end());
   for (const auto& connection : busy_)
-    if (connection->request()) out.push_back(connection->request());
-  return out;
+    if (connection->request()) requests.push_back(connection->request());
+  return requests;
 }
 
 /// The deadline of a request has passed.
-void HttpClient::expire_leases(const std::shared_ptr<PendingRequest>& request) {
+void HttpClient::expire(const std::shared_ptr<PendingRequest>& request) {
   const auto queued = std::find(queue_.begin(), queue_.end(), request);
   if (queued != queue_.end()) {
     queue_.erase(queued);
@@ -224,13 +226,13 @@
     return connection->request() == request;
   });
   if (sent_on == busy_.end()) return;
-  const auto connection = *sent_on;  // it takes itself off the list
+  const auto connection = *sent_on;  // a copy, since it removes itself from the list
   connection->fail();
 }
 
 void HttpClient::start_next() {
   while (!queue_.empty() && busy_.size() < max_connections_) {
-    const auto connection = take_connection();
+    const auto connection = acquire_connection();
     auto request = queue_.front();
     queue_.pop_front();
     busy_.insert(connection);
@@ -239,11 +241,11 @@
 }
 
 /// An idle connection that can be used, else a new one.
-std::shared_ptr<HttpClient::Connection> HttpClient::take_connection() {
+std::shared_ptr<HttpClient::Connection> HttpClient::acquire_connection() {
   while (!idle_.empty()) {
     auto connection = idle_.back();
     idle_.pop_back();
-    if (connection->schedulable()) return connection;
+    if (connection->reusable()) return connection;
     connection->close();
   }
   return std::make_shared<Connection>(*this, io_);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -13,9 +13,11 @@
 #include "config/settings.h"
 #include "net/http_message.h"
 
-/// HTTP/1.1 client over Asio, for workers, the cloud, the state service and other controllers.
+/// HTTP/1.1 client over Asio, for workers, the cloud, the key-value store and other nodes. It knows
+/// nothing of what the bodies mean.
 namespace sumacquay {
 
+/// Called with what became of a request.
 using HttpDone = std::function<void(HttpResult)>;
 
 /// A client for one address with a bounded pool of connections and a bounded queue. Requests that
@@ -23,6 +25,7 @@
 class HttpClient {
  public:
   HttpClient(asio::io_context& io, Endpoint to, size_t max_connections, size_t max_queued);
+  /// Closes all connections. Requests in progress are dropped without a callback.
   ~HttpClient();
 
   /// Calls `done` exactly once, never from inside this call, and at the latest when the deadline
@@ -30,7 +33,7 @@
   void request(const std::string& method, const std::string& target, const std::string& body,
                double deadline_s, HttpDone done);
 
-  /// Requests without an answer, those that wait included.
+  /// Requests without an answer, those that are queued included.
   size_t in_progress() const { return busy_.size() + queue_.size(); }
 
  private:
@@ -40,9 +43,9 @@
   void wake_by(Clock::time_point deadline);
   void expire_overdue();
   std::vector<std::shared_ptr<PendingRequest>> requests_in_progress() const;
-  void expire_leases(const std::shared_ptr<PendingRequest>& request);
+  void expire(const std::shared_ptr<PendingRequest>& request);
   void start_next();
-  std::shared_ptr<Connection> take_connection();
+  std::shared_ptr<Connection> acquire_connection();
   void release(const std::shared_ptr<Connection>& connection, bool reusable);
 
   asio::io_context& io_;
@@ -54,7 +57,7 @@
   std::unordered_set<std::shared_ptr<Connection>> busy_;
   asio::steady_timer deadline_timer_;
   std::optional<Clock::time_point> wakes_at_;  ///< no later than the first deadline
-  /// Tells callbacks that come later whether this client still exists.
+  /// Lets callbacks that run later see whether this client still exists.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -5,7 +5,7 @@
 
 constexpr const char* kContentType = "application/msgpack";
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -32,7 +32,7 @@
   }
 }
 
-/// The header fields that tell what follows the head.
+/// The header fields that describe the body.
 std::string body_fields(const std::string& body) {
   return std::string("\r\nContent-Type: ") + kContentType +
          "\r\nContent-Length: " + std::to_string(body.size());
@@ -41,22 +41,23 @@
 }  // namespace
 
 std::string serialize_reply(const HttpReply& reply, KeepAlive keep_alive) {
-  std::string out = "HTTP/1.1 " + std::to_string(reply.status) + " " + reason(reply.status);
-  out += body_fields(reply.body);
-  if (reply.retry_after_s > 0) out += "\r\nRetry-After: " + std::to_string(reply.retry_after_s);
-  if (keep_alive == KeepAlive::No) out += "\r\nConnection: close";
-  out += "\r\n\r\n";
-  out += reply.body;
-  return out;
+  std::string bytes =
+      "HTTP/1.1 " + std::to_string(reply.status) + " " + reason_phrase(reply.status);
+  bytes += body_fields(reply.body);
+  if (reply.retry_after_s > 0) bytes += "\r\nRetry-After: " + std::to_string(reply.retry_after_s);
+  if (keep_alive == KeepAlive::No) bytes += "\r\nConnection: close";
+  bytes += "\r\n\r\n";
+  bytes += reply.body;
+  return bytes;
 }
 
 std::string serialize_request(const std::string& method, const std::string& target,
                               const std::string& host, const std::string& body) {
-  std::string out = method + " " + target + " HTTP/1.1\r\nHost: " + host;
-  out += body_fields(body);
-  out += "\r\n\r\n";
-  out += body;
-  return out;
+  std::string bytes = method + " " + target + " HTTP/1.1\r\nHost: " + host;
+  bytes += body_fields(body);
+  bytes += "\r\n\r\n";
+  bytes += body;
+  return bytes;
 }
 
 }  // namespace sumacquay
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -5,6 +5,7 @@
 /// HTTP/1.1 messages as values, and how they are written. Server and client share them.
 namespace sumacquay {
 
+/// A request as the server's handler gets it.
 struct HttpRequest {
   std::string method;
   std::string path;   ///< without the query
@@ -12,6 +13,7 @@
   std::string body;
 };
 
+/// The answer of the server's handler.
 struct HttpReply {
   int status = 500;
   std::string body;
@@ -23,6 +25,7 @@
   bool answered = false;  ///< false: the request may have been executed, or may still be
   int status = 0;
   std::string body;
+  /// Whether it was executed and succeeded.
   bool ok() const { return answered && status == 200; }
 };
 
--- a/src/net/http_parsing.cpp
+++ b/src/net/http_parsing.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // What a callback of the library returns.
-constexpr int kGoOn = 0;
+constexpr int kContinue = 0;
 constexpr int kStop = 1;
 
 KeepAlive keep_alive_of(const http_parser& parser) {
@@ -60,7 +60,7 @@
 
 int HttpRequestParser::count_header(size_t bytes) {
   header_bytes_ += bytes;
-  if (header_bytes_ <= limits_.header_bytes) return kGoOn;
+  if (header_bytes_ <= limits_.header_bytes) return kContinue;
   progress_ = ParseProgress::TooLarge;
   return kStop;
 }
@@ -71,13 +71,13 @@
     return kStop;
   }
   body_.append(part);
-  return kGoOn;
+  return kContinue;
 }
 
 int HttpRequestParser::complete() {
   progress_ = ParseProgress::Complete;
   http_parser_pause(&parser_, 1);
-  return kGoOn;
+  return kContinue;
 }
 
 const http_parser_settings& HttpRequestParser::callbacks() {
@@ -101,7 +101,7 @@
   return value;
 }
 
-HttpResponseParser::HttpResponseParser(size_t most_body_bytes) : most_body_bytes_(most_body_bytes) {
+HttpResponseParser::HttpResponseParser(size_t max_body_bytes) : max_body_bytes_(max_body_bytes) {
   parser_.data = this;
   http_parser_init(&parser_, HTTP_RESPONSE);
 }
@@ -136,13 +136,13 @@
     http_parser_settings_init(&settings);
     settings.on_body = [](http_parser* parser, const char* at, size_t size) {
       HttpResponseParser& self = of(parser);
-      if (self.body_.size() + size > self.most_body_bytes_) return kStop;
+      if (self.body_.size() + size > self.max_body_bytes_) return kStop;
       self.body_.append(at, size);
-      return kGoOn;
+      return kContinue;
     };
     settings.on_message_complete = [](http_parser* parser) {
       of(parser).complete_ = true;
-      return kGoOn;
+      return kContinue;
     };
     return settings;
   }();
--- a/src/net/http_parsing.h
+++ b/src/net/http_parsing.h
@@ -61,7 +61,7 @@
 /// Reads one response at a time.
 class HttpResponseParser {
  public:
-  explicit HttpResponseParser(size_t most_body_bytes);
+  explicit HttpResponseParser(size_t max_body_bytes);
   HttpResponseParser(const HttpResponseParser&) = delete;
   HttpResponseParser& operator=(const HttpResponseParser&) = delete;
 
@@ -69,6 +69,7 @@
   ParseProgress parse(std::string_view bytes);
 
   int status() const { return static_cast<int>(parser_.status_code); }
+  /// The complete response's body, moved out.
   std::string take_body();
 
   /// Whether the connection can be used for another request.
@@ -82,7 +83,7 @@
   static HttpResponseParser& of(http_parser* parser);
 
   http_parser parser_{};
-  size_t most_body_bytes_;
+  size_t max_body_bytes_;
   bool complete_ = false;
   std::string body_;
 };
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -19,13 +19,13 @@
 
 constexpr size_t kChunkBytes = 2048;
 constexpr std::chrono::milliseconds kAcceptRetry{50};
-/// The pause between two looks for connections past their deadlines / the shortest deadline.
+/// The pause between two checks for connections past their deadlines / the shortest deadline.
 constexpr double kSweepShare = 0.25;
 
 constexpr int kBadRequest = 400;
 constexpr int kPayloadTooLarge = 413;
 constexpr int kUnavailable = 503;
-/// When a peer that found no place is told to come back.
+/// After how long a refused peer is asked to come back.
 constexpr int kRetryAfterSeconds = 1;
 
 }  // namespace
@@ -58,14 +58,14 @@
     if (server_) server_->connections_.erase(shared_from_this());
   }
 
-  void forget_server() {
+  void detach_from_server() {
     server_ = nullptr;
     idle_entry_.reset();
   }
 
   bool overdue(Clock::time_point now) const { return now > deadline_; }
 
-  /// For how long nothing has been asked. Only while it is idle.
+  /// For how long there has been no request. Only while it is idle.
   double idle_for_s() const {
     return std::chrono::duration<double>(Clock::now() - idle_since_).count();
   }
@@ -146,12 +146,12 @@
     write(HttpReply{status, {}, retry_after_s}, KeepAlive::No);
   }
 
-  void write(const HttpReply& reply, KeepAlive asked) {
+  void write(const HttpReply& reply, KeepAlive requested) {
     if (state_ == State::Closed) return;
     enter(State::Writing);
     if (!server_) return close();
-    const bool stays = asked == KeepAlive::Yes && server_->may_stay_open();
-    const KeepAlive keep_alive = stays ? KeepAlive::Yes : KeepAlive::No;
+    const bool stays_open = requested == KeepAlive::Yes && server_->may_stay_open();
+    const KeepAlive keep_alive = stays_open ? KeepAlive::Yes : KeepAlive::No;
     out_ = serialize_reply(reply, keep_alive);
     close_after(server_->limits_.request_s);
     asio::error_code error;
@@ -200,7 +200,7 @@
 
 HttpServer::~HttpServer() {
   idle_.clear();
-  for (const auto& connection : connections_) connection->forget_server();
+  for (const auto& connection : connections_) connection->detach_from_server();
 }
 
 unsigned short HttpServer::port() const {
@@ -208,7 +208,7 @@
 }
 
 void HttpServer::close_all() {
-  const auto connections = connections_;  // each takes itself off the list
+  const auto connections = connections_;  // a copy, since each removes itself from the list
   for (const auto& connection : connections) connection->close();
 }
 
@@ -230,18 +230,18 @@
 }
 
 void HttpServer::add_connection(tcp::socket socket) {
-  if (connections_.size() >= most_served()) close_idlest();
-  const bool place = connections_.size() < most_served();
-  if (!place) ++refused_;
+  if (connections_.size() >= max_served()) close_longest_idle();
+  const bool served = connections_.size() < max_served();
+  if (!served) ++refused_;
   if (connections_.size() >= limits_.connections) return;
-  const auto service = place ? Connection::Service::Handled : Connection::Service::Refused;
+  const auto service = served ? Connection::Service::Handled : Connection::Service::Refused;
   auto connection = std::make_shared<Connection>(*this, std::move(socket), service);
   connections_.insert(connection);
   connection->start();
   if (!sweeping_) sweep_later();
 }
 
-/// Deadlines are looked at together: a timer for each would be set anew several times a request.
+/// Deadlines are checked together: a timer for each would be set anew several times a request.
 void HttpServer::sweep_later() {
   sweeping_ = true;
   const double shortest_s = std::min(limits_.request_s, limits_.idle_s);
@@ -262,19 +262,20 @@
 }
 
 /// Whether a connection that is being answered stays open. Where too many are, one that nobody uses
-/// any more gives way first: that of a user who has left rather than that of a worker that reports.
+/// any more is closed instead: that of a user who has left rather than that of a worker that sends
+/// heartbeats.
 bool HttpServer::may_stay_open() {
   if (connections_.size() <= limits_.kept_open) return true;
   if (!idle_.empty() && idle_.front()->idle_for_s() > limits_.stale_s) {
-    close_idlest();
+    close_longest_idle();
     return true;
   }
   ++closed_after_answer_;
   return false;
 }
 
-/// Makes a place for a new connection where answers have not made any.
-void HttpServer::close_idlest() {
+/// Closes the connection that has been idle the longest, if any is idle.
+void HttpServer::close_longest_idle() {
   if (!idle_.empty()) idle_.front()->close();
 }
 
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -9,13 +9,15 @@
 #include "config/settings.h"
 #include "net/http_message.h"
 
-/// HTTP/1.1 server over Asio, for users, workers and other controllers.
+/// HTTP/1.1 server over Asio, for users, workers and other nodes. It knows nothing of what the
+/// bodies mean.
 namespace sumacquay {
 
 /// Answers one request; may be called later, and at most once. Copies share the one answer.
 using Respond = std::function<void(HttpReply)>;
 using HttpHandler = std::function<void(const HttpRequest&, Respond)>;
 
+/// Limits of one server. Every resource that a peer could use up has one.
 struct HttpLimits {
   size_t body_bytes = size_t{64} * 1024;
   size_t header_bytes = size_t{8} * 1024;
@@ -28,16 +30,16 @@
   // Connections past these are closed by a sweep, up to a quarter of the shorter one late.
   double request_s = 5;  ///< for one request to arrive whole
   double idle_s = 120;   ///< between requests
-  /// Idle for longer than this, a connection gives way to one that is used.
+  /// Idle for longer than this, a connection is closed in favour of one that is used.
   double stale_s = 120;
 };
 
-/// What has become of a server's connections.
+/// Counts of a server's connections, for metrics.
 struct ConnectionCounts {
   size_t open = 0;
-  /// Closed with an answer, since the start, because more peers came than can be kept.
+  /// Closed with an answer, since the start, because more peers connected than can be kept.
   size_t closed_after_answer = 0;
-  /// Refused, since the start, for want of a place, with an answer or without.
+  /// Refused, since the start, because all connections were taken, with an answer or without.
   size_t refused = 0;
 };
 
@@ -65,9 +67,9 @@
   void accept();
   void accept_later();
   void add_connection(asio::ip::tcp::socket socket);
-  size_t most_served() const { return limits_.connections - limits_.refusals; }
+  size_t max_served() const { return limits_.connections - limits_.refusals; }
   bool may_stay_open();
-  void close_idlest();
+  void close_longest_idle();
   void sweep_later();
   void sweep();
 
--- a/src/peer/leader_hints.cpp
+++ b/src/peer/leader_hints.cpp
@@ -19,7 +19,7 @@
     if (!batch.come.empty()) show(fragment.part, batch);
     batch = {term_and_number, fragment.fragments, {}, false};
   }
-  if (fragment.fragments != batch.fragments || batch.user_visible) return;
+  if (fragment.fragments != batch.fragments || batch.applied) return;
   batch.come.emplace(fragment.index, heartbeat);
   if (batch.complete()) show(fragment.part, batch);
 }
@@ -30,7 +30,7 @@
   for (const auto& [index, heartbeat] : batch.come) fragments.push_back(&heartbeat);
   show(part, fragments);
   batch.come.clear();
-  batch.user_visible = true;
+  batch.applied = true;
 }
 
 void LeaderHints::show(wire::PeerHeartbeatPart part,
--- a/src/peer/leader_hints.h
+++ b/src/peer/leader_hints.h
@@ -34,7 +34,7 @@
     std::pair<uint64_t, uint64_t> term_and_number{0, 0};
     uint64_t fragments = 0;
     std::map<uint64_t, wire::PeerHeartbeat> come;  ///< by index
-    bool user_visible = false;                     ///< late fragments and repeats are of no use
+    bool applied = false;                          ///< late fragments and repeats are of no use
     bool complete() const { return come.size() == fragments; }
   };
 
