--- a/src/backlog/pending_queue.h
+++ b/src/backlog/pending_queue.h
@@ -25,6 +25,7 @@
 
  private:
   using Names = std::list<std::string>;
+  /// Where an entry stands in the queue.
   struct Place {
     size_t priority = 0;
     Names::iterator position;
--- a/src/dispatch/arrival_forecast.h
+++ b/src/dispatch/arrival_forecast.h
@@ -25,10 +25,12 @@
   std::vector<JobSpec> expected(double factor) const;
 
  private:
+  /// One job that arrived.
   struct Arrival {
     Seconds accepted = 0;
     uint32_t tasks = 0;
   };
+  /// The jobs of one class that arrived lately.
   struct JobClass {
     JobSpec latest;
     std::deque<Arrival> arrivals;
--- a/src/dispatch/record_transaction.h
+++ b/src/dispatch/record_transaction.h
@@ -16,6 +16,7 @@
 /// Records of hosts have no guard of their own: there is nobody else who writes them.
 namespace sumacquay {
 
+/// Stands for the value of a record that is deleted.
 struct DeletedRecord {
   bool operator==(const DeletedRecord&) const = default;
 };
@@ -23,11 +24,13 @@
 /// What a key is to hold after the transaction.
 using RecordValue = std::variant<DeletedRecord, JobRecord, FinishedRecord, HostRecord>;
 
+/// One key that a transaction writes, with its record.
 struct RecordMutation {
   std::string key;
   RecordValue value;
 };
 
+/// A transaction of the leader: the versions it depends on and what it writes.
 struct RecordTransaction {
   std::vector<wire::Precondition> preconditions;
   std::vector<RecordMutation> mutations;
--- a/src/dispatch/scale_out_requests.h
+++ b/src/dispatch/scale_out_requests.h
@@ -40,10 +40,12 @@
   bool backing_off(const OfferingKey& offering, Seconds now) const;
 
  private:
+  /// A request without a final answer.
   struct OpenRequest {
     ScaleOut rent;
     std::optional<Seconds> repeat_at;  ///< none: an answer is awaited
   };
+  /// How often in a row the cloud has refused an offering.
   struct Refusals {
     Seconds until = 0;
     int in_a_row = 0;
--- a/src/dispatch/scheduling_queue.cpp
+++ b/src/dispatch/scheduling_queue.cpp
@@ -43,6 +43,7 @@
   return order;
 }
 
+/// A waiting job with its place in the order.
 struct QueuedJob {
   SchedulingOrder order;
   Job* job = nullptr;
--- a/src/frontend/job_lookup.h
+++ b/src/frontend/job_lookup.h
@@ -36,6 +36,7 @@
   }
 };
 
+/// Looks up jobs for the front end, linearizably. Does not answer users itself.
 class JobLookup {
  public:
   using Callback = std::function<void(const JobLookupResult&)>;
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -55,6 +55,7 @@
 
  private:
   enum class State { Unknown, Pending, Done, Cancelled };
+  /// A job with its dependencies in both directions.
   struct Node {
     State state = State::Unknown;
     bool cancelled = false;  ///< itself or by a dependency
--- a/src/jobs/fair_share.h
+++ b/src/jobs/fair_share.h
@@ -51,6 +51,7 @@
   bool keeps_fair_share_without(std::string_view team, const Resources& amounts) const;
 
  private:
+  /// A team's settings and what its tasks use.
   struct Team {
     const TeamSettings* settings = nullptr;
     Resources running;
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -24,6 +24,7 @@
     LeaseExpired,  ///< the lease may have ended: answers only, until the grace is over
   };
 
+  /// Durations of the election, in seconds of the steady clock.
   struct Config {
     Seconds lease = 2;     ///< of the leader's key
     Seconds renew = 0.5;   ///< between two renewals of the lease
--- a/src/leadership/lease_delegation.h
+++ b/src/leadership/lease_delegation.h
@@ -92,6 +92,7 @@
   [[nodiscard]] Seconds last_answer(const std::string& zone, Seconds now) const;
 
  private:
+  /// What the leader knows of one follower that it delegates to.
   struct Node {
     std::string zone;
     uint64_t process = 0;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -21,6 +21,7 @@
 
 }  // namespace
 
+/// A request that is queued or in progress.
 struct HttpClient::PendingRequest {
   std::string bytes;  ///< head and body
   HttpDone done;
--- a/src/net/http_parsing.h
+++ b/src/net/http_parsing.h
@@ -22,6 +22,7 @@
 /// Reads one request at a time.
 class HttpRequestParser {
  public:
+  /// Bounds on what a peer may send.
   struct Limits {
     size_t header_bytes;  ///< the target counts as well
     size_t body_bytes;
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -33,6 +33,7 @@
   size_t waiting_commands() const { return waiting_.size(); }
 
  private:
+  /// Commands that wait for a connection to their worker.
   struct WaitingCommands {
     SendCommands batch;
     Seconds until = 0;  ///< then it is given up
--- a/src/node/worker_clients.h
+++ b/src/node/worker_clients.h
@@ -24,6 +24,7 @@
   size_t size() const { return pool_.size(); }
 
  private:
+  /// A client and the address that it is connected to.
   struct PooledClient {
     std::string address;
     std::shared_ptr<HttpClient> client;
--- a/src/peer/peer_heartbeats.h
+++ b/src/peer/peer_heartbeats.h
@@ -19,6 +19,7 @@
 /// has answered a term never acts under an older one.
 class PeerHeartbeats {
  public:
+  /// What the node supplies: what is said to peers, and what is done with answers.
   struct Hooks {
     /// What this node says: its status, or also what users are shown or a successor would want.
     std::function<wire::PeerHeartbeat(wire::PeerHeartbeatPart)> own;
@@ -52,6 +53,7 @@
   const Settings& settings_;
   double period_s_;
   Hooks hooks_;
+  /// When a peer was last heard.
   struct Peer {
     std::chrono::steady_clock::time_point heard;
     bool silent = false;
--- a/src/placement/bin_packing.cpp
+++ b/src/placement/bin_packing.cpp
@@ -26,6 +26,7 @@
   auto operator<=>(const CandidateRank&) const = default;
 };
 
+/// A candidate by its index, with its rank.
 struct RankedCandidate {
   CandidateRank rank;
   size_t candidate = 0;
--- a/src/store/key_value_store_client.h
+++ b/src/store/key_value_store_client.h
@@ -29,6 +29,7 @@
   Unknown,   ///< may have been executed, or may still be
 };
 
+/// The outcome of a transaction and what the store said of it.
 struct TransactionResult {
   TransactionOutcome outcome = TransactionOutcome::Unknown;
   uint64_t revision = 0;            ///< at which it was committed; 0 unless it was
@@ -89,6 +90,7 @@
   std::chrono::steady_clock::time_point last_served() const { return last_served_; }
 
  private:
+  /// A request that is sent, or waits for its share of the rate limits.
   struct Request {
     std::string method, target, body;
     double writes = 0;  ///< mutations in it, as the limit on writes counts them
--- a/src/store/record_cache.h
+++ b/src/store/record_cache.h
@@ -29,6 +29,7 @@
   using Clock = std::chrono::steady_clock;
   using BarrierDone = std::function<void(bool fresh)>;
 
+  /// Who is notified of changed records.
   struct Listener {
     std::function<void(const std::string& id)> job_changed;  ///< empty id: any job may have changed
     std::function<void()> leader_changed;
--- a/src/store/record_tables.h
+++ b/src/store/record_tables.h
@@ -33,6 +33,7 @@
   LeaderChanged,  ///< the leader's or the term's record was written, or the leader's deleted
 };
 
+/// What a change did, and to which job.
 struct AppliedChange {
   ChangeEffect effect = ChangeEffect::None;
   std::string job = {};  ///< with JobUpdated and JobEnded
--- a/src/store/snapshot_loader.h
+++ b/src/store/snapshot_loader.h
@@ -14,6 +14,7 @@
 /// does not know what the records mean.
 class SnapshotLoader {
  public:
+  /// Who is told of loaded items and of the end of the snapshot.
   struct Callbacks {
     std::function<void(const wire::StoreItem& item)> item;  ///< for each item, in order
     /// Once, at the end. Changes have to be followed from this revision on.
--- a/src/wire/peer_heartbeat.cpp
+++ b/src/wire/peer_heartbeat.cpp
@@ -67,6 +67,7 @@
   packer.pack_uint32(count.running);
 }
 
+/// An image with its size; the same name with another size is another image.
 struct Image {
   std::string_view name;
   double gb = 0;
--- a/src/wire/peer_heartbeat.h
+++ b/src/wire/peer_heartbeat.h
@@ -43,6 +43,7 @@
   PeerHeartbeatPart part = PeerHeartbeatPart::StatusOnly;  ///< what the batch carries
 };
 
+/// What one controller says to another: its term, and hints for a successor.
 struct PeerHeartbeat {
   /// Of the fragments of a batch the first alone has the batch's part, and the others are
   /// StatusOnly: a version that knows no fragments reads the first one as if it were the whole.
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -227,76 +227,111 @@
   return document->root();
 }
 
-/// Each message of the file, read and encoded again. A message that can't be read is missing.
-Texts read_back(const Texts& golden) {
-  Texts out;
-  const auto bytes = [&golden](const std::string& name) { return bytes_of(golden.at(name)); };
-  const auto put = [&out](const std::string& name, const std::string& encoded) {
-    out[name] = hex(encoded);
-  };
-  const auto document = [&bytes](const std::string& name) {
+/// The messages of the file, read and encoded again one by one. One that can't be read is missing.
+class ReadBack {
+ public:
+  explicit ReadBack(const Texts& golden) : golden_(golden) {}
+
+  Texts all() {
+    read_records();
+    read_worker_messages();
+    read_user_messages();
+    read_cloud_messages();
+    read_store_pages();
+    read_store_answers();
+    return std::move(out_);
+  }
+
+ private:
+  std::string bytes(const std::string& name) const { return bytes_of(golden_.at(name)); }
+  std::shared_ptr<wire::Document> document(const std::string& name) const {
     return wire::Document::parse(bytes(name));
-  };
-  if (const auto job = wire::decode_job(root_of(document("record.job"))))
-    put("record.job", wire::encode_job(*job));
-  if (const auto finished = wire::decode_finished(root_of(document("record.finished"))))
-    put("record.finished", wire::encode_finished(*finished));
-  if (const auto host = wire::decode_host(root_of(document("record.host"))))
-    put("record.host", wire::encode_host(*host));
-  if (const auto leader = wire::decode_leader(root_of(document("record.leader"))))
-    put("record.leader", wire::encode_leader(*leader));
-  if (const auto heartbeat = wire::decode_peer_heartbeat(bytes("heartbeat")))
-    put("heartbeat", wire::encode_peer_heartbeat(*heartbeat));
-  if (const auto heartbeat = wire::parse_worker_heartbeat(bytes("worker.report")))
-    put("worker.report", simulators::worker_heartbeat_body(*heartbeat));
-  if (const auto worker_commands = simulators::parse_worker_commands(bytes("worker.report_answer")))
-    put("worker.report_answer",
-        wire::heartbeat_answer(worker_commands->fencing_token, worker_commands->commands));
-  put("worker.redirect", wire::redirect_body(simulators::parse_redirect(bytes("worker.redirect"))));
-  if (const auto worker_commands = simulators::parse_worker_commands(bytes("worker.orders")))
-    put("worker.orders",
-        wire::worker_commands_body(worker_commands->fencing_token, worker_commands->agent_epoch,
-                                   worker_commands->commands));
-  if (const auto job = wire::parse_job(bytes("user.submission")); job.spec)
-    put("user.submission", simulators::submission_body(*job.spec));
-  if (const auto status = simulators::parse_job_status(bytes("user.job_status")))
-    put("user.job_status", wire::job_status("job-1", status->state, status->done, status->running));
-  if (const auto status = simulators::parse_job_status(bytes("user.job_answer")))
-    put("user.job_answer", wire::job_answer("job-1", status->state));
-  put("user.error", wire::error_body(root_of(document("user.error"))["error"].text_or("")));
-  if (const auto types = wire::parse_types(bytes("cloud.types")))
-    put("cloud.types", simulators::types_body(*types));
-  if (const auto page = wire::parse_machines(bytes("cloud.machines")))
-    put("cloud.machines", simulators::machines_body(page->machines, page->more));
-  if (const auto rent = simulators::parse_rent(bytes("cloud.rent")))
-    put("cloud.rent", wire::rent_body(rent->request, rent->type, rent->zone, rent->spot,
-                                      static_cast<int>(rent->count)));
-  if (const auto rented = wire::parse_rented(bytes("cloud.rented")))
-    put("cloud.rented", simulators::rented_body(*rented));
-  if (const auto release = simulators::parse_release(bytes("cloud.release")))
-    put("cloud.release", wire::release_body(*release));
-  if (const auto page = wire::parse_item(bytes("store.item")))
-    put("store.item", simulators::item_body(stored(*page)[0]));
-  if (const auto page = wire::parse_page(bytes("store.page")))
-    put("store.page", simulators::items_body(stored(*page), page->more, page->revision));
-  if (const auto page = wire::parse_changes(bytes("store.changes")))
-    put("store.changes", simulators::changes_body(stored(*page), page->revision));
-  if (const auto transaction = simulators::parse_transaction(bytes("store.transaction"))) {
-    std::vector<wire::Mutation> made;
-    for (const auto& change : transaction->mutations)
-      made.push_back({change.key, change.value, change.lease});
-    put("store.transaction", wire::transaction_body(transaction->preconditions, made));
   }
-  if (const auto revision = wire::parse_revision(bytes("store.revision")))
-    put("store.revision", simulators::revision_body(*revision));
-  put("store.conflict",
-      simulators::conflict_body(wire::parse_failed(bytes("store.conflict")),
-                                wire::parse_revision(bytes("store.conflict")).value_or(0)));
-  if (const auto seconds = simulators::parse_lease_seconds(bytes("store.grant")))
-    put("store.grant", wire::grant_body(static_cast<uint64_t>(*seconds * 1000)));
-  if (const auto lease = wire::parse_lease(bytes("store.lease")))
-    put("store.lease", simulators::lease_body(*lease));
-  return out;
+  void put(const std::string& name, const std::string& encoded) { out_[name] = hex(encoded); }
+
+  void read_records() {
+    if (const auto job = wire::decode_job(root_of(document("record.job"))))
+      put("record.job", wire::encode_job(*job));
+    if (const auto finished = wire::decode_finished(root_of(document("record.finished"))))
+      put("record.finished", wire::encode_finished(*finished));
+    if (const auto host = wire::decode_host(root_of(document("record.host"))))
+      put("record.host", wire::encode_host(*host));
+    if (const auto leader = wire::decode_leader(root_of(document("record.leader"))))
+      put("record.leader", wire::encode_leader(*leader));
+    if (const auto heartbeat = wire::decode_peer_heartbeat(bytes("heartbeat")))
+      put("heartbeat", wire::encode_peer_heartbeat(*heartbeat));
+  }
+
+  void read_worker_messages() {
+    if (const auto heartbeat = wire::parse_worker_heartbeat(bytes("worker.report")))
+      put("worker.report", simulators::worker_heartbeat_body(*heartbeat));
+    if (const auto answer = simulators::parse_worker_commands(bytes("worker.report_answer")))
+      put("worker.report_answer", wire::heartbeat_answer(answer->fencing_token, answer->commands));
+    put("worker.redirect",
+        wire::redirect_body(simulators::parse_redirect(bytes("worker.redirect"))));
+    if (const auto sent = simulators::parse_worker_commands(bytes("worker.orders")))
+      put("worker.orders",
+          wire::worker_commands_body(sent->fencing_token, sent->agent_epoch, sent->commands));
+  }
+
+  void read_user_messages() {
+    if (const auto job = wire::parse_job(bytes("user.submission")); job.spec)
+      put("user.submission", simulators::submission_body(*job.spec));
+    if (const auto status = simulators::parse_job_status(bytes("user.job_status")))
+      put("user.job_status",
+          wire::job_status("job-1", status->state, status->done, status->running));
+    if (const auto status = simulators::parse_job_status(bytes("user.job_answer")))
+      put("user.job_answer", wire::job_answer("job-1", status->state));
+    put("user.error", wire::error_body(root_of(document("user.error"))["error"].text_or("")));
+  }
+
+  void read_cloud_messages() {
+    if (const auto types = wire::parse_types(bytes("cloud.types")))
+      put("cloud.types", simulators::types_body(*types));
+    if (const auto page = wire::parse_machines(bytes("cloud.machines")))
+      put("cloud.machines", simulators::machines_body(page->machines, page->more));
+    if (const auto rent = simulators::parse_rent(bytes("cloud.rent")))
+      put("cloud.rent", wire::rent_body(rent->request, rent->type, rent->zone, rent->spot,
+                                        static_cast<int>(rent->count)));
+    if (const auto rented = wire::parse_rented(bytes("cloud.rented")))
+      put("cloud.rented", simulators::rented_body(*rented));
+    if (const auto release = simulators::parse_release(bytes("cloud.release")))
+      put("cloud.release", wire::release_body(*release));
+  }
+
+  void read_store_pages() {
+    if (const auto page = wire::parse_item(bytes("store.item")))
+      put("store.item", simulators::item_body(stored(*page)[0]));
+    if (const auto page = wire::parse_page(bytes("store.page")))
+      put("store.page", simulators::items_body(stored(*page), page->more, page->revision));
+    if (const auto page = wire::parse_changes(bytes("store.changes")))
+      put("store.changes", simulators::changes_body(stored(*page), page->revision));
+  }
+
+  void read_store_answers() {
+    if (const auto transaction = simulators::parse_transaction(bytes("store.transaction"))) {
+      std::vector<wire::Mutation> made;
+      for (const auto& change : transaction->mutations)
+        made.push_back({change.key, change.value, change.lease});
+      put("store.transaction", wire::transaction_body(transaction->preconditions, made));
+    }
+    if (const auto revision = wire::parse_revision(bytes("store.revision")))
+      put("store.revision", simulators::revision_body(*revision));
+    put("store.conflict",
+        simulators::conflict_body(wire::parse_failed(bytes("store.conflict")),
+                                  wire::parse_revision(bytes("store.conflict")).value_or(0)));
+    if (const auto seconds = simulators::parse_lease_seconds(bytes("store.grant")))
+      put("store.grant", wire::grant_body(static_cast<uint64_t>(*seconds * 1000)));
+    if (const auto lease = wire::parse_lease(bytes("store.lease")))
+      put("store.lease", simulators::lease_body(*lease));
+  }
+
+  const Texts& golden_;
+  Texts out_;
+};
+
+Texts read_back(const Texts& golden) {
+  return ReadBack(golden).all();
 }
 
 // ---------------------------------------------------------------- settings
