--- a/src/dispatch/job_state.h
+++ b/src/dispatch/job_state.h
@@ -42,7 +42,7 @@
   std::set<std::string> failed_machines;  ///< machines on which tasks failed: avoided
   /// Machines on which it failed since it last was seen to work.
   std::set<std::string> failed_machines_since_success;
-  int failed_retries = 0;     ///< since it was first held to be at fault
+  int failed_retries = 0;     ///< since it was first found crash looping
   Seconds backoff_until = 0;  ///< nothing of the job is placed before
 
   const JobSpec& spec() const { return stored.spec; }
--- a/src/dispatch/scale_out_requests.h
+++ b/src/dispatch/scale_out_requests.h
@@ -11,7 +11,7 @@
 
 namespace sumacquay {
 
-/// What can be rented: a type of machine in a zone, paid in full or as spot.
+/// What can be requested: a machine type in a zone, on demand or as spot.
 struct OfferingKey {
   std::string type, zone;
   bool spot = false;
--- a/src/dispatch/zone_partition_detector.cpp
+++ b/src/dispatch/zone_partition_detector.cpp
@@ -5,7 +5,7 @@
 namespace sumacquay {
 namespace {
 
-/// The part of a zone's machines that are silent when it counts as cut off.
+/// The part of a zone's machines that are silent when it counts as partitioned.
 constexpr double kSilentShare = 0.5;
 /// The part of a zone's machines that were heard recently when it certainly isn't.
 constexpr double kHeardShare = 0.25;
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -44,7 +44,7 @@
   std::visit([this](const auto& a) { perform(a); }, action);
 }
 
-/// A worker answers orders with its heartbeat, whether it carries them out or not.
+/// A worker answers commands with its heartbeat, whether it carries them out or not.
 std::optional<WorkerHeartbeat> ActionExecutor::receive_heartbeat(const HttpResult& result) {
   if (!result.ok() && !(result.answered && result.status == kStatusConflict)) return std::nullopt;
   auto heartbeat = wire::parse_worker_heartbeat(result.body);
@@ -75,7 +75,7 @@
        generation = scheduler_.generation()](const HttpResult& result) {
         if (!scheduler_.get(generation)) return;
         const auto heartbeat = receive_heartbeat(result);
-        // The scheduler that sent the commands hears of them, also if the heartbeat's term
+        // The scheduler that sent the commands gets the outcome, also if the heartbeat's term
         // has just made this node step down: it is released later, by a posted handler.
         if (scheduler_)
           scheduler_->on_commands_answered(machine, heartbeat, result.ok() && heartbeat,
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -13,13 +13,13 @@
 
 namespace sumacquay {
 
-/// Carries out what the leader decides: orders and probes go to workers, rents and releases to the
-/// cloud. Called by the node after each tick of the scheduler.
+/// Carries out what the leader decides: commands and probes go to workers, scale outs and ins to
+/// the cloud. Called by the node after each tick of the scheduler.
 ///
-/// Guarantees that the scheduler hears the outcome of every action, unless this node has stepped
+/// Guarantees that the scheduler gets the outcome of every action, unless this node has stepped
 /// down since; never from inside `perform`, but for a probe that found no client. A term in a
 /// worker's answer is passed on before the outcome, and may make this node step down. With more
-/// machines than connections for orders, a command waits for a connection; it is sent only while
+/// machines than connections for commands, a command waits for a connection; it is sent only while
 /// this node leads.
 class ActionExecutor {
  public:
--- a/src/node/record_writer.h
+++ b/src/node/record_writer.h
@@ -14,7 +14,7 @@
 /// scheduler.
 ///
 /// Guarantees that one transaction at a time is under way, that what it wrote is in this node's
-/// copy of the records before the scheduler hears of it, and that after a failure or without an
+/// copy of the records before the scheduler is told of it, and that after a failure or without an
 /// answer nothing more is written before the records have been read again. No refusal is final:
 /// what was refused is wanted again, in smaller transactions (see WritePacing).
 class RecordWriter {
--- a/src/node/worker_clients.h
+++ b/src/node/worker_clients.h
@@ -9,7 +9,7 @@
 
 namespace sumacquay {
 
-/// HTTP clients for workers, kept for reuse. Called by the ActionExecutor for orders and probes.
+/// HTTP clients for workers, kept for reuse. Called by the ActionExecutor for commands and probes.
 /// Guarantees that there are never more than `limit`, so that commands to a large fleet leave
 /// sockets for all else, and that a client with a request under way is kept.
 class WorkerClients {
