--- a/tests/simulation/decision_digest.cpp
+++ b/tests/simulation/decision_digest.cpp
@@ -1,7 +1,8 @@
 #include "simulation/decision_digest.h"
 
+#include <fmt/format.h>
+
 #include <bit>
-#include <cstdio>
 #include <variant>
 
 #include "wire/worker_messages.h"
@@ -90,11 +91,7 @@
 }
 
 std::string DecisionDigest::text() const {
-  constexpr size_t kDigits = 16;
-  char digits[kDigits + 1];
-  std::snprintf(digits, sizeof digits, "%016llx",
-                static_cast<unsigned long long>(XXH3_64bits_digest(state_.get())));
-  return digits;
+  return fmt::format("{:016x}", XXH3_64bits_digest(state_.get()));
 }
 
 }  // namespace sumacquay::simulation
