--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -17,7 +17,11 @@
   std::string name;
   std::string seed;
   std::string digest;
-  while (file >> name >> seed >> digest) digests[name + " " + seed] = digest;
+  while (file >> name >> seed >> digest) {
+    name += ' ';
+    name += seed;
+    digests[name] = digest;
+  }
   return digests;
 }
 
