--- a/tests/world/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -1,6 +1,6 @@
-#include "world/cloud.h"
+#include "simulation/cloud.h"
 
-#include "world/controller_process.h"
+#include "simulation/controller_process.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/cloud.h
+++ b/tests/simulation/cloud.h
@@ -1,6 +1,6 @@
 #pragma once
 #include "dispatch/actions.h"
-#include "world/environment.h"
+#include "simulation/environment.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/command_channel.cpp
+++ b/tests/simulation/command_channel.cpp
@@ -1,10 +1,10 @@
-#include "world/command_channel.h"
+#include "simulation/command_channel.h"
 
 #include <algorithm>
 #include <memory>
 #include <utility>
 
-#include "world/controller_process.h"
+#include "simulation/controller_process.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -3,8 +3,8 @@
 #include <optional>
 
 #include "dispatch/actions.h"
-#include "world/environment.h"
-#include "world/workers.h"
+#include "simulation/environment.h"
+#include "simulation/workers.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/controller_peer_heartbeats.cpp
+++ b/tests/simulation/controller_peer_heartbeats.cpp
@@ -1,5 +1,5 @@
 // The heartbeats between the controllers: who leads, and delegations for zones that are cut off.
-#include "world/controller_process.h"
+#include "simulation/controller_process.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/controller_worker_heartbeats.cpp
+++ b/tests/simulation/controller_worker_heartbeats.cpp
@@ -1,6 +1,6 @@
 // A controller's answers to the workers' heartbeats.
-#include "world/controller_process.h"
-#include "world/workers.h"
+#include "simulation/controller_process.h"
+#include "simulation/workers.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/controllers.cpp
+++ b/tests/simulation/controllers.cpp
@@ -1,4 +1,4 @@
-#include "world/controllers.h"
+#include "simulation/controllers.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/controllers.h
+++ b/tests/simulation/controllers.h
@@ -1,8 +1,8 @@
 #pragma once
 #include <optional>
 
-#include "world/controller_process.h"
-#include "world/environment.h"
+#include "simulation/controller_process.h"
+#include "simulation/environment.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/event_loop.cpp
+++ b/tests/simulation/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "world/event_loop.h"
+#include "simulation/event_loop.h"
 
 #include <utility>
 
--- a/tests/world/faults.cpp
+++ b/tests/simulation/faults.cpp
@@ -1,4 +1,4 @@
-#include "world/faults.h"
+#include "simulation/faults.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/faults.h
+++ b/tests/simulation/faults.h
@@ -1,11 +1,11 @@
 #pragma once
 #include <string>
 
-#include "world/cloud.h"
-#include "world/controllers.h"
-#include "world/environment.h"
-#include "world/state_channel.h"
-#include "world/workers.h"
+#include "simulation/cloud.h"
+#include "simulation/controllers.h"
+#include "simulation/environment.h"
+#include "simulation/state_channel.h"
+#include "simulation/workers.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/machine.cpp
+++ b/tests/simulation/machine.cpp
@@ -1,6 +1,6 @@
-#include "world/machine.h"
+#include "simulation/machine.h"
 
-#include "world/options.h"
+#include "simulation/options.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/network.cpp
+++ b/tests/simulation/network.cpp
@@ -1,4 +1,4 @@
-#include "world/network.h"
+#include "simulation/network.h"
 
 #include <algorithm>
 
--- a/tests/world/network.h
+++ b/tests/simulation/network.h
@@ -2,10 +2,10 @@
 #include <map>
 #include <string>
 
-#include "world/controller_host.h"
-#include "world/event_loop.h"
-#include "world/fault.h"
-#include "world/machine.h"
+#include "simulation/controller_host.h"
+#include "simulation/event_loop.h"
+#include "simulation/fault.h"
+#include "simulation/machine.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/observed_job.cpp
+++ b/tests/simulation/observed_job.cpp
@@ -1,4 +1,4 @@
-#include "world/observed_job.h"
+#include "simulation/observed_job.h"
 
 #include <algorithm>
 #include <vector>
--- a/tests/world/pipelines.cpp
+++ b/tests/simulation/pipelines.cpp
@@ -1,4 +1,4 @@
-#include "world/pipelines.h"
+#include "simulation/pipelines.h"
 
 #include <algorithm>
 #include <numeric>
--- a/tests/world/pipelines.h
+++ b/tests/simulation/pipelines.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "world/environment.h"
-#include "world/users.h"
+#include "simulation/environment.h"
+#include "simulation/users.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/random.cpp
+++ b/tests/simulation/random.cpp
@@ -1,4 +1,4 @@
-#include "world/random.h"
+#include "simulation/random.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/random_faults.cpp
+++ b/tests/simulation/random_faults.cpp
@@ -1,4 +1,4 @@
-#include "world/random_faults.h"
+#include "simulation/random_faults.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/random_faults.h
+++ b/tests/simulation/random_faults.h
@@ -1,8 +1,8 @@
 #pragma once
-#include "world/cloud.h"
-#include "world/controllers.h"
-#include "world/environment.h"
-#include "world/faults.h"
+#include "simulation/cloud.h"
+#include "simulation/controllers.h"
+#include "simulation/environment.h"
+#include "simulation/faults.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,9 +1,9 @@
-#include "world/users.h"
+#include "simulation/users.h"
 
 #include <array>
 #include <memory>
 
-#include "world/controller_process.h"
+#include "simulation/controller_process.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/users.h
+++ b/tests/simulation/users.h
@@ -3,8 +3,8 @@
 #include <optional>
 #include <string>
 
-#include "world/environment.h"
-#include "world/frontend.h"
+#include "simulation/environment.h"
+#include "simulation/frontend.h"
 
 namespace sumacquay::simulation {
 
--- a/tests/world/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -1,4 +1,4 @@
-#include "world/workers.h"
+#include "simulation/workers.h"
 
 #include <algorithm>
 
--- a/tests/world/workers.h
+++ b/tests/simulation/workers.h
@@ -2,8 +2,8 @@
 #include <string>
 #include <vector>
 
-#include "world/controller_process.h"
-#include "world/environment.h"
+#include "simulation/controller_process.h"
+#include "simulation/environment.h"
 
 namespace sumacquay::simulation {
 
