--- a/src/autoscaling/scale_out_planner.cpp
+++ b/src/autoscaling/scale_out_planner.cpp
@@ -12,17 +12,18 @@
   return capacity > 0 ? request / capacity : 0;
 }
 
-/// The largest share of the machine that one task takes of any resource.
+/// The dominant share of one task: the largest fraction of the machine that it takes of any
+/// resource.
 double dominant_share(const Resources& request, const Resources& capacity) {
   return std::max({share(request.cpus, capacity.cpus), share(request.gpus, capacity.gpus),
                    share(request.memory_gb, capacity.memory_gb), 1e-6});
 }
 
-/// What it costs to scale out by this offering for `tasks` tasks: the part of the machines that the
-/// tasks use, half of the part that they leave (others may use it), and the time to boot and to
-/// fetch the image on top.
+/// The weighted cost of scaling out with this offering for `tasks` tasks: the price of the capacity
+/// that the tasks use, plus half the price of the capacity that they leave unused, since other
+/// tasks may use it. The cost rises with the time to boot and to fetch the image.
 double cost(const InstanceOffering& offering, const JobSpec& spec, size_t tasks) {
-  constexpr double kWaitScaleSeconds = 120;  // so long a wait counts like the price itself
+  constexpr double kWaitScaleSeconds = 120;  // a wait of this length doubles the cost
   const auto task_count = static_cast<double>(tasks);
   const double per_task = dominant_share(spec.request, offering.type->capacity);
   const double tasks_per_machine = std::max(1.0, std::floor(1 / per_task + 1e-9));
@@ -42,7 +43,7 @@
   return candidate;
 }
 
-/// Whether a new machine of the offering has room for one task, whatever the kind of job.
+/// Whether one task fits on a new machine of the offering, regardless of the kind of job.
 bool one_task_fits(const PlacementRequest& placement_request, const InstanceOffering& offering) {
   std::vector<CandidateMachine> new_machine{new_candidate(offering)};
   PlacementRequest probe = placement_request;
@@ -63,7 +64,7 @@
   std::erase_if(placement_request.tasks, [&](uint32_t task) { return placed.contains(task); });
 }
 
-/// The offering at the lowest cost for the tasks, the first of equals; null if none will do.
+/// The offering with the lowest cost for the tasks, the first of equals; null if none is suitable.
 const InstanceOffering* cheapest(const PlacementRequest& placement_request,
                                  const std::vector<InstanceOffering>& offerings) {
   const InstanceOffering* best = nullptr;
@@ -82,7 +83,7 @@
   return best;
 }
 
-/// A kind of machine, in the order in which scale-out requests are listed.
+/// A kind of machine. Its ordering is the order of the scale-out requests.
 struct InstanceKind {
   std::string type;
   std::string zone;
@@ -90,15 +91,15 @@
   auto operator<=>(const InstanceKind&) const = default;
 };
 
-/// Collects the machines to add, up to a limit.
+/// Accumulates the machines to add, up to a limit.
 class ScaleOutPlan {
  public:
   ScaleOutPlan(std::vector<CandidateMachine>& booting,
                const std::vector<InstanceOffering>& offerings, int max_machines)
       : booting_(booting), offerings_(offerings), max_machines_(max_machines) {}
 
-  /// Adds machines until the tasks fit. A gang needs all its tasks to fit at once, so machines are
-  /// added until it fits whole.
+  /// Adds machines until the tasks fit. A gang is placed only as a whole, so machines are added
+  /// until all its tasks fit at once.
   void add_machines_for(PlacementRequest& placement_request) {
     const size_t booting_before = booting_.size();
     for (;;) {
--- a/src/autoscaling/scale_out_planner.h
+++ b/src/autoscaling/scale_out_planner.h
@@ -5,30 +5,30 @@
 
 #include "placement/placement.h"
 
-/// Which machines to scale out by. A function of its arguments: it does not talk to the cloud, and
-/// knows of limits only what its caller passes in.
+/// Planning of scale-outs: which machines to request. The result depends only on the arguments;
+/// there is no I/O, and limits are passed in by the caller.
 namespace sumacquay {
 
-/// One kind of machine that the cloud offers: a type in a zone, as a spot instance or not.
+/// One kind of machine that the cloud offers: a machine type in a zone, as spot or on demand.
 struct InstanceOffering {
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
-  double price = 0;      ///< of one machine, in the unit that all offerings share
-  bool blocked = false;  ///< the cloud refused to provide it not long ago
+  double price = 0;      ///< per machine, in the same unit for all offerings
+  bool blocked = false;  ///< not to be requested, such as after a recent refusal
 };
 
-/// So many machines of one kind.
+/// A number of machines of one kind to request.
 struct ScaleOutRequest {
   std::string type, zone;
   bool spot = false;
   int count = 0;
 };
 
-/// The machines to scale out by for tasks that found no machine, beyond those that are booting
-/// already: at most `max_machines`, the cheapest offerings first. `booting` is changed: the new
-/// machines are appended, and what tasks take on booting and on new machines is no longer
-/// available. The scheduler calls this once a round.
+/// Returns the machines to request for tasks that could not be placed, beyond the machines that are
+/// already booting: at most `max_machines`, the cheapest offerings first. Modifies `booting`: new
+/// machines are appended, and resources that tasks take on booting and new machines are no longer
+/// available. Called by the autoscaler for each scale-out.
 std::vector<ScaleOutRequest> plan_scale_out(std::vector<PlacementRequest> unplaced,
                                             std::vector<CandidateMachine>& booting,
                                             const std::vector<InstanceOffering>& offerings,
--- a/src/dispatch/actions.h
+++ b/src/dispatch/actions.h
@@ -8,32 +8,33 @@
 
 namespace sumacquay {
 
-/// Commands for a worker. Refused there if the fencing token or the agent epoch is not the newest.
+/// Commands for a worker. The worker rejects them if the fencing token or the agent epoch is stale.
 struct SendCommands {
   std::string machine, addr;
   uint64_t fencing_token = 0, agent_epoch = 0;
   std::vector<Command> commands;
 };
-/// An order without commands: shows the worker the fencing token and brings its heartbeat. Whenever
-/// it is carried out, it does no harm.
+/// A request without commands. It presents the fencing token to the worker and returns the worker's
+/// heartbeat. It is harmless whenever the worker executes it.
 struct Probe {
   std::string machine, addr;
   uint64_t fencing_token = 0, agent_epoch = 0;
 };
-/// A request for machines. Sent again under the same name it rents nothing more.
+/// A request for machines. It is idempotent: a retry under the same name rents no further machines.
 struct ScaleOut {
   std::string request, type, zone;
   bool spot = false;
   int count = 0;
 };
-/// What the cloud answered to a request for machines; unknown if no answer came.
+/// The cloud's answer to a request for machines; `Unknown` if there was none.
 enum class ScaleOutOutcome { Granted, Refused, Unknown };
 
-/// Machines for the cloud to take back, with whatever they run.
+/// Machines for the cloud to terminate, including any tasks still running on them.
 struct ScaleIn {
   std::vector<std::string> machines;
 };
-/// What the node is to do. It reports the outcome of each action back to the leader's scheduler.
+/// An operation that the scheduler requests from the node. The node reports the outcome of each one
+/// to the leader's scheduler.
 using Action = std::variant<SendCommands, Probe, ScaleOut, ScaleIn>;
 
 }  // namespace sumacquay
--- a/src/dispatch/arrival_forecast.cpp
+++ b/src/dispatch/arrival_forecast.cpp
@@ -7,9 +7,9 @@
 namespace sumacquay {
 namespace {
 
-/// Arrivals of the last so many boot times are remembered.
+/// Length of the window of recorded arrivals, as a multiple of the longest boot time.
 constexpr double kWindowBoots = 5;
-/// Keeps a product that is whole but for rounding from being rounded up to the next number.
+/// Subtracted before rounding up, so that a floating-point error does not add a task.
 constexpr double kRounding = 1e-9;
 
 }  // namespace
@@ -30,7 +30,7 @@
   const double tasks = std::accumulate(job_class.arrivals.begin(), job_class.arrivals.end(), 0.0,
                                        [](double sum, const Arrival& a) { return sum + a.tasks; });
   const double mean = tasks / kWindowBoots;
-  // Arrivals are uneven: the mean and one deviation of it.
+  // Arrivals vary: adds one standard deviation, that of a Poisson process, to the mean.
   if (job_class.latest.kind == JobKind::Service) return mean + std::sqrt(mean);
   if (job_class.latest.kind == JobKind::Array && job_class.latest.spot &&
       !job_class.arrivals.empty())
--- a/src/dispatch/arrival_forecast.h
+++ b/src/dispatch/arrival_forecast.h
@@ -11,26 +11,27 @@
 namespace sumacquay {
 
 /// Forecasts from recent arrivals how many tasks will arrive while a machine boots. The leader adds
-/// every job it learns of; it rents machines for the forecast, and returns idle ones only when the
-/// forecast still fits without them.
+/// every job, rents machines for the forecast, and releases idle machines only if the expected
+/// tasks still fit without them.
 class ArrivalForecast {
  public:
-  /// A job of this spec was accepted at `accepted`, in steady time.
+  /// Records that a job with this spec was accepted at the steady time `accepted`.
   void add(const JobSpec& spec, Seconds accepted);
-  /// Drops arrivals that are older than a few boot times: when fewer come, less room is kept.
+  /// Drops arrivals older than a few boot times, so that the forecast falls when arrivals decline.
   void forget_old(Seconds now, Seconds longest_boot_s);
-  /// A spec for each class with arrivals to expect; its tasks are their number times `factor`,
-  /// rounded up. Services stay, so each arrival needs room of its own; of arrays, which come and
-  /// go, one is expected at a time, and only those that may use spot machines count.
+  /// Returns a spec for each job class with expected arrivals. Its task count is the expected
+  /// number of tasks times `factor`, rounded up. Services keep running, so every expected service
+  /// needs its own capacity. Arrays finish, so one array is expected at a time, and only classes
+  /// that may use spot machines are counted.
   std::vector<JobSpec> expected(double factor) const;
 
  private:
-  /// One job that arrived.
+  /// The arrival of one job.
   struct Arrival {
     Seconds accepted = 0;
     uint32_t tasks = 0;
   };
-  /// The jobs of one class that arrived lately.
+  /// The recent arrivals of one job class, and the spec of the latest job added.
   struct JobClass {
     JobSpec latest;
     std::deque<Arrival> arrivals;
@@ -40,7 +41,8 @@
   std::map<std::string, JobClass> classes_;
 };
 
-/// Demands for all tasks of the specs, which must outlive them.
+/// Returns placement requests for all tasks of the specs. The requests refer to the specs, which
+/// must outlive them.
 std::vector<PlacementRequest> placement_requests_for(const std::vector<JobSpec>& specs);
 
 }  // namespace sumacquay
--- a/src/dispatch/attempt_tracker.cpp
+++ b/src/dispatch/attempt_tracker.cpp
@@ -8,7 +8,7 @@
 namespace sumacquay {
 namespace {
 
-/// For the log.
+/// The name of an exit cause in log lines.
 std::string_view name(ExitCause cause) {
   switch (cause) {
     case ExitCause::None:
@@ -43,8 +43,9 @@
   attempt.image_gb = spec.image_gb;
   state_.add_possible_placement(machine, id);
   const bool gang = spec.kind == JobKind::Gang;
-  // The attempts of a gang belong together; of an array a task's own alone matter, and there may be
-  // tens of thousands of others.
+  // All tasks of a gang share an attempt number, so a gang's attempts are compared across its
+  // tasks. For other jobs only attempts of the same task are compared: an array may have tens of
+  // thousands of other tasks.
   const auto end = job.possible_placements.end();
   const auto first =
       gang ? job.possible_placements.begin() : job.possible_placements.find(id.task.task);
@@ -58,8 +59,8 @@
   if (gang) job.gang_attempt = newest;
   attempt.desired_running = id.attempt == newest && job.runnable() && id.task.task < spec.tasks &&
                             !job.done.contains(id.task.task);
-  // A task is started again only once its earlier attempt is certainly gone: a heartbeat that still
-  // shows that one is old, and must not stop the one that runs.
+  // A task is restarted only after its earlier attempt is certainly gone. A heartbeat that still
+  // lists the earlier attempt is outdated and must not stop the newer one.
   for (auto at = first; at != last; ++at)
     for (const TaskPlacement& placement : at->second)
       if (placement.attempt < newest)
@@ -120,7 +121,7 @@
   failures_.record_task_success(job, now);
   const JobSpec& spec = job.spec();
   if (spec.kind == JobKind::Service) return;
-  // The tasks of a gang complete together.
+  // The tasks of a gang complete as a unit.
   const bool gang = spec.kind == JobKind::Gang;
   const uint32_t first = gang ? 0 : id.task.task;
   const uint32_t end = std::min(spec.tasks, gang ? spec.tasks : id.task.task + 1);
@@ -138,7 +139,7 @@
   }
 }
 
-/// A stop that was asked for without a checkpoint stays so.
+/// A pending stop without a checkpoint is not changed by a later graceful stop.
 void AttemptTracker::request_stop(TaskAttempt& attempt, bool graceful, Seconds now) {
   if (!attempt.desired_running && attempt.stop_since) {
     attempt.graceful = attempt.graceful && graceful;
@@ -150,7 +151,7 @@
 }
 
 void AttemptTracker::stop_job(Job& job, bool graceful, Seconds now) {
-  const auto placements_before = job.possible_placements;  // removals change the job's own
+  const auto placements_before = job.possible_placements;  // removals modify the job's map
   for (const auto& [task, placements] : placements_before)
     for (const TaskPlacement& placement : placements) {
       Machine* machine = state_.find_machine(placement.machine);
@@ -159,7 +160,7 @@
       const auto attempt = machine->attempts.find(id);
       if (attempt == machine->attempts.end()) continue;
       if (!attempt->second.start_sent)
-        state_.remove_attempt(*machine, id);  // it never left this node
+        state_.remove_attempt(*machine, id);  // no start command was sent
       else
         request_stop(attempt->second, graceful, now);
       commands_.enqueue(*machine);
--- a/src/dispatch/attempt_tracker.h
+++ b/src/dispatch/attempt_tracker.h
@@ -9,30 +9,31 @@
 
 namespace sumacquay {
 
-/// Follows attempts of tasks through their states: adopts those that an earlier leader started,
-/// acts on how they exit, and stops them. It is the only place that changes an attempt's state, and
-/// queues the commands and record writes that follow from it.
+/// Tracks the states of task attempts: adopts attempts that an earlier leader started, handles
+/// their exits, and stops them. Only this class changes the state of an attempt; it also queues the
+/// resulting commands and record writes.
 class AttemptTracker {
  public:
   AttemptTracker(ClusterState& state, FailureAttribution& failures, CommandDispatcher& commands,
                  RecordQueue& records, WorkCounters& work)
       : state_(state), failures_(failures), commands_(commands), records_(records), work_(work) {}
 
-  /// A task that an earlier leader started is kept, unless it should not be there.
+  /// Takes over an attempt that an earlier leader started. It keeps running if it is the
+  /// newest attempt of a task that is still to run. Otherwise it is stopped, as are older attempts.
   void adopt(Machine& machine, const TaskAttemptId& id, TaskAttempt& attempt, Job& job,
              Seconds now);
   void set_state(Machine& machine, const TaskAttemptId& id, TaskAttempt& attempt,
                  TaskAttemptState next, Seconds now);
-  /// Nothing of what ran on the machine is left.
+  /// Removes all attempts from the machine. Called when none of them can be running any more.
   void remove_all(Machine& machine);
 
-  /// The attempt is to stop; `graceful`: it may save a checkpoint first. The caller queues the
-  /// command.
+  /// Marks the attempt as to be stopped. If `graceful`, it may save a checkpoint first. The caller
+  /// queues the command.
   void request_stop(TaskAttempt& attempt, bool graceful, Seconds now);
-  /// Stops all tasks of the job.
+  /// Stops all tasks of the job. Attempts whose start was not sent are removed immediately.
   void stop_job(Job& job, bool graceful, Seconds now);
-  /// A gang that lost a member starts again whole: the rest is stopped. Does nothing for other
-  /// jobs.
+  /// Stops the remaining tasks of a gang that lost a member, because a gang is restarted as a
+  /// whole. Does nothing for other jobs.
   void stop_gang_of(const TaskKey& task, Seconds now);
 
  private:
--- a/src/dispatch/autoscaler.cpp
+++ b/src/dispatch/autoscaler.cpp
@@ -8,16 +8,17 @@
 namespace sumacquay {
 namespace {
 
-/// So many machines may be requested at once in a fleet of any size.
+/// The number of machines that one scale-out may request regardless of the size of the fleet.
 constexpr int kMinScaleOutLimit = 12;
-/// The protocol's limit on one request.
+/// The cloud protocol's limit on the machines of one request.
 constexpr int kMaxInstancesPerRequest = 50;
 constexpr size_t kMaxMachinesPerScaleIn = 100;
-/// Pauses between requests / heartbeat period; the short one after the cloud has taken machines
-/// back.
+/// Minimum intervals between requests to the cloud, in heartbeat periods. The shorter one applies
+/// after the cloud has confirmed a release.
 constexpr double kPausePeriods = 0.5;
 constexpr double kPauseAfterScaleInPeriods = 0.1;
-/// How long a released machine may still be listed / the lag of the cloud's list.
+/// Time for which a released machine may remain in the cloud's list, as a multiple of the list's
+/// lag.
 constexpr double kListedAfterReleaseLags = 10;
 
 }  // namespace
@@ -99,7 +100,7 @@
   for (const auto& listed : machines) {
     const auto gone = released.find(listed.id);
     if (gone != released.end()) {
-      // Still listed long after its release: it was not released after all.
+      // Still listed after many times the list's lag: the release did not take effect.
       if (now > gone->second + kListedAfterReleaseLags * state_.settings().list_lag_s)
         released.erase(gone);
       continue;
@@ -109,7 +110,7 @@
     if (added) {
       machine.info.id = listed.id;
       machine.first_seen = now - listed.age_s;
-      machine.reconciled = true;  // without a record no start was ever sent there
+      machine.reconciled = true;  // no host record: no start was ever sent
     }
     machine.info.type = listed.type;
     machine.info.zone = listed.zone;
@@ -139,8 +140,9 @@
   }
 }
 
-/// Idle machines go once they have been so for a part of their boot time, unless expected arrivals
-/// would not fit without them.
+/// Releases machines that have been idle for the configured fraction of their boot time, unless
+/// expected arrivals would not fit without them. Quarantined machines and spot machines that are
+/// being reclaimed are released without that check.
 void Autoscaler::release_idle_machines(Seconds now) {
   if (!links_.capacity.settled(now) || requests_.any_in_flight()) return;
   update_idle_times(now);
--- a/src/dispatch/autoscaler.h
+++ b/src/dispatch/autoscaler.h
@@ -16,7 +16,7 @@
 
 namespace sumacquay {
 
-/// The modules that the autoscaler works with.
+/// The modules that the autoscaler depends on.
 struct AutoscalerLinks {
   const CapacityView& capacity;
   AttemptTracker& attempts;
@@ -25,32 +25,33 @@
   ArrivalForecast& arrivals;
 };
 
-/// Scales the fleet out for tasks that found no machine and ahead of expected arrivals, and in by
+/// Scales the fleet out for unplaced tasks and expected arrivals, and scales it in by releasing
 /// idle and failed machines. Owns the requests to the cloud that are in flight.
 class Autoscaler {
  public:
   Autoscaler(ClusterState& state, const AutoscalerLinks& links)
       : state_(state), links_(links), requests_(state.term()) {}
 
-  /// The cloud's list of machines, which may lag behind requests and releases.
+  /// Applies the cloud's list of machines, which may lag behind requests and releases.
   void on_machines_listed(const std::vector<ListedMachine>& machines, Seconds now);
-  /// The outcome of a `ScaleOut`, which is sent again while it is unknown.
+  /// Handles the outcome of a `ScaleOut`, which is retried while its outcome is unknown.
   void on_scale_out_answered(const ScaleOut& request, ScaleOutOutcome outcome,
                              const std::vector<std::string>& machines, Seconds now);
-  /// The outcome of a `ScaleIn`; `ok`: the cloud has taken all its machines back.
+  /// Handles the outcome of a `ScaleIn`; `ok`: the cloud has released all its machines.
   void on_scale_in_answered(const ScaleIn& release, bool ok, Seconds now);
 
   /// Appends requests for machines: for the tasks of `unplaced`, and for expected arrivals that
-  /// don't fit. At most twice a heartbeat period.
+  /// don't fit on the machines that are up. Acts at most twice per heartbeat period.
   void scale_out(std::vector<PlacementRequest> unplaced, Seconds now, std::vector<Action>& actions);
-  /// Appends a release of the machines that have failed or are idle. At most twice a heartbeat
-  /// period, one at a time.
+  /// Appends a release of the machines that have failed or are idle. One release is in flight at a
+  /// time, and the next follows half a heartbeat period later at the earliest, or a tenth of a
+  /// period after a successful one.
   void scale_in(Seconds now, std::vector<Action>& actions);
 
-  /// What can be requested from the cloud now; blocked where it refused lately or the zone is
-  /// partitioned.
+  /// All offerings of the cloud's catalog. An offering is blocked while requests for it back off
+  /// after a refusal, or while its zone is partitioned.
   std::vector<InstanceOffering> offerings(Seconds now) const;
-  /// Whether expected arrivals still fit beside what is placed tentatively.
+  /// Whether expected arrivals still fit in addition to the tentatively placed tasks.
   bool has_headroom(TentativePlacement& placement) const;
 
  private:
--- a/src/dispatch/capacity_view.cpp
+++ b/src/dispatch/capacity_view.cpp
@@ -5,9 +5,10 @@
 namespace sumacquay {
 namespace {
 
-/// The silence after which nothing new is started on a machine / heartbeat period. Heartbeats come
-/// up to a quarter late, and one may be lost and sent again.
+/// Time without a heartbeat after which a machine gets no new tasks, in heartbeat periods.
+/// Heartbeats arrive up to a quarter of a period late, and one may be lost and sent again.
 constexpr double kHeartbeatTimeoutPeriods = 2.5;
+/// Allowance for network delay.
 constexpr Seconds kNetworkSlack = 0.5;
 
 CandidateMachine candidate_for(const Machine& machine, const MachineType& type) {
--- a/src/dispatch/capacity_view.h
+++ b/src/dispatch/capacity_view.h
@@ -6,18 +6,20 @@
 
 namespace sumacquay {
 
-/// The cluster's capacity as bin packing sees it. Reads the ClusterState and owns nothing.
+/// Computes the input of bin packing, the capacity of each machine, from the ClusterState. Owns no
+/// state.
 class CapacityView {
  public:
   explicit CapacityView(const ClusterState& state) : state_(state) {}
 
-  /// The machines that are up, with what is available on each.
+  /// The machines that are up, with the resources available on each.
   std::vector<CandidateMachine> up(Seconds now) const;
-  /// The machines that are booting: all of their capacity is available once they are up.
+  /// The machines that are booting, whose capacity becomes available once they are up.
   std::vector<CandidateMachine> booting(Seconds now) const;
-  /// Whether the fleet may be changed by what is known of it: every machine is reconciled, or has
-  /// had time to be. A machine that is silent some heartbeats after the failover may stay so, and
-  /// in a large fleet some machine always is.
+  /// Whether the state of the fleet is complete enough to scale or rebalance it: all machines are
+  /// reconciled, or the heartbeat timeout has passed since the failover. The wait is limited
+  /// because a machine that is silent for so long may remain silent, and a large fleet always has
+  /// such a machine.
   bool settled(Seconds now) const;
 
  private:
--- a/src/dispatch/cluster_state.cpp
+++ b/src/dispatch/cluster_state.cpp
@@ -7,8 +7,8 @@
 namespace sumacquay {
 namespace {
 
-/// The part of a machine's cache that is counted on: fetches that were given up, and images of
-/// tasks that an earlier leader started, take space that this leader doesn't know of.
+/// The fraction of a machine's image cache that is assumed to be usable. Abandoned fetches, and
+/// images of tasks that an earlier leader started, take space that this leader has no record of.
 constexpr double kReliableCacheShare = 0.8;
 constexpr double kMillisecondsPerSecond = 1000;
 
@@ -48,7 +48,7 @@
   return static_cast<double>(arrival_ms(job)) / kMillisecondsPerSecond - wall_offset_;
 }
 
-/// Jobs that depend on it may have been known before it.
+/// Jobs that depend on this one may have been added before it.
 void ClusterState::inherit_priority(Job& job) {
   job.priority = job.spec().priority;
   for (const auto& id : dependencies_.dependents(job.spec().id))
--- a/src/dispatch/cluster_state.h
+++ b/src/dispatch/cluster_state.h
@@ -14,12 +14,14 @@
 
 namespace sumacquay {
 
-/// What the leader knows of its cluster: jobs, machines, attempts, where each task may be, and how
-/// jobs depend on one another. Owned by the Scheduler for one term; the other modules of this
-/// package read it and change it through the functions below. It decides nothing and does no I/O.
+/// The leader's state of its cluster: jobs and the dependencies between them, machines, task
+/// attempts, and the machines on which each task may be present. Owned by the Scheduler for one
+/// term; the other modules of this package read it and change it through the functions below. It
+/// makes no decisions and does no I/O.
 class ClusterState {
  public:
-  /// `wall_offset`: the time of day less the steady time, in seconds; arrivals alone use it.
+  /// `wall_offset`: the time of day minus the steady time, in seconds. Only the arrival and
+  /// completion times of jobs depend on it.
   ClusterState(const Settings& settings, uint64_t term, Seconds now, Seconds wall_offset)
       : settings_(settings),
         term_(term),
@@ -31,35 +33,41 @@
   uint64_t term() const { return term_; }
   /// When this leader began its term.
   Seconds failover_at() const { return failover_at_; }
-  /// The time of day in milliseconds that a steady time stands for.
+  /// Converts a steady time to the time of day in milliseconds.
   uint64_t time_of_day_ms(Seconds steady) const;
 
   // Jobs.
 
   std::unordered_map<std::string, Job>& jobs() { return jobs_; }
   const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
-  /// Null if the job is not among the live ones.
+  /// Null if the job has no live record.
   Job* find_job(const std::string& id);
   const Job* find_job(const std::string& id) const;
-  /// Whether the job is cancelled or finished, as far as this leader knows.
+  /// Whether the job is cancelled or finished according to the records that this leader has read.
+  /// True for a job without a live record.
   bool ended(const std::string& id) const;
 
   // Dependencies between jobs.
 
   DependencyGraph& dependencies() { return dependencies_; }
   const DependencyGraph& dependencies() const { return dependencies_; }
-  /// Takes in a job's dependencies. A job that is over stays among the live ones until nothing of
-  /// it is left anywhere, and the graph keeps it only for those that it knows to depend on it.
+  /// Adds a job's dependencies to the graph, together with their recorded states. The graph drops a
+  /// finished job that has no known dependents, while its live record remains until none of its
+  /// tasks can be present on any machine, so a new dependent may refer to a job that the graph
+  /// lacks.
   void track_dependencies(const JobRecord& record);
-  /// Whether all jobs that it depends on are done.
+  /// Whether all dependencies of the job are done.
   bool ready(const Job& job) const { return dependencies_.ready(job.spec().id); }
-  /// When the job began to count as waiting: a job with dependencies arrives when the last of them
-  /// is done. In milliseconds of the time of day, and in steady time.
+  /// When the job started to wait for placement: a job with dependencies arrives when the last of
+  /// them is done. `arrival_ms` is a time of day in milliseconds, `arrival` the same as a steady
+  /// time.
   uint64_t arrival_ms(const Job& job) const;
   Seconds arrival(const Job& job) const;
-  /// Sets the priority of a new job, and raises that of the jobs it depends on.
+  /// Sets the priority of a new job to the highest of its own and its dependents' priorities, and
+  /// raises the priority of its dependencies to at least that.
   void inherit_priority(Job& job);
-  /// Whether a job that it depends on was cancelled, which its own record doesn't say yet.
+  /// Whether a pending job that has not started depends on a cancelled job, which its own record
+  /// does not show yet.
   bool cancelled_by_dependency(const Job& job) const;
 
   // Machines.
@@ -69,35 +77,36 @@
   /// Null if there is no such machine.
   Machine* find_machine(const std::string& id);
   const Machine* find_machine(const std::string& id) const;
-  /// Machines that the cloud has taken back, and when: nothing runs on them.
+  /// Machines that the cloud has released, with the time of the release. Nothing runs on them.
   std::map<std::string, Seconds>& released_machines() { return released_machines_; }
   const std::map<std::string, Seconds>& released_machines() const { return released_machines_; }
-  /// The cloud's catalog; empty until it has been read.
+  /// The cloud's catalog of machine types; empty until it has been read.
   void set_machine_types(std::vector<MachineType> types) { machine_types_ = std::move(types); }
   const std::vector<MachineType>& machine_types() const { return machine_types_; }
   /// Null if the catalog has no such type.
   const MachineType* find_machine_type(const std::string& name) const;
-  /// The only place that changes a machine's state.
+  /// Every change of a machine's state goes through this function.
   void set_machine_state(Machine& machine, MachineState next);
-  /// Records that the machine holds the image, as its most recently used one.
+  /// Records the image as cached on the machine and as its most recently used one.
   void record_image_use(Machine& machine, const std::string& image, double size_gb) const;
 
   // Reconciliation after a failover.
 
-  /// A machine of an earlier leader's records: tasks may be on it until it is reconciled.
+  /// Counts a machine that was restored from an earlier leader's records. Tasks may be present on
+  /// it until it is reconciled.
   void add_unreconciled_machine() { ++unreconciled_machines_; }
-  /// The machine has told what it has, or certainly has nothing.
+  /// Marks the machine as reconciled: its worker has reported its tasks, or certainly runs none.
   void mark_reconciled(Machine& machine);
   bool all_reconciled() const { return unreconciled_machines_ == 0; }
 
-  // Attempts: where tasks are, or may be.
+  // Task attempts and the machines on which they may be present.
 
   void add_possible_placement(Machine& machine, const TaskAttemptId& id);
   void remove_possible_placement(Machine& machine, const TaskAttemptId& id);
   void remove_attempt(Machine& machine, const TaskAttemptId& id);
-  /// Whether tasks of the job may be on machines that nobody has reconciled since the failover.
+  /// Whether tasks of the job may be on machines that have not been reconciled since the failover.
   bool placement_unknown(const Job& job) const;
-  /// Whether no task of the job can be anywhere.
+  /// Whether no task of the job can be present on any machine.
   bool absent_everywhere(const Job& job) const {
     return job.possible_placements.empty() && !placement_unknown(job);
   }
@@ -106,11 +115,11 @@
 
   FencingTokenAllocator& token_allocator() { return token_allocator_; }
   const FencingTokenAllocator& token_allocator() const { return token_allocator_; }
-  /// The token in force at the machine's worker.
+  /// The fencing token in force for the machine's worker.
   uint64_t fencing_token(const Machine& machine) const {
     return token_allocator_.with_term(machine.counter);
   }
-  /// Ends whatever was commanded under the token before, however late it arrives.
+  /// Invalidates all commands that were sent under the previous token, however late they arrive.
   void advance_fencing_token(Machine& machine);
 
  private:
@@ -129,8 +138,8 @@
   size_t unreconciled_machines_ = 0;
 };
 
-/// Where a task's attempts may be, flattened: calls `visit(task, placement)` for each of them, in
-/// the order of tasks, machines and attempts.
+/// Calls `visit(task, placement)` for each possible placement of the job's tasks, in the order of
+/// tasks, machines and attempts.
 template <class Visit>
 void for_each_possible_placement(const Job& job, Visit&& visit) {
   for (const auto& [task, placements] : job.possible_placements)
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -5,10 +5,10 @@
 namespace sumacquay {
 namespace {
 
-/// Keeps an answer to a worker well under the protocol's 64 KiB.
+/// Keeps an answer to a worker well below the protocol's limit of 64 KiB.
 constexpr size_t kMaxCommands = 300;
-/// The time that a task gets to save a checkpoint before it is killed: this multiple of the time a
-/// checkpoint takes, and a second.
+/// The grace period for saving a checkpoint before a task is killed: this multiple of the job's
+/// checkpoint duration, plus the extra time.
 constexpr double kCheckpointGrace = 1.5;
 constexpr Seconds kCheckpointGraceExtra = 1;
 
@@ -28,7 +28,8 @@
     if (has_unsent_commands(machine)) enqueue(machine);
 }
 
-/// A start waits for the machine's record, and for the job's record to name the machine.
+/// A start command waits until the machine's record is durable and the job's durable record names
+/// the machine, so that a later leader finds the task.
 bool CommandDispatcher::startable(const Machine& machine, const TaskAttemptId& id,
                                   const TaskAttempt& attempt) const {
   if (!attempt.desired_running || attempt.state != TaskAttemptState::Scheduled ||
@@ -53,8 +54,8 @@
   }
 }
 
-/// A worker keeps an attempt that is done until the job's record says so: no other leader would
-/// learn of it.
+/// A worker keeps a completed attempt until the job's record lists the task as done. Without
+/// either, a later leader would not find out that the task is done and would run it again.
 bool CommandDispatcher::may_forget(const TaskAttemptId& id, const TaskAttempt& attempt) const {
   const Job* job = state_.find_job(id.task.job);
   return attempt.cause != ExitCause::Done || !job || job->spec().kind == JobKind::Service ||
@@ -77,7 +78,7 @@
   return commands;
 }
 
-/// Whether there is something to tell the worker that no command has told it yet.
+/// Whether a start or stop is due that has not been sent yet.
 bool CommandDispatcher::has_unsent_commands(const Machine& machine) const {
   return std::any_of(machine.attempts.begin(), machine.attempts.end(),
                      [this, &machine](const auto& entry) {
--- a/src/dispatch/command_dispatcher.h
+++ b/src/dispatch/command_dispatcher.h
@@ -9,26 +9,26 @@
 
 namespace sumacquay {
 
-/// Decides which commands a worker gets, in the answer to its heartbeat or sent by the leader of
-/// its own accord. Owns the queue of machines that may have commands to be sent, so that sending
-/// them costs what there is to send and not a look at every machine. The queue only says where to
-/// look: whatever leaves it is judged anew.
+/// Decides which commands a worker gets, either in the answer to its heartbeat or in a request from
+/// the leader. Owns the queue of machines that may have commands to send, so that the cost of
+/// sending depends on the number of commands and not on the size of the fleet. An entry in the
+/// queue is only a hint: each machine is checked again when it leaves the queue.
 class CommandDispatcher {
  public:
   CommandDispatcher(ClusterState& state, WorkCounters& work) : state_(state), work_(work) {}
 
-  /// The machine may have commands to be sent.
+  /// Queues the machine, which may have commands to send.
   void enqueue(const Machine& machine);
-  /// The job's tasks may be started now wherever they were placed.
+  /// Queues all machines on which the job's tasks are placed, since the tasks may now be started.
   void enqueue_machines_of(const Job& job);
-  /// Finds whatever came up without being queued, by the passing of time above all. Called once a
-  /// round; looks at every machine.
+  /// Queues machines with unsent commands that no event has queued, mostly because a command became
+  /// due with time. Called once per round; checks every machine.
   void enqueue_overlooked();
 
-  /// All that the worker is to be told: stops first, which are never cut, then starts and, if
-  /// `with_forgets`, permissions to forget attempts that have exited.
+  /// All commands that are due for the worker: stops first, which are never truncated, then starts
+  /// and, if `with_forgets`, permissions to discard attempts that have exited.
   std::vector<Command> commands_for(Machine& machine, bool with_forgets);
-  /// Appends a `SendCommands` for each queued machine that can be sent some now.
+  /// Appends a `SendCommands` for each queued machine that has commands and can receive them now.
   void dispatch(Seconds now, std::vector<Action>& actions);
 
  private:
--- a/src/dispatch/failure_attribution.cpp
+++ b/src/dispatch/failure_attribution.cpp
@@ -8,15 +8,16 @@
 namespace sumacquay {
 namespace {
 
-/// Failed machines that show a job to be crash looping, and failed jobs that put a machine in
-/// quarantine.
+/// The number of machines on which a job has to fail to count as crash looping, and the number of
+/// jobs that have to fail on a machine for it to be quarantined.
 constexpr size_t kMinFailedMachinesForCrashLoop = 3;
 constexpr size_t kMinFailedJobsForQuarantine = 2;
-/// A job avoids the machines on which it failed, up to this many; past it, it may go anywhere.
+/// A job avoids the machines on which it failed. When the list has reached this size, it is
+/// cleared, and the job may be placed anywhere again.
 constexpr size_t kMaxAvoidedMachines = 8;
 constexpr int kMaxBackoffDoublings = 6;
-/// The time after which a quarantined machine is released, though none of the jobs that failed
-/// there has succeeded elsewhere / workers' lease.
+/// Time after which a quarantined machine is released even if none of the jobs that failed there
+/// has succeeded elsewhere, as a multiple of the worker lease.
 constexpr double kQuarantineConfirmedLeases = 3;
 
 }  // namespace
@@ -41,7 +42,7 @@
     log_info("job_crash_looping", log_field("job", job.spec().id));
     clear_failures(job);
   }
-  // Attempts that had started before the backoff began are no further retry.
+  // A failure during the backoff comes from an attempt that started before it, not from a retry.
   if (now < job.backoff_until) return;
   const int doublings = std::min(job.failed_retries, kMaxBackoffDoublings);
   job.backoff_until = now + state_.settings().heartbeat_period_s * (1 << doublings);
--- a/src/dispatch/failure_detector.cpp
+++ b/src/dispatch/failure_detector.cpp
@@ -7,28 +7,34 @@
 namespace sumacquay {
 namespace {
 
-/// Both clocks may drift; a little is added for what the arithmetic leaves out.
+/// The drift that is allowed for between the leader's and the worker's clock, relative to the
+/// lease, and a margin for inaccuracies that the drift does not cover.
 constexpr double kClockDrift = 0.002;
 constexpr Seconds kLeaseSlack = 0.1;
-/// The pause between two events that shows this process to have been paused / workers' lease.
+/// The gap between two events from which this process counts as paused, as a fraction of the worker
+/// lease.
 constexpr double kPauseThreshold = 0.1;
-/// Boot times past which a machine is taken for one that never comes up: the first if one of its
-/// type that was requested later is up, the second if none is, since then all may be slow.
+/// Time after which a booting machine is assumed never to come up, as a multiple of the boot time
+/// of its type. The first applies if a machine of the type that was requested later is up; the
+/// second applies otherwise, since all machines of the type may be slow.
 constexpr double kBootOverdue = 1.8;
 constexpr double kBootOverdueWhenAllSlow = 3.5;
-/// The boot time of a type that the cloud's catalog doesn't list.
+/// Assumed boot time of a machine type that the cloud's catalog doesn't list.
 constexpr Seconds kUnknownTypeBootTime = 60;
-/// The silence of all machines that shows this node to be isolated / heartbeat period.
+/// Time without a heartbeat from any machine after which this node counts as isolated, in heartbeat
+/// periods.
 constexpr double kIsolationPeriods = 2.5;
-/// The time that workers need to find a new leader / their lease.
+/// Time that workers need to find a new leader, as a fraction of the worker lease.
 constexpr double kLeaderDiscoveryLeases = 0.3;
-/// A heartbeat comes up to a quarter of a period late.
+/// Time after which a heartbeat is overdue, in heartbeat periods. A heartbeat arrives up to a
+/// quarter of a period late.
 constexpr double kOverduePeriods = 1.25;
+/// Allowance for network delay.
 constexpr Seconds kNetworkSlack = 0.5;
-/// A machine counts as heard recently within this part of a heartbeat period.
+/// Age up to which a heartbeat counts as recent, as a fraction of the heartbeat period.
 constexpr double kRecentPeriods = 0.5;
-/// A machine counts as silent, when zones are judged, after this part of the time after which it is
-/// suspected.
+/// Time after which a machine counts as silent in the detection of zone partitions, as a fraction
+/// of the time after which a machine is suspected to have failed.
 constexpr double kZoneSilenceShare = 0.6;
 
 }  // namespace
@@ -76,9 +82,10 @@
   log_info("previous_leader_fenced", log_field("term", state_.term()));
 }
 
-/// A single silent machine has failed by itself. When all of several are silent at once, it is this
-/// node that they can't reach, and each of them would lose its lease though other nodes could
-/// answer it. A new leader waits longer, since workers must find it first.
+/// A single silent machine has most likely failed itself. If all of several
+/// machines are silent at once, they can't reach this node, and each of them would lose its lease
+/// although other nodes could renew it. A new leader waits longer, since workers have to find it
+/// first.
 bool FailureDetector::isolated_from_workers(Seconds now) const {
   const Settings& settings = state_.settings();
   const Seconds patience = kIsolationPeriods * settings.heartbeat_period_s + kNetworkSlack;
@@ -93,8 +100,8 @@
   return up >= kMinMachinesForPartition && now - newest > patience;
 }
 
-/// When the worker's lease has expired for certain, counted from the last answer that anybody could
-/// have given it.
+/// When the worker's lease has certainly expired, counted from the last answer that this leader, a
+/// delegate or an earlier leader may have sent to the worker.
 Seconds FailureDetector::latest_lease_expiry(const Machine& machine, Seconds now) const {
   Seconds last =
       std::max(machine.last_lease_renewal, delegations_.last_answer(machine.info.zone, now));
@@ -104,8 +111,8 @@
 
 void FailureDetector::expire_leases(Seconds now) {
   for (auto& [id, machine] : state_.machines()) {
-    // One that is being released expires as well: the cloud may be unavailable for longer than a
-    // lease.
+    // The lease of a machine that is being released expires as well: the cloud may be unavailable
+    // for longer than a lease.
     const bool releasing = machine.state == MachineState::Releasing && machine.may_run_tasks();
     if (!releasing && machine.state != MachineState::Up) continue;
     if (now <= latest_lease_expiry(machine, now)) continue;
@@ -118,8 +125,10 @@
   }
 }
 
-/// The machines of a zone are heard again within a heartbeat period or more, not at once: those
-/// that are still silent when most are heard are as alive as the others.
+/// After a partition the first heartbeats of a zone's machines arrive over a heartbeat period or
+/// more. Machines that are still silent when most machines are reachable again are no more likely
+/// to have failed than the others, so the silence of every machine in the zone is counted from now
+/// on.
 void FailureDetector::on_partition_healed(const std::string& zone, Seconds now) {
   for (auto& [id, machine] : state_.machines())
     if (machine.info.zone == zone) machine.partition_healed_at = now;
@@ -141,7 +150,7 @@
     on_partition_healed(zone, now);
 }
 
-/// Whether a machine that boots will never come up.
+/// Whether a booting machine is assumed never to come up.
 bool FailureDetector::boot_failed(const Machine& machine, Seconds now) const {
   if (machine.listed_failed) return true;
   if (zone_partitioned(machine.info.zone)) return false;
@@ -152,10 +161,11 @@
                                         (type ? type->boot_s : kUnknownTypeBootTime);
 }
 
-/// Whether the machine has failed, as far as its silence tells. One that has been silent for long
-/// has failed more often than its network has; so has one that is late and does not answer a probe
-/// while many others of its zone are heard. Commands without an answer are no reason to wait for
-/// the lease: nothing of the machine is left once the cloud has taken it back.
+/// Whether the machine is suspected to have failed, judged by its silence. After a long silence a
+/// failed machine is more likely than a failed network. The same holds for a machine whose
+/// heartbeat is overdue and that does not answer a probe while many other machines of its zone send
+/// heartbeats. Unanswered commands are no reason to wait until the lease expires: nothing runs on
+/// the machine once the cloud has terminated it.
 bool FailureDetector::suspected(const Machine& machine, Seconds now) const {
   const Settings& settings = state_.settings();
   if (zone_partitioned(machine.info.zone) || !machine.may_run_tasks()) return false;
--- a/src/dispatch/failure_detector.h
+++ b/src/dispatch/failure_detector.h
@@ -12,52 +12,57 @@
 
 namespace sumacquay {
 
-/// Finds machines that have failed and zones that are partitioned, expires workers' leases, probes
-/// machines whose heartbeats are late, and notices when no worker reaches this leader. Owns what
-/// that takes: since when the leader has been listening, the partitioned zones, until when earlier
-/// leaders and delegated responders may have answered workers.
+/// Detects failed machines and partitioned zones, expires workers' leases, probes machines whose
+/// heartbeats are late, and detects when no worker can reach this leader. Owns the state that this
+/// requires: the start of the observation, the partitioned zones, and the times until which earlier
+/// leaders and delegates may have answered workers.
 ///
-/// Doubt counts as presence: a task is gone only once its worker's lease has certainly expired.
+/// In case of doubt a task counts as present: it is gone only once its worker's lease has certainly
+/// expired.
 class FailureDetector {
  public:
-  /// `previous_leader_fenced_at`: until when an earlier leader may have answered workers.
+  /// `previous_leader_fenced_at`: the time until which an earlier leader may answer workers.
   FailureDetector(ClusterState& state, AttemptTracker& attempts, const FailureAttribution& failures,
                   Seconds now, Seconds previous_leader_fenced_at);
 
   // Events.
 
-  /// Called with every event, before it is acted on. A process that was paused, or busy for long,
-  /// has received nothing meanwhile and must not take that for the machines' silence. No more than
-  /// the pause itself is taken off, or a leader with slow rounds would never suspect a machine.
+  /// Called for every event before it is handled. A process that was paused, or busy for a long
+  /// time, received no heartbeats in the meantime, so a long gap between events is not counted as
+  /// silence of the machines. Only the gap itself is excluded; otherwise a leader with slow rounds
+  /// would never suspect a machine.
   void record_event(Seconds now);
-  /// A worker's own heartbeat has arrived.
+  /// Records a heartbeat that the worker sent by itself, not in answer to a command or a probe.
   void record_heartbeat(Machine& machine, Seconds now);
-  /// The machine has been heard: it is up, if it was booting or its lease had expired.
+  /// Called when a heartbeat arrives: a machine that was booting, or whose lease had expired, is
+  /// up.
   void mark_up(Machine& machine, Seconds now);
-  /// No earlier leader can answer a worker any more.
+  /// Called once no earlier leader can answer a worker any more.
   void on_previous_leader_fenced(Seconds now);
-  /// Nodes that answer workers of their zone in this leader's place while they can't reach it.
+  /// The delegates: nodes that answer the workers of their zone on behalf of this leader while the
+  /// nodes can't reach it.
   Delegations& delegations() { return delegations_; }
 
-  // What a tick does.
+  // Periodic checks.
 
-  /// Removes what ran on machines whose workers' leases have certainly expired.
+  /// Removes all attempts from machines whose workers' leases have certainly expired.
   void expire_leases(Seconds now);
-  /// Counts the zones' machines anew and finds out which zones are partitioned.
+  /// Counts the silent machines of each zone and determines which zones are partitioned.
   void update_partitioned_zones(Seconds now);
-  /// Appends a `Probe` for each machine that this leader has not met yet or that is late with a
-  /// heartbeat.
+  /// Appends a `Probe` for each machine that an earlier leader recorded and that has not
+  /// acknowledged this leader's fencing token yet, and for each machine whose heartbeat is overdue.
   void probe(Seconds now, std::vector<Action>& actions);
 
-  // Judgements.
+  // Queries.
 
-  /// Seconds since the machine was last heard, without the time in which it could not be.
+  /// Seconds since the last heartbeat of the machine, not counting pauses of this process and the
+  /// time before its zone's last partition healed.
   Seconds time_since_heartbeat(const Machine& machine, Seconds now) const;
   bool heartbeat_overdue(const Machine& machine, Seconds now) const;
-  /// Whether the machine is to be given back although it isn't idle.
+  /// Whether the machine is to be released although it isn't idle.
   bool should_release(const Machine& machine, Seconds now) const;
   bool zone_partitioned(const std::string& zone) const { return zones_.partitioned(zone); }
-  /// Whether no worker reaches this node any more, so that another node should lead.
+  /// Whether no worker can reach this node any more, so that another node should lead.
   bool isolated_from_workers(Seconds now) const;
 
  private:
@@ -71,14 +76,14 @@
   const FailureAttribution& failures_;
   Delegations delegations_;
   Seconds previous_leader_fenced_at_;
-  bool previous_leader_fenced_ = false;  ///< known before the time above
+  bool previous_leader_fenced_ = false;  ///< confirmed before `previous_leader_fenced_at_`
   Seconds last_event_at_;
-  /// The failover, later by all pauses since: no machine has been silent for longer.
+  /// Start of the observation: the time of the failover, plus all pauses of this process since
+  /// then. No machine counts as silent for longer.
   Seconds listening_since_;
-  Seconds latest_heartbeat_ = 0;  ///< of any machine
+  Seconds latest_heartbeat_ = 0;  ///< from any machine
   ZonePartitionDetector zones_;
-  /// By machine type: when the last requested machine of those that this leader saw boot was first
-  /// seen.
+  /// By machine type: the latest `first_seen` of the machines that came up under this leader.
   std::map<std::string, Seconds> newest_booted_;
 };
 
--- a/src/dispatch/fleet_summary_log.h
+++ b/src/dispatch/fleet_summary_log.h
@@ -6,14 +6,15 @@
 
 namespace sumacquay {
 
-/// Writes a summary of the fleet to the log once a worker's lease, for operators: what is paid for
-/// and used of each machine type, and how many jobs wait. Owns when the next one is due.
+/// Writes a summary of the fleet to the log once per worker lease, for operators: the capacity that
+/// is paid for and used of each machine type, and the number of waiting jobs. Owns the time of the
+/// next summary.
 class FleetSummaryLog {
  public:
   FleetSummaryLog(const ClusterState& state, const WorkCounters& work)
       : state_(state), work_(work) {}
 
-  /// `unplaced_jobs`: jobs that found no room in the last round.
+  /// `unplaced_jobs`: the number of jobs that could not be placed in the last round.
   void write_if_due(size_t unplaced_jobs, Seconds now);
 
  private:
