--- a/src/autoscaling/scale_out_planner.cpp
+++ b/src/autoscaling/scale_out_planner.cpp
@@ -23,7 +23,7 @@
 /// that the tasks use, plus half the price of the capacity that they leave unused, since other
 /// tasks may use it. The cost rises with the time to boot and to fetch the image.
 double cost(const InstanceOffering& offering, const JobSpec& spec, size_t tasks) {
-  constexpr double kWaitScaleSeconds = 120;  // a wait of this length doubles the cost
+  constexpr double kCostDoublingWaitSeconds = 120;  // a wait of this length doubles the cost
   const auto task_count = static_cast<double>(tasks);
   const double per_task = dominant_share(spec.request, offering.type->capacity);
   const double tasks_per_machine = std::max(1.0, std::floor(1 / per_task + 1e-9));
@@ -31,7 +31,7 @@
   const double used = std::min(machines, task_count * per_task);
   const double fetch_s = spec.image_gb / std::max(offering.type->fetch_gb_per_s, 1e-3);
   return offering.price * (0.5 * used + 0.5 * machines) *
-         (1 + (offering.type->boot_s + fetch_s) / kWaitScaleSeconds);
+         (1 + (offering.type->boot_s + fetch_s) / kCostDoublingWaitSeconds);
 }
 
 CandidateMachine new_candidate(const InstanceOffering& offering) {
@@ -46,12 +46,12 @@
 /// Whether one task fits on a new machine of the offering, regardless of the kind of job.
 bool one_task_fits(const PlacementRequest& placement_request, const InstanceOffering& offering) {
   std::vector<CandidateMachine> new_machine{new_candidate(offering)};
-  PlacementRequest probe = placement_request;
+  PlacementRequest single_task_request = placement_request;
   JobSpec spec = *placement_request.spec;
   spec.kind = JobKind::Service;
-  probe.spec = &spec;
-  probe.tasks.resize(1);
-  return !bin_pack(probe, new_machine).empty();
+  single_task_request.spec = &spec;
+  single_task_request.tasks.resize(1);
+  return !bin_pack(single_task_request, new_machine).empty();
 }
 
 void remove_placed(PlacementRequest& placement_request, const std::vector<Assignment>& assignments,
--- a/src/backlog/pending_queue.cpp
+++ b/src/backlog/pending_queue.cpp
@@ -5,24 +5,24 @@
 namespace sumacquay {
 
 void PendingQueue::put(const std::string& name, size_t priority) {
-  const auto queued = places_.find(name);
-  if (queued != places_.end()) {
+  const auto queued = entries_.find(name);
+  if (queued != entries_.end()) {
     if (queued->second.priority == priority) return;
-    names_[queued->second.priority].erase(queued->second.position);
-    places_.erase(queued);
+    queues_[queued->second.priority].erase(queued->second.position);
+    entries_.erase(queued);
   }
-  Names& names = names_[priority];
-  names.push_back(name);
-  places_[name] = {priority, std::prev(names.end())};
+  NameList& queue = queues_[priority];
+  queue.push_back(name);
+  entries_[name] = {priority, std::prev(queue.end())};
 }
 
 std::optional<std::string> PendingQueue::pop() {
-  auto* const names = std::find_if(names_.begin(), names_.end(),
-                                   [](const Names& waiting) { return !waiting.empty(); });
-  if (names == names_.end()) return std::nullopt;
-  std::string name = std::move(names->front());
-  names->pop_front();
-  places_.erase(name);
+  auto* const queue = std::find_if(queues_.begin(), queues_.end(),
+                                   [](const NameList& names) { return !names.empty(); });
+  if (queue == queues_.end()) return std::nullopt;
+  std::string name = std::move(queue->front());
+  queue->pop_front();
+  entries_.erase(name);
   return name;
 }
 
--- a/src/backlog/pending_queue.h
+++ b/src/backlog/pending_queue.h
@@ -20,19 +20,19 @@
   void put(const std::string& name, size_t priority = 0);
   /// Removes and returns the next name; `nullopt` if the queue is empty.
   std::optional<std::string> pop();
-  bool empty() const { return places_.empty(); }
-  size_t size() const { return places_.size(); }
+  bool empty() const { return entries_.empty(); }
+  size_t size() const { return entries_.size(); }
 
  private:
-  using Names = std::list<std::string>;
+  using NameList = std::list<std::string>;
   /// The priority of a queued name and its position in the list of that priority.
-  struct Place {
+  struct Entry {
     size_t priority = 0;
-    Names::iterator position;
+    NameList::iterator position;
   };
 
-  std::array<Names, kPriorities> names_;
-  std::unordered_map<std::string, Place> places_;
+  std::array<NameList, kPriorities> queues_;
+  std::unordered_map<std::string, Entry> entries_;
 };
 
 }  // namespace sumacquay
--- a/src/dispatch/arrival_forecast.cpp
+++ b/src/dispatch/arrival_forecast.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /// Length of the window of recorded arrivals, as a multiple of the longest boot time.
-constexpr double kWindowBoots = 5;
+constexpr double kArrivalWindowBootTimes = 5;
 /// Subtracted before rounding up, so that a floating-point error does not add a task.
-constexpr double kRounding = 1e-9;
+constexpr double kRoundingTolerance = 1e-9;
 
 }  // namespace
 
@@ -21,15 +21,16 @@
 }
 
 void ArrivalForecast::forget_old(Seconds now, Seconds longest_boot_s) {
-  const Seconds oldest = now - kWindowBoots * longest_boot_s;
+  const Seconds window_start = now - kArrivalWindowBootTimes * longest_boot_s;
   for (auto& [name, job_class] : classes_)
-    std::erase_if(job_class.arrivals, [oldest](const Arrival& a) { return a.accepted < oldest; });
+    std::erase_if(job_class.arrivals,
+                  [window_start](const Arrival& a) { return a.accepted < window_start; });
 }
 
 double ArrivalForecast::expected_tasks(const JobClass& job_class) {
   const double tasks = std::accumulate(job_class.arrivals.begin(), job_class.arrivals.end(), 0.0,
                                        [](double sum, const Arrival& a) { return sum + a.tasks; });
-  const double mean = tasks / kWindowBoots;
+  const double mean = tasks / kArrivalWindowBootTimes;
   // Arrivals vary: adds one standard deviation, that of a Poisson process, to the mean.
   if (job_class.latest.kind == JobKind::Service) return mean + std::sqrt(mean);
   if (job_class.latest.kind == JobKind::Array && job_class.latest.spot &&
@@ -39,28 +40,28 @@
 }
 
 std::vector<JobSpec> ArrivalForecast::expected(double factor) const {
-  std::vector<JobSpec> out;
+  std::vector<JobSpec> specs;
   for (const auto& [name, job_class] : classes_) {
-    const double tasks = std::ceil(factor * expected_tasks(job_class) - kRounding);
+    const double tasks = std::ceil(factor * expected_tasks(job_class) - kRoundingTolerance);
     if (tasks < 1) continue;
     JobSpec spec = job_class.latest;
     spec.tasks = static_cast<uint32_t>(tasks);
     spec.kind = JobKind::Service;
-    out.push_back(std::move(spec));
+    specs.push_back(std::move(spec));
   }
-  return out;
+  return specs;
 }
 
 std::vector<PlacementRequest> placement_requests_for(const std::vector<JobSpec>& specs) {
-  std::vector<PlacementRequest> out;
+  std::vector<PlacementRequest> requests;
   for (const JobSpec& spec : specs) {
-    PlacementRequest placement_request;
-    placement_request.spec = &spec;
-    placement_request.tasks.resize(spec.tasks);
-    std::iota(placement_request.tasks.begin(), placement_request.tasks.end(), 0u);
-    out.push_back(std::move(placement_request));
+    PlacementRequest request;
+    request.spec = &spec;
+    request.tasks.resize(spec.tasks);
+    std::iota(request.tasks.begin(), request.tasks.end(), 0u);
+    requests.push_back(std::move(request));
   }
-  return out;
+  return requests;
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/autoscaler.cpp
+++ b/src/dispatch/autoscaler.cpp
@@ -15,11 +15,11 @@
 constexpr size_t kMaxMachinesPerScaleIn = 100;
 /// Minimum intervals between requests to the cloud, in heartbeat periods. The shorter one applies
 /// after the cloud has confirmed a release.
-constexpr double kPausePeriods = 0.5;
-constexpr double kPauseAfterScaleInPeriods = 0.1;
+constexpr double kRequestIntervalPeriods = 0.5;
+constexpr double kIntervalAfterScaleInPeriods = 0.1;
 /// Time for which a released machine may remain in the cloud's list, as a multiple of the list's
 /// lag.
-constexpr double kListedAfterReleaseLags = 10;
+constexpr double kListedAfterReleaseListLags = 10;
 
 }  // namespace
 
@@ -48,7 +48,7 @@
   const Settings& settings = state_.settings();
   if (now < next_scale_out_ || state_.machine_types().empty() || !links_.capacity.settled(now))
     return;
-  next_scale_out_ = now + settings.heartbeat_period_s * kPausePeriods;
+  next_scale_out_ = now + settings.heartbeat_period_s * kRequestIntervalPeriods;
   links_.arrivals.forget_old(now, longest_boot_time());
   for (auto& request : requests_.due_for_retry(now)) actions.emplace_back(std::move(request));
   if (requests_.any_in_flight()) return;
@@ -69,9 +69,9 @@
 }
 
 void Autoscaler::request_instances(const ScaleOutRequest& plan, std::vector<Action>& actions) {
-  for (int left = plan.count; left > 0; left -= kMaxInstancesPerRequest) {
-    ScaleOut request =
-        requests_.open({plan.type, plan.zone, plan.spot}, std::min(left, kMaxInstancesPerRequest));
+  for (int remaining = plan.count; remaining > 0; remaining -= kMaxInstancesPerRequest) {
+    ScaleOut request = requests_.open({plan.type, plan.zone, plan.spot},
+                                      std::min(remaining, kMaxInstancesPerRequest));
     log_info("scale_out_requested", log_field("count", request.count),
              log_field("type", request.type), log_field("zone", request.zone),
              log_field("spot", request.spot));
@@ -98,11 +98,11 @@
 void Autoscaler::on_machines_listed(const std::vector<ListedMachine>& machines, Seconds now) {
   auto& released = state_.released_machines();
   for (const auto& listed : machines) {
-    const auto gone = released.find(listed.id);
-    if (gone != released.end()) {
+    const auto released_entry = released.find(listed.id);
+    if (released_entry != released.end()) {
       // Still listed after many times the list's lag: the release did not take effect.
-      if (now > gone->second + kListedAfterReleaseLags * state_.settings().list_lag_s)
-        released.erase(gone);
+      if (now > released_entry->second + kListedAfterReleaseListLags * state_.settings().list_lag_s)
+        released.erase(released_entry);
       continue;
     }
     auto [entry, added] = state_.machines().try_emplace(listed.id);
@@ -146,16 +146,16 @@
 void Autoscaler::release_idle_machines(Seconds now) {
   if (!links_.capacity.settled(now) || requests_.any_in_flight()) return;
   update_idle_times(now);
-  auto others = links_.capacity.up(now);
-  for (auto& candidate : others) {
+  auto candidates = links_.capacity.up(now);
+  for (auto& candidate : candidates) {
     Machine& machine = state_.machines().at(candidate.machine);
     const MachineType* type = state_.find_machine_type(machine.info.type);
     if (!machine.idle_since || !type ||
         now - *machine.idle_since < state_.settings().tuning.idle * type->boot_s)
       continue;
     const bool schedulable = std::exchange(candidate.schedulable, false);
-    TentativePlacement without(others);
-    if (machine.quarantined() || machine.reclaim_at || has_headroom(without))
+    TentativePlacement placement(candidates);
+    if (machine.quarantined() || machine.reclaim_at || has_headroom(placement))
       state_.set_machine_state(machine, MachineState::Releasing);
     else
       candidate.schedulable = schedulable;
@@ -174,7 +174,7 @@
 
 void Autoscaler::scale_in(Seconds now, std::vector<Action>& actions) {
   if (scale_in_in_flight_ || now < next_scale_in_) return;
-  next_scale_in_ = now + state_.settings().heartbeat_period_s * kPausePeriods;
+  next_scale_in_ = now + state_.settings().heartbeat_period_s * kRequestIntervalPeriods;
   links_.failure_detector.update_partitioned_zones(now);
   release_failed_machines(now);
   release_idle_machines(now);
@@ -190,8 +190,8 @@
 
 void Autoscaler::on_scale_in_answered(const ScaleIn& release, bool ok, Seconds now) {
   scale_in_in_flight_ = false;
-  next_scale_in_ =
-      now + state_.settings().heartbeat_period_s * (ok ? kPauseAfterScaleInPeriods : kPausePeriods);
+  next_scale_in_ = now + state_.settings().heartbeat_period_s *
+                             (ok ? kIntervalAfterScaleInPeriods : kRequestIntervalPeriods);
   if (!ok) return;
   for (const auto& id : release.machines) {
     Machine* machine = state_.find_machine(id);
--- a/src/dispatch/capacity_view.cpp
+++ b/src/dispatch/capacity_view.cpp
@@ -9,7 +9,7 @@
 /// Heartbeats arrive up to a quarter of a period late, and one may be lost and sent again.
 constexpr double kHeartbeatTimeoutPeriods = 2.5;
 /// Allowance for network delay.
-constexpr Seconds kNetworkSlack = 0.5;
+constexpr Seconds kNetworkDelayAllowance = 0.5;
 
 CandidateMachine candidate_for(const Machine& machine, const MachineType& type) {
   CandidateMachine candidate;
@@ -30,7 +30,7 @@
 }  // namespace
 
 Seconds CapacityView::heartbeat_timeout() const {
-  return kHeartbeatTimeoutPeriods * state_.settings().heartbeat_period_s + kNetworkSlack;
+  return kHeartbeatTimeoutPeriods * state_.settings().heartbeat_period_s + kNetworkDelayAllowance;
 }
 
 bool CapacityView::schedulable(const Machine& machine, Seconds now) const {
--- a/src/dispatch/cluster_state.cpp
+++ b/src/dispatch/cluster_state.cpp
@@ -9,7 +9,7 @@
 
 /// The fraction of a machine's image cache that is assumed to be usable. Abandoned fetches, and
 /// images of tasks that an earlier leader started, take space that this leader has no record of.
-constexpr double kReliableCacheShare = 0.8;
+constexpr double kUsableCacheFraction = 0.8;
 constexpr double kMillisecondsPerSecond = 1000;
 
 }  // namespace
@@ -101,7 +101,7 @@
                                     double size_gb) const {
   const MachineType* type = find_machine_type(machine.info.type);
   if (!image.empty())
-    machine.images.use(image, size_gb, type ? type->cache_gb * kReliableCacheShare : 0);
+    machine.images.use(image, size_gb, type ? type->cache_gb * kUsableCacheFraction : 0);
 }
 
 void ClusterState::mark_reconciled(Machine& machine) {
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -6,21 +6,22 @@
 namespace {
 
 /// Keeps an answer to a worker well below the protocol's limit of 64 KiB.
-constexpr size_t kMaxCommands = 300;
+constexpr size_t kMaxCommandsPerMessage = 300;
 /// The grace period for saving a checkpoint before a task is killed: this multiple of the job's
 /// checkpoint duration, plus the extra time.
-constexpr double kCheckpointGrace = 1.5;
+constexpr double kCheckpointGraceFactor = 1.5;
 constexpr Seconds kCheckpointGraceExtra = 1;
 
 }  // namespace
 
 void CommandDispatcher::enqueue(const Machine& machine) {
-  machines_.put(machine.info.id);
+  queued_machines_.put(machine.info.id);
 }
 
 void CommandDispatcher::enqueue_machines_of(const Job& job) {
-  for_each_possible_placement(
-      job, [this](uint32_t, const TaskPlacement& placement) { machines_.put(placement.machine); });
+  for_each_possible_placement(job, [this](uint32_t, const TaskPlacement& placement) {
+    queued_machines_.put(placement.machine);
+  });
 }
 
 void CommandDispatcher::enqueue_overlooked() {
@@ -47,31 +48,31 @@
     const Job* job = state_.find_job(id.task.job);
     const bool checkpoint = attempt.graceful && job && job->spec().checkpoints();
     if (checkpoint && attempt.state == TaskAttemptState::Checkpointing) continue;
-    const Seconds grace =
-        checkpoint ? job->spec().checkpoint_duration_s * kCheckpointGrace + kCheckpointGraceExtra
-                   : 0;
+    const Seconds grace = checkpoint ? job->spec().checkpoint_duration_s * kCheckpointGraceFactor +
+                                           kCheckpointGraceExtra
+                                     : 0;
     commands.push_back({Verb::Stop, id.task, id.attempt, grace});
   }
 }
 
 /// A worker keeps a completed attempt until the job's record lists the task as done. Without
 /// either, a later leader would not find out that the task is done and would run it again.
-bool CommandDispatcher::may_forget(const TaskAttemptId& id, const TaskAttempt& attempt) const {
+bool CommandDispatcher::may_discard(const TaskAttemptId& id, const TaskAttempt& attempt) const {
   const Job* job = state_.find_job(id.task.job);
   return attempt.cause != ExitCause::Done || !job || job->spec().kind == JobKind::Service ||
          job->stored.done.contains(id.task.task);
 }
 
-std::vector<Command> CommandDispatcher::commands_for(Machine& machine, bool with_forgets) {
+std::vector<Command> CommandDispatcher::commands_for(Machine& machine, bool include_discards) {
   std::vector<Command> commands;
   add_stops(machine, commands);
   for (auto& [id, attempt] : machine.attempts) {
-    if (commands.size() >= kMaxCommands) break;
+    if (commands.size() >= kMaxCommandsPerMessage) break;
     if (startable(machine, id, attempt)) {
       attempt.start_sent = true;
       commands.push_back({Verb::Start, id.task, id.attempt, 0});
     } else if (attempt.state == TaskAttemptState::Exited) {
-      if (with_forgets && may_forget(id, attempt))
+      if (include_discards && may_discard(id, attempt))
         commands.push_back({Verb::Forget, id.task, id.attempt, 0});
     }
   }
@@ -109,7 +110,7 @@
 }
 
 void CommandDispatcher::dispatch(Seconds now, std::vector<Action>& actions) {
-  while (const auto id = machines_.pop())
+  while (const auto id = queued_machines_.pop())
     if (Machine* machine = state_.find_machine(*id)) dispatch_to(*id, *machine, now, actions);
 }
 
--- a/src/dispatch/command_dispatcher.h
+++ b/src/dispatch/command_dispatcher.h
@@ -26,8 +26,8 @@
   void enqueue_overlooked();
 
   /// All commands that are due for the worker: stops first, which are never truncated, then starts
-  /// and, if `with_forgets`, permissions to discard attempts that have exited.
-  std::vector<Command> commands_for(Machine& machine, bool with_forgets);
+  /// and, if `include_discards`, permissions to discard attempts that have exited.
+  std::vector<Command> commands_for(Machine& machine, bool include_discards);
   /// Appends a `SendCommands` for each queued machine that has commands and can receive them now.
   void dispatch(Seconds now, std::vector<Action>& actions);
 
@@ -35,13 +35,13 @@
   bool startable(const Machine& machine, const TaskAttemptId& id, const TaskAttempt& attempt) const;
   bool has_unsent_commands(const Machine& machine) const;
   void add_stops(Machine& machine, std::vector<Command>& commands) const;
-  bool may_forget(const TaskAttemptId& id, const TaskAttempt& attempt) const;
+  bool may_discard(const TaskAttemptId& id, const TaskAttempt& attempt) const;
   void dispatch_to(const std::string& id, Machine& machine, Seconds now,
                    std::vector<Action>& actions);
 
   ClusterState& state_;
   WorkCounters& work_;
-  PendingQueue machines_;
+  PendingQueue queued_machines_;
 };
 
 }  // namespace sumacquay
--- a/src/dispatch/failure_attribution.cpp
+++ b/src/dispatch/failure_attribution.cpp
@@ -18,14 +18,14 @@
 constexpr int kMaxBackoffDoublings = 6;
 /// Time after which a quarantined machine is released even if none of the jobs that failed there
 /// has succeeded elsewhere, as a multiple of the worker lease.
-constexpr double kQuarantineConfirmedLeases = 3;
+constexpr double kQuarantineConfirmationLeases = 3;
 
 }  // namespace
 
 bool FailureAttribution::crash_looping(const Job& job) const {
-  const auto tries = static_cast<size_t>(state_.settings().tuning.start_tries);
+  const auto configured_tries = static_cast<size_t>(state_.settings().tuning.start_tries);
   return job.failed_machines_since_success.size() >=
-         std::max(kMinFailedMachinesForCrashLoop, tries);
+         std::max(kMinFailedMachinesForCrashLoop, configured_tries);
 }
 
 void FailureAttribution::record_task_failure(Machine& machine, Job& job, Seconds now) {
@@ -99,7 +99,8 @@
 
 bool FailureAttribution::quarantine_confirmed(const Machine& machine, Seconds now) const {
   return machine.failed_jobs_succeed_elsewhere ||
-         now - *machine.quarantined_since > kQuarantineConfirmedLeases * state_.settings().lease_s;
+         now - *machine.quarantined_since >
+             kQuarantineConfirmationLeases * state_.settings().lease_s;
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/failure_detector.cpp
+++ b/src/dispatch/failure_detector.cpp
@@ -9,33 +9,33 @@
 
 /// The drift that is allowed for between the leader's and the worker's clock, relative to the
 /// lease, and a margin for inaccuracies that the drift does not cover.
-constexpr double kClockDrift = 0.002;
-constexpr Seconds kLeaseSlack = 0.1;
+constexpr double kMaxClockDrift = 0.002;
+constexpr Seconds kLeaseMargin = 0.1;
 /// The gap between two events from which this process counts as paused, as a fraction of the worker
 /// lease.
-constexpr double kPauseThreshold = 0.1;
+constexpr double kPauseThresholdLeases = 0.1;
 /// Time after which a booting machine is assumed never to come up, as a multiple of the boot time
 /// of its type. The first applies if a machine of the type that was requested later is up; the
 /// second applies otherwise, since all machines of the type may be slow.
-constexpr double kBootOverdue = 1.8;
-constexpr double kBootOverdueWhenAllSlow = 3.5;
+constexpr double kBootTimeoutFactor = 1.8;
+constexpr double kBootTimeoutFactorWhenAllSlow = 3.5;
 /// Assumed boot time of a machine type that the cloud's catalog doesn't list.
 constexpr Seconds kUnknownTypeBootTime = 60;
 /// Time without a heartbeat from any machine after which this node counts as isolated, in heartbeat
 /// periods.
-constexpr double kIsolationPeriods = 2.5;
+constexpr double kIsolationTimeoutPeriods = 2.5;
 /// Time that workers need to find a new leader, as a fraction of the worker lease.
 constexpr double kLeaderDiscoveryLeases = 0.3;
 /// Time after which a heartbeat is overdue, in heartbeat periods. A heartbeat arrives up to a
 /// quarter of a period late.
-constexpr double kOverduePeriods = 1.25;
+constexpr double kHeartbeatOverduePeriods = 1.25;
 /// Allowance for network delay.
-constexpr Seconds kNetworkSlack = 0.5;
+constexpr Seconds kNetworkDelayAllowance = 0.5;
 /// Age up to which a heartbeat counts as recent, as a fraction of the heartbeat period.
-constexpr double kRecentPeriods = 0.5;
+constexpr double kRecentHeartbeatPeriods = 0.5;
 /// Time after which a machine counts as silent in the detection of zone partitions, as a fraction
 /// of the time after which a machine is suspected to have failed.
-constexpr double kZoneSilenceShare = 0.6;
+constexpr double kZoneSilenceFraction = 0.6;
 
 }  // namespace
 
@@ -48,13 +48,13 @@
       delegations_(state.term(), state.settings().delegation_after_s()),
       previous_leader_fenced_at_(previous_leader_fenced_at),
       last_event_at_(now),
-      listening_since_(now) {}
+      observing_since_(now) {}
 
 void FailureDetector::record_event(Seconds now) {
   const Seconds pause = now - last_event_at_;
   last_event_at_ = std::max(last_event_at_, now);
-  if (pause <= state_.settings().lease_s * kPauseThreshold) return;
-  listening_since_ += pause;
+  if (pause <= state_.settings().lease_s * kPauseThresholdLeases) return;
+  observing_since_ += pause;
   for (auto& [id, machine] : state_.machines()) {
     machine.last_heard += pause;
     machine.partition_healed_at += pause;
@@ -68,7 +68,7 @@
 void FailureDetector::mark_up(Machine& machine, Seconds now) {
   if (machine.state == MachineState::Booting) {
     machine.up_since = now;
-    auto& newest = newest_booted_[machine.info.type];
+    auto& newest = newest_first_seen_[machine.info.type];
     newest = std::max(newest, machine.first_seen);
   }
   if (machine.state == MachineState::Booting || machine.state == MachineState::LeaseExpired)
@@ -88,25 +88,27 @@
 /// first.
 bool FailureDetector::isolated_from_workers(Seconds now) const {
   const Settings& settings = state_.settings();
-  const Seconds patience = kIsolationPeriods * settings.heartbeat_period_s + kNetworkSlack;
-  if (now - latest_heartbeat_ <= patience) return false;
+  const Seconds isolation_timeout =
+      kIsolationTimeoutPeriods * settings.heartbeat_period_s + kNetworkDelayAllowance;
+  if (now - latest_heartbeat_ <= isolation_timeout) return false;
   size_t up = 0;
-  Seconds newest = state_.failover_at() + kLeaderDiscoveryLeases * settings.lease_s;
+  Seconds latest = state_.failover_at() + kLeaderDiscoveryLeases * settings.lease_s;
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.state != MachineState::Up) continue;
     ++up;
-    newest = std::max(newest, machine.last_heartbeat);
+    latest = std::max(latest, machine.last_heartbeat);
   }
-  return up >= kMinMachinesForPartition && now - newest > patience;
+  return up >= kMinMachinesForPartition && now - latest > isolation_timeout;
 }
 
 /// When the worker's lease has certainly expired, counted from the last answer that this leader, a
 /// delegate or an earlier leader may have sent to the worker.
 Seconds FailureDetector::latest_lease_expiry(const Machine& machine, Seconds now) const {
-  Seconds last =
+  Seconds last_answer =
       std::max(machine.last_lease_renewal, delegations_.last_answer(machine.info.zone, now));
-  if (machine.previous_leader_may_answer) last = std::max(last, previous_leader_fenced_at_);
-  return last + state_.settings().lease_s * (1 + kClockDrift) + kLeaseSlack;
+  if (machine.previous_leader_may_answer)
+    last_answer = std::max(last_answer, previous_leader_fenced_at_);
+  return last_answer + state_.settings().lease_s * (1 + kMaxClockDrift) + kLeaseMargin;
 }
 
 void FailureDetector::expire_leases(Seconds now) {
@@ -137,14 +139,14 @@
 void FailureDetector::update_partitioned_zones(Seconds now) {
   const Settings& settings = state_.settings();
   std::map<std::string, ZonePartitionDetector::Count> zones;
-  const Seconds suspected_after = settings.tuning.suspect * settings.lease_s;
+  const Seconds suspicion_timeout = settings.tuning.suspect * settings.lease_s;
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.state != MachineState::Up) continue;
     ZonePartitionDetector::Count& count = zones[machine.info.zone];
     ++count.up;
-    const Seconds silent_for = time_since_heartbeat(machine, now);
-    if (silent_for > suspected_after * kZoneSilenceShare) ++count.silent;
-    if (silent_for < kRecentPeriods * settings.heartbeat_period_s) ++count.heard_recently;
+    const Seconds silence = time_since_heartbeat(machine, now);
+    if (silence > suspicion_timeout * kZoneSilenceFraction) ++count.silent;
+    if (silence < kRecentHeartbeatPeriods * settings.heartbeat_period_s) ++count.heard_recently;
   }
   for (const auto& zone : zones_.update(zones, now, settings.lease_s))
     on_partition_healed(zone, now);
@@ -155,10 +157,12 @@
   if (machine.listed_failed) return true;
   if (zone_partitioned(machine.info.zone)) return false;
   const MachineType* type = state_.find_machine_type(machine.info.type);
-  const auto newest = newest_booted_.find(machine.info.type);
-  const bool overtaken = newest != newest_booted_.end() && newest->second > machine.first_seen;
-  return now - machine.first_seen > (overtaken ? kBootOverdue : kBootOverdueWhenAllSlow) *
-                                        (type ? type->boot_s : kUnknownTypeBootTime);
+  const auto newest = newest_first_seen_.find(machine.info.type);
+  const bool later_request_is_up =
+      newest != newest_first_seen_.end() && newest->second > machine.first_seen;
+  return now - machine.first_seen >
+         (later_request_is_up ? kBootTimeoutFactor : kBootTimeoutFactorWhenAllSlow) *
+             (type ? type->boot_s : kUnknownTypeBootTime);
 }
 
 /// Whether the machine is suspected to have failed, judged by its silence. After a long silence a
@@ -192,24 +196,26 @@
 }
 
 Seconds FailureDetector::time_since_heartbeat(const Machine& machine, Seconds now) const {
-  return now - std::max({machine.last_heard, machine.partition_healed_at, listening_since_});
+  return now - std::max({machine.last_heard, machine.partition_healed_at, observing_since_});
 }
 
 bool FailureDetector::heartbeat_overdue(const Machine& machine, Seconds now) const {
   return time_since_heartbeat(machine, now) >
-         kOverduePeriods * state_.settings().heartbeat_period_s + kNetworkSlack;
+         kHeartbeatOverduePeriods * state_.settings().heartbeat_period_s + kNetworkDelayAllowance;
 }
 
 void FailureDetector::probe(Seconds now, std::vector<Action>& actions) {
   for (auto& [id, machine] : state_.machines()) {
     if (machine.state != MachineState::Up || machine.probe_in_flight || machine.info.addr.empty())
       continue;
-    const bool unmet = !machine.fencing_token_acknowledged && machine.previous_leader_may_answer &&
-                       !machine.reconciled && now >= machine.next_greeting_probe_at;
-    const bool late =
+    const bool token_probe_due = !machine.fencing_token_acknowledged &&
+                                 machine.previous_leader_may_answer && !machine.reconciled &&
+                                 now >= machine.next_greeting_probe_at;
+    const bool heartbeat_probe_due =
         !machine.probe_unanswered && heartbeat_overdue(machine, now) && machine.may_run_tasks();
-    if (!unmet && !late) continue;
-    if (unmet) machine.next_greeting_probe_at = now + state_.settings().heartbeat_period_s;
+    if (!token_probe_due && !heartbeat_probe_due) continue;
+    if (token_probe_due)
+      machine.next_greeting_probe_at = now + state_.settings().heartbeat_period_s;
     machine.probe_in_flight = true;
     actions.emplace_back(Probe{id, machine.info.addr, state_.fencing_token(machine),
                                std::max<uint64_t>(machine.latest.agent_epoch, 1)});
--- a/src/dispatch/failure_detector.h
+++ b/src/dispatch/failure_detector.h
@@ -80,11 +80,11 @@
   Seconds last_event_at_;
   /// Start of the observation: the time of the failover, plus all pauses of this process since
   /// then. No machine counts as silent for longer.
-  Seconds listening_since_;
+  Seconds observing_since_;
   Seconds latest_heartbeat_ = 0;  ///< from any machine
   ZonePartitionDetector zones_;
   /// By machine type: the latest `first_seen` of the machines that came up under this leader.
-  std::map<std::string, Seconds> newest_booted_;
+  std::map<std::string, Seconds> newest_first_seen_;
 };
 
 }  // namespace sumacquay
--- a/src/dispatch/fleet_summary_log.cpp
+++ b/src/dispatch/fleet_summary_log.cpp
@@ -34,8 +34,8 @@
 }
 
 void FleetSummaryLog::write_if_due(size_t unplaced_jobs, Seconds now) {
-  if (now < next_at_) return;
-  next_at_ = now + state_.settings().lease_s;
+  if (now < next_summary_at_) return;
+  next_summary_at_ = now + state_.settings().lease_s;
   for (const auto& type : state_.machine_types()) write_type(type);
   log_info("jobs_summary", log_field("jobs", state_.jobs().size()),
            log_field("unplaced", unplaced_jobs), log_field("rounds", work_.rounds),
--- a/src/dispatch/fleet_summary_log.h
+++ b/src/dispatch/fleet_summary_log.h
@@ -22,7 +22,7 @@
 
   const ClusterState& state_;
   const WorkCounters& work_;
-  Seconds next_at_ = 0;
+  Seconds next_summary_at_ = 0;
 };
 
 }  // namespace sumacquay
