--- a/src/dispatch/autoscaler.cpp
+++ b/src/dispatch/autoscaler.cpp
@@ -12,6 +12,7 @@
 constexpr int kMinScaleOutLimit = 12;
 /// The cloud protocol's limit on the machines of one request.
 constexpr int kMaxInstancesPerRequest = 50;
+/// Machines released in one request.
 constexpr size_t kMaxMachinesPerScaleIn = 100;
 /// Minimum intervals between requests to the cloud, in heartbeat periods. The shorter one applies
 /// after the cloud has confirmed a release.
--- a/src/dispatch/failure_attribution.cpp
+++ b/src/dispatch/failure_attribution.cpp
@@ -15,6 +15,7 @@
 /// A job avoids the machines on which it failed. When the list has reached this size, it is
 /// cleared, and the job may be placed anywhere again.
 constexpr size_t kMaxAvoidedMachines = 8;
+/// The backoff reaches its longest pause after this many doublings.
 constexpr int kMaxBackoffDoublings = 6;
 /// Time after which a quarantined machine is released even if none of the jobs that failed there
 /// has succeeded elsewhere, as a multiple of the worker lease.
--- a/src/dispatch/failure_detector.cpp
+++ b/src/dispatch/failure_detector.cpp
@@ -7,8 +7,9 @@
 namespace sumacquay {
 namespace {
 
-/// The drift that is allowed for between the leader's and the worker's clock, relative to the
-/// lease, and a margin for inaccuracies that the drift does not cover.
+/// Allowances for the expiry of a lease. The steady clocks of the leader and the worker may drift
+/// apart by up to 0.05 % under the protocol; the relative allowance covers this, and the margin
+/// covers rounding.
 constexpr double kMaxClockDrift = 0.002;
 constexpr Seconds kLeaseMargin = 0.1;
 /// The gap between two events from which this process counts as paused, as a fraction of the worker
