--- a/src/dispatch/host_record_writes.h
+++ b/src/dispatch/host_record_writes.h
@@ -4,14 +4,14 @@
 
 namespace sumacquay {
 
-/// Keeps account of the writes of machines' records: these have no version to guard them, so of
-/// each record one write at a time is under way. A deletion is wanted until it has been carried
-/// out.
+/// Tracks the writes of machine records that are in flight and the deletions that are pending.
+/// Machine records have no version that could guard a write, so at most one write of each record is
+/// in flight at a time. A deletion stays pending until it is committed.
 class HostRecordWrites {
  public:
-  /// Before a write of the machine's record is sent. False if one is under way already.
+  /// Marks a write of the machine's record as in flight. Returns false if one already is.
   bool begin(const std::string& machine) { return in_flight_.insert(machine).second; }
-  /// The answer to a write has come, or none will.
+  /// Marks the write as no longer in flight: its outcome was reported, whether committed or not.
   void end(const std::string& machine) { in_flight_.erase(machine); }
 
   void request_deletion(const std::string& machine) { to_delete_.insert(machine); }
--- a/src/dispatch/job_state.h
+++ b/src/dispatch/job_state.h
@@ -12,53 +12,57 @@
 
 namespace sumacquay {
 
-/// A start of a task on a machine where the task is or may be.
+/// An attempt of a task on a machine where the attempt is or may be present.
 struct TaskPlacement {
   std::string machine;
   uint64_t attempt = 0;
   auto operator<=>(const TaskPlacement&) const = default;
 };
 
-/// A job as the leader sees it: its record, what is to be written of it, and where its tasks are.
+/// The leader's in-memory state of a job: the stored record, pending changes to it, and the
+/// possible placements of its tasks.
 struct Job {
-  JobRecord stored;                      ///< what the state service holds
-  wire::RecordCapacity record_capacity;  ///< what the record may hold beside the job's description
-  uint64_t version = 0;                  ///< of the stored record; guards the next write
-  bool write_in_flight = false;          ///< a write of the record is under way
-  bool start_record_requested =
-      false;  ///< tasks were placed: the record must say so before they start
-  bool hosts_record_requested = false;  ///< placed where its record does not say that it may be
-  /// What every write of this version of the record leaves of its hosts. One without an answer may
-  /// be applied minutes later, and what was started on a host that it drops would be forgotten.
+  JobRecord stored;                      ///< the record in the state service
+  wire::RecordCapacity record_capacity;  ///< room in the record beside the job's description
+  uint64_t version = 0;                  ///< version of `stored`, guards the next write
+  bool write_in_flight = false;          ///< a write of the record is in flight
+  /// Tasks have been placed. `started` must be stored in the record before they are started.
+  bool start_record_requested = false;
+  bool hosts_record_requested = false;  ///< tasks were placed on hosts missing from the record
+  /// Hosts named by every write issued against this version of the record; none if no such write
+  /// restricts the hosts. An unacknowledged write may be applied minutes later, and a later leader
+  /// would not find tasks on a host that it omits.
   std::optional<std::vector<std::string>> hosts_in_all_writes;
-  Ranges done;                            ///< at least stored.done
-  std::optional<Seconds> progress_since;  ///< when `done` came to hold numbers that aren't stored
-  /// Where each task is or may be; doubt counts as presence.
+  Ranges done;                            ///< tasks that are done, a superset of stored.done
+  std::optional<Seconds> progress_since;  ///< when `done` first held tasks that are not stored
+  /// Where each task is or may be. An attempt stays listed until it is proven absent.
   std::map<uint32_t, std::set<TaskPlacement>> possible_placements;
-  /// Its own, or the highest of those that depend on it.
+  /// The highest of the job's own priority and the priorities of its dependents.
   Priority priority = Priority::Low;
-  bool counted_as_arrival = false;        ///< by the forecast: once it is ready
-  uint64_t gang_attempt = 0;              ///< the attempt that all tasks of a gang share
-  std::set<std::string> failed_machines;  ///< machines on which tasks failed: avoided
-  /// Machines on which it failed since it last was seen to work.
+  bool counted_as_arrival = false;        ///< the forecast has counted the job, once ready
+  uint64_t gang_attempt = 0;              ///< attempt number shared by all tasks of a gang
+  std::set<std::string> failed_machines;  ///< tasks failed there; avoided in placement
+  /// Machines on which tasks have failed since the job's last success.
   std::set<std::string> failed_machines_since_success;
-  int failed_retries = 0;     ///< since it was first found crash looping
-  Seconds backoff_until = 0;  ///< nothing of the job is placed before
+  int failed_retries = 0;     ///< failed retries since crash looping was detected
+  Seconds backoff_until = 0;  ///< no task of the job is placed before this time
 
   const JobSpec& spec() const { return stored.spec; }
-  /// Whether the next leader will know that a task may be on the machine.
+  /// Whether a later leader will find the machine among the hosts of the record, whichever of the
+  /// unacknowledged writes are applied.
   bool next_leader_knows(const std::string& machine) const {
     return stored.may_be_on(machine) &&
            (!hosts_in_all_writes ||
             std::binary_search(hosts_in_all_writes->begin(), hosts_in_all_writes->end(), machine));
   }
-  /// Whether all tasks are done, stored or not.
+  /// Whether all tasks are done, including those whose completion is not stored yet.
   bool complete() const { return done.count() == stored.spec.tasks; }
-  /// Whether its record can come to name a machine: without, no task of it could start there.
+  /// Whether the record can cover another host: it has room, or it already covers every machine.
+  /// Otherwise no task of the job can be started.
   bool start_recordable() const {
     return record_capacity.any() || (stored.started && !stored.hosts);
   }
-  /// Whether its tasks are to run.
+  /// Whether the job is pending and has tasks that are not done.
   bool runnable() const { return stored.state == JobState::Pending && !complete(); }
 };
 
--- a/src/dispatch/placement_round.cpp
+++ b/src/dispatch/placement_round.cpp
@@ -7,9 +7,9 @@
 namespace sumacquay {
 namespace {
 
-/// Tasks of one array that a round looks at: so many in a fleet of any size, in a large one so many
-/// for each machine. It keeps a round from looking at all tasks of an array that no fleet could
-/// start at once; the next round looks at the next ones.
+/// A round considers at most this many tasks of one job other than a gang, or in a large fleet this
+/// many per machine, so that it does not scan all tasks of an array that is too large to start at
+/// once. Later rounds consider the remaining tasks.
 constexpr size_t kMinTasksPerRound = 500;
 constexpr size_t kTasksPerMachine = 4;
 
@@ -26,7 +26,7 @@
   links_.queue.end_round();
 }
 
-/// Places what fits, preempts for the rest, and leaves what still found no room in `unplaced_`.
+/// Places the tasks that fit, preempts for the others and adds those that remain to `unplaced_`.
 void PlacementRound::place_job(Job& job, std::vector<CandidateMachine>& candidates, Seconds now) {
   const size_t max_tasks =
       std::min(links_.quota.remaining_tasks(job), state_.token_allocator().attempts_left());
@@ -36,7 +36,7 @@
     place_where_image_cached(job, *request, candidates, now);
   if (!request->tasks.empty()) place_what_fits(job, *request, candidates, now);
   if (request->tasks.empty()) return;
-  // A crash-looping job preempts nobody.
+  // A crash-looping job does not preempt other jobs.
   if (!links_.failures.crash_looping(job)) {
     if (job.spec().kind == JobKind::Gang && request->tasks.size() > 1)
       links_.preemptor.reserve_partial_gang(job, *request, candidates, now);
@@ -54,10 +54,10 @@
   return std::max(kMinTasksPerRound, kTasksPerMachine * state_.machines().size());
 }
 
-/// The first tasks that are neither done nor possibly present anywhere.
+/// Returns the first `max_tasks` tasks that are neither done nor possibly present on a machine.
 std::vector<uint32_t> PlacementRound::tasks_to_place(const Job& job, size_t max_tasks) const {
   std::vector<uint32_t> tasks;
-  auto placed = job.possible_placements.begin();  // both are in order: one pass over them
+  auto placed = job.possible_placements.begin();  // both are sorted: one pass suffices
   const auto end = job.possible_placements.end();
   for (uint32_t task = job.done.next_missing(0);
        task < job.spec().tasks && tasks.size() < max_tasks;
@@ -96,8 +96,9 @@
   return request;
 }
 
-/// Whether a fetch on a machine that lacks the image misses an objective: a replica that is down
-/// stays down for it, and one that is new misses the objective for its class.
+/// Whether the image fetch on a machine that lacks the image can take long enough to miss an
+/// objective. Once a service has started, the limit is one heartbeat period, since a replica that
+/// is down stays down during the fetch; before that, it is the wait objective of the job's class.
 bool PlacementRound::image_fetch_misses_objective(const Job& job) const {
   const JobSpec& spec = job.spec();
   const Settings& settings = state_.settings();
@@ -117,8 +118,8 @@
 
 // ---------------------------------------------------------------- placing
 
-/// First on machines that have the image, where tasks of lower priority are preempted; what is left
-/// of the request is placed the ordinary way.
+/// Places tasks on machines that have the image cached, and preempts tasks of lower priority there.
+/// Tasks that remain in `request` are left to regular placement.
 void PlacementRound::place_where_image_cached(Job& job, PlacementRequest& request,
                                               std::vector<CandidateMachine>& candidates,
                                               Seconds now) {
@@ -126,8 +127,8 @@
   cached.avoid = [&request](const CandidateMachine& candidate) {
     return request.avoid(candidate) || !request.has_image(candidate);
   };
-  cached.within_fair_share =
-      false;  // other teams' work need not stop where there is room elsewhere
+  // No preemption between teams here: machines without the image may have room.
+  cached.within_fair_share = false;
   place_what_fits(job, cached, candidates, now);
   if (!cached.tasks.empty()) links_.preemptor.preempt_for(job, cached, candidates, now);
   request.tasks = cached.tasks;
@@ -144,7 +145,8 @@
   }
 }
 
-/// The starts are sent once the records of the job and the machines say that they may be.
+/// Creates the attempts. Their start commands are sent once the job's record and the machines'
+/// records are durable.
 void PlacementRound::start_assignments(Job& job, const std::vector<Assignment>& assignments,
                                        const std::vector<CandidateMachine>& candidates,
                                        Seconds now) {
--- a/src/dispatch/placement_round.h
+++ b/src/dispatch/placement_round.h
@@ -17,7 +17,7 @@
 
 namespace sumacquay {
 
-/// The modules that a round works with.
+/// The modules that a placement round uses.
 struct PlacementRoundLinks {
   const CapacityView& capacity;
   const FailureAttribution& failures;
@@ -29,16 +29,16 @@
   WorkCounters& work;
 };
 
-/// A round of placement: for each waiting job in turn, all its tasks are packed onto machines at
-/// once, or the job stays queued. Owns what found no room in the last round.
+/// Runs placement rounds: in queue order, packs the tasks of each waiting job onto machines. Tasks
+/// that do not fit stay queued. Owns the requests that the last round could not place.
 class PlacementRound {
  public:
   PlacementRound(ClusterState& state, const PlacementRoundLinks& links)
       : state_(state), links_(links) {}
 
   void run(Seconds now);
-  /// What found no room, in the order of the queue. Refers to the jobs' descriptions: used before
-  /// anything else happens to them.
+  /// Requests that the last round could not place, in queue order. They point to the jobs' specs,
+  /// so they are valid only until the jobs change.
   const std::vector<PlacementRequest>& unplaced() const { return unplaced_; }
   std::vector<PlacementRequest> release_unplaced() { return std::exchange(unplaced_, {}); }
 
--- a/src/dispatch/preemptor.cpp
+++ b/src/dispatch/preemptor.cpp
@@ -8,19 +8,22 @@
 namespace sumacquay {
 namespace {
 
-/// What a task may lose if it is preempted for a gang / the time that a new machine would take.
+/// The largest loss that a victim of preemption for a gang may have, as a fraction of the start-up
+/// time on a new machine.
 constexpr double kMaxLossShare = 0.1;
-/// A job whose class has no objective is late after this multiple of the time a new machine takes.
+/// The wait objective of a class without a configured one, as a multiple of the start-up time on a
+/// new machine.
 constexpr double kDefaultPatience = 2;
-/// Keeps a fetch rate of zero from being divided by.
+/// Lower bound in GB/s, avoids division by a fetch rate of zero.
 constexpr double kMinFetchRate = 1e-3;
 
 }  // namespace
 
 // ---------------------------------------------------------------- victims
 
-/// What preempting a task throws away: progress since its last checkpoint, or the time it has
-/// waited for its image. A gang loses that on all its machines.
+/// Returns the work lost by preempting an attempt: its running time or, before it runs, the time
+/// spent waiting for its image. If the task checkpoints, the loss is at most the time that a
+/// checkpoint takes. A gang has that loss on each of its tasks.
 Seconds Preemptor::loss_of(const Job& job, const TaskAttempt& attempt, Seconds now) const {
   const JobSpec& spec = job.spec();
   const Seconds spent = now - attempt.running_since.value_or(attempt.placed_at);
@@ -53,7 +56,7 @@
   for (size_t candidate = 0; candidate < candidates.size(); ++candidate) {
     const Machine* machine = candidates[candidate].of;
     if (!machine) continue;
-    const Job* job = nullptr;  // attempts are in the order of their jobs: one look-up for each job
+    const Job* job = nullptr;  // attempts are sorted by job: one look-up per job
     for (const auto& [id, attempt] : machine->attempts) {
       if (!attempt.possibly_present() || !attempt.desired_running) continue;
       if (!job || job->spec().id != id.task.job) job = state_.find_job(id.task.job);
@@ -63,8 +66,8 @@
   return victims;
 }
 
-/// Listed once a round: a list for each job that finds no room would take most of a controller's
-/// processor when hundreds wait.
+/// Lists the victims once per round. One list per unplaced job takes most of the controller's CPU
+/// time when hundreds of jobs wait.
 const std::vector<Victim>& Preemptor::victims_in_round(
     const std::vector<CandidateMachine>& candidates, Seconds now) {
   if (!victims_) {
@@ -76,7 +79,8 @@
   return *victims_;
 }
 
-/// The task is being stopped, with its gang if it has one: nobody else in this round gets its room.
+/// Marks the task, and its gang if it has one, as being stopped, so that no other job in this round
+/// preempts it again.
 void Preemptor::mark_preempted(const Victim& gone) {
   if (!victims_) return;
   running_resources_.remove(gone.team, gone.stops);
@@ -86,7 +90,8 @@
 
 // ---------------------------------------------------------------- waiting or preempting
 
-/// How soon the job can run on a machine requested now; none: no machine can be requested for it.
+/// Returns the shortest time until the job can run on a machine requested now, or none if no
+/// machine can be requested for it.
 std::optional<Seconds> Preemptor::time_on_new_machine(const JobSpec& spec, Seconds now) const {
   std::optional<Seconds> soonest;
   for (const InstanceOffering& offering : links_.autoscaler.offerings(now)) {
@@ -101,7 +106,8 @@
   return soonest;
 }
 
-/// Whether the job would miss the objective for its class if its start took so long from now on.
+/// Whether the job would miss the wait objective of its class if it started `start_takes` seconds
+/// from now.
 bool Preemptor::misses_objective(const Job& job, Seconds start_takes, Seconds now) const {
   Seconds within = kDefaultPatience * start_takes;
   for (const ServiceLevelObjective& objective : state_.settings().objectives)
@@ -110,7 +116,7 @@
   return now - state_.arrival(job) + start_takes > within;
 }
 
-/// Whether all tasks of the request fit if victims are preempted for them.
+/// Whether all tasks of the request fit if victims are preempted for it.
 bool Preemptor::whole_request_fits(PlacementRequest request,
                                    std::vector<CandidateMachine> candidates,
                                    const std::vector<Victim>& victims) const {
@@ -126,12 +132,14 @@
   return true;
 }
 
-/// A gang that fits nowhere whole would starve behind jobs that take each machine as it becomes
-/// available. Room for part of it is reserved in the round until there is room for the rest: on
-/// machines that have come up since it arrived, which were requested for it, and once it is late on
-/// any machine. Only then is anything preempted, and only where little is lost, since work that
-/// starts over costs its own users as much as the gang gains, unless no machine can be requested at
-/// all.
+/// Without a reservation, a gang that does not fit as a whole starves while other jobs take each
+/// machine that becomes available. Room for part of the gang is reserved in each round until the
+/// rest fits: at first only on machines that have come up since the gang arrived, which were
+/// requested for it, and on any machine once it would miss its wait objective.
+///
+/// Only then are tasks preempted, and only those with a small loss, since restarting work costs the
+/// victims' users as much as the gang gains. If no machine can be requested for the gang, the loss
+/// is not limited.
 void Preemptor::reserve_partial_gang(const Job& job, PlacementRequest& request,
                                      std::vector<CandidateMachine>& candidates, Seconds now) {
   const auto new_machine_takes = time_on_new_machine(job.spec(), now);
@@ -161,7 +169,7 @@
   preempt_from(victims_in_round(candidates, now), job, request, candidates, now);
 }
 
-/// Ends with the first task for which something is stopped: the next round sees to the others.
+/// Returns after the first task that needs victims. Later rounds handle the other tasks.
 void Preemptor::preempt_from(const std::vector<Victim>& victims, const Job& job,
                              PlacementRequest& request, std::vector<CandidateMachine>& candidates,
                              Seconds now) {
--- a/src/dispatch/preemptor.h
+++ b/src/dispatch/preemptor.h
@@ -13,7 +13,7 @@
 
 namespace sumacquay {
 
-/// The modules that preemption works with.
+/// The modules that preemption uses.
 struct PreemptorLinks {
   const CapacityView& capacity;
   const SchedulingQueue& queue;
@@ -22,25 +22,27 @@
   WorkCounters& work;
 };
 
-/// Makes room for jobs that found none, by stopping tasks of lower priority or beyond other teams'
-/// fair shares, and reserves room for gangs that must wait. Owns the list of possible victims of
-/// the present round.
+/// Makes room for jobs that could not be placed by preempting tasks of lower priority or tasks
+/// beyond other teams' fair shares, and reserves room for gangs that must wait. Owns the list of
+/// possible victims in the current round.
 ///
-/// The candidates passed in are the round's: what is reserved or will be released on them is
-/// recorded there.
+/// The candidates passed in belong to the round. Reserved resources and resources being released
+/// are recorded in them.
 class Preemptor {
  public:
   Preemptor(ClusterState& state, const PreemptorLinks& links) : state_(state), links_(links) {}
 
-  /// Preempts tasks for those of `request` that found no room. Their resources are available once
-  /// they are proven gone; until then the room is reserved for this job.
+  /// Preempts tasks to make room for the tasks of `request`, which could not be placed. Resources
+  /// of a victim become available once the victim is proven gone; within the round they are
+  /// reserved for this job.
   void preempt_for(const Job& job, PlacementRequest& request,
                    std::vector<CandidateMachine>& candidates, Seconds now);
-  /// For a gang of several that fits nowhere whole: reserves room for a part of it in the round,
-  /// and preempts for it only if it would be late otherwise, or no machine can be requested.
+  /// Reserves room in the round for part of a gang of several tasks that does not fit as a whole.
+  /// Preempts for it only if it would miss its wait objective otherwise, or if no machine can be
+  /// requested for it.
   void reserve_partial_gang(const Job& job, PlacementRequest& request,
                             std::vector<CandidateMachine>& candidates, Seconds now);
-  /// Forgets the round's victims: the list refers to names that the jobs own.
+  /// Clears the round's victims, since the list refers to strings that the jobs own.
   void end_round() { victims_.reset(); }
 
  private:
@@ -62,8 +64,8 @@
 
   ClusterState& state_;
   PreemptorLinks links_;
-  std::optional<std::vector<Victim>> victims_;  ///< none: nobody has asked in this round
-  RunningResources running_resources_;          ///< of the teams, once the victims are listed
+  std::optional<std::vector<Victim>> victims_;  ///< none: not listed in this round yet
+  RunningResources running_resources_;          ///< of the teams; set with `victims_`
 };
 
 }  // namespace sumacquay
--- a/src/dispatch/quota_tracker.cpp
+++ b/src/dispatch/quota_tracker.cpp
@@ -6,9 +6,9 @@
 namespace sumacquay {
 namespace {
 
-/// Stands for "no limit", and is more tasks than any job has.
+/// Represents "no limit"; more tasks than any job has.
 constexpr double kUnlimitedTasks = 1e9;
-/// Sums of decimals are not exact.
+/// Compensates for rounding errors in sums of decimal amounts.
 constexpr double kRounding = 1e-6;
 
 double tasks_within(double limit, double used, double request) {
@@ -18,8 +18,9 @@
 
 }  // namespace
 
-/// What nobody has reconciled since the failover may be running somewhere. Of a gang that is done
-/// some tasks may not have exited yet.
+/// Counts the tasks that may be present. Until the machines of the job are reconciled after a
+/// failover, every task may be present except the stored completions of an array. Completions of a
+/// gang are not excluded, since some of its tasks may not have exited yet.
 size_t QuotaTracker::possibly_present_tasks(const Job& job) const {
   size_t count = 0;
   for (const auto& [task, placements] : job.possible_placements) count += placements.size();
--- a/src/dispatch/quota_tracker.h
+++ b/src/dispatch/quota_tracker.h
@@ -8,16 +8,16 @@
 
 namespace sumacquay {
 
-/// What each team's tasks use, against its quota. Owns the usage of the present round: counted anew
-/// when the round begins, and added to as tasks are placed.
+/// Checks each team's resource usage against its quota. Owns the usage in the current round, which
+/// is recounted when the round begins and increased as tasks are placed.
 class QuotaTracker {
  public:
   explicit QuotaTracker(const ClusterState& state) : state_(state) {}
 
-  /// Counts what all tasks that may be present use.
+  /// Recounts the resources of all tasks that may be present.
   void count_usage();
   void add_usage(const std::string& team, const Resources& request) { usage_[team] += request; }
-  /// How many more tasks of the job its team's quota allows; 0 for an unknown team.
+  /// How many more tasks of the job the team's quota allows; 0 for an unknown team.
   size_t remaining_tasks(const Job& job) const;
 
  private:
--- a/src/dispatch/rebalancer.cpp
+++ b/src/dispatch/rebalancer.cpp
@@ -7,15 +7,17 @@
 namespace sumacquay {
 namespace {
 
-/// The protocol counts a start only if no command stops the task within 30 s of it; a replica is
-/// left alone for several times that, so that none is moved again and again.
+/// How long a replica must have been running before it is moved. The protocol counts a start only
+/// if no command stops the task within 30 s; a multiple of that prevents repeated moves of the same
+/// replica.
 constexpr Seconds kSettled = 4 * 30;
-/// Pause between moves / heartbeat period.
+/// Interval between moves, as a multiple of the heartbeat period.
 constexpr double kPausePeriods = 2;
-/// The part of all machines that may be drained at once: few enough that the replicas on their way
-/// don't show among all that run.
+/// The largest fraction of the machines that may be drained at once, so that the replicas being
+/// moved are a negligible fraction of those that run.
 constexpr double kMaxDrainingShare = 0.02;
-/// Machines that cost less than this part of the most expensive are not worth a replica's downtime.
+/// Lowest price of a machine type worth draining, as a fraction of the highest price. Releasing a
+/// cheaper machine does not justify the downtime of a replica.
 constexpr double kMinPriceShare = 0.25;
 
 double used_share(const CandidateMachine& candidate) {
@@ -27,7 +29,7 @@
   return candidate.capacity.fits_in(candidate.available);
 }
 
-/// One task of the first gang that found no room; none: there is no such gang.
+/// Returns a request for one task of the first gang in `unplaced`, or none if there is no gang.
 std::optional<PlacementRequest> task_of_unplaced_gang(
     const std::vector<PlacementRequest>& unplaced) {
   const auto gang = std::find_if(
@@ -39,7 +41,7 @@
   return task;
 }
 
-/// Whether the task would fit on the machine if it were empty.
+/// Whether the task would fit on the machine if the machine were empty.
 bool fits_when_empty(const PlacementRequest& task, const CandidateMachine& candidate) {
   std::vector<CandidateMachine> alone{candidate};
   alone[0].available = alone[0].capacity;
@@ -48,7 +50,8 @@
 
 }  // namespace
 
-/// Nothing is moved to an empty machine: that would only go back and forth.
+/// Returns a request to place the task on another machine that has its image. Empty machines are
+/// excluded, since a move to one gains nothing and would be followed by a move back.
 PlacementRequest Rebalancer::request_elsewhere(const Job& job, uint32_t task) const {
   PlacementRequest request;
   request.spec = &job.spec();
@@ -64,8 +67,8 @@
   return request;
 }
 
-/// Whether every task on the machine is a settled replica that fits on another machine with its
-/// image.
+/// Whether every task on the machine is a replica that has been running for `kSettled` and fits on
+/// another machine with its image.
 bool Rebalancer::evictable(const Machine& machine, TentativePlacement& elsewhere,
                            Seconds now) const {
   for (const auto& [id, attempt] : machine.attempts) {
@@ -87,7 +90,7 @@
     if (attempt.possibly_present()) attempts_.request_stop(attempt, false, now);
 }
 
-/// Takes note of the machines that have become empty; returns how many are still being drained.
+/// Ends the drain of machines that have become empty. Returns how many are still being drained.
 size_t Rebalancer::finish_evictions(Seconds now) {
   size_t draining = 0;
   for (auto& [id, machine] : state_.machines()) {
@@ -102,7 +105,7 @@
   return draining;
 }
 
-/// The machines that it may pay to drain, the least used first.
+/// Returns the machines that are worth draining, in ascending order of utilization.
 std::vector<size_t> Rebalancer::eviction_candidates(
     const std::vector<CandidateMachine>& candidates) const {
   double highest_price = 0;
@@ -129,7 +132,7 @@
   if (draining >= max_draining) return;
   const auto gang_task = task_of_unplaced_gang(unplaced);
   next_rebalance_ = now + kPausePeriods * state_.settings().heartbeat_period_s;
-  std::set<size_t> receiving;  // machines that get replicas are not drained at the same time
+  std::set<size_t> receiving;  // machines that receive replicas are not drained
   for (const size_t index : eviction_candidates(candidates)) {
     if (receiving.contains(index)) continue;
     if (gang_task && !fits_when_empty(*gang_task, candidates[index])) continue;
--- a/src/dispatch/rebalancer.h
+++ b/src/dispatch/rebalancer.h
@@ -12,18 +12,18 @@
 
 namespace sumacquay {
 
-/// Moves replicas of services together. Replicas stay for as long as their users want them, so what
-/// was packed together comes apart as other jobs end: many machines, each a little used. Replicas
-/// are moved only to machines that have their image, where it costs next to nothing. Owns when it
-/// may move the next ones.
+/// Consolidates service replicas on fewer machines. Replicas are long-lived, so as other jobs end
+/// they are left spread over many machines with low utilization. Replicas are moved only to
+/// machines that have their image cached, which keeps their downtime short. Owns the time of the
+/// next moves.
 class Rebalancer {
  public:
   Rebalancer(ClusterState& state, const CapacityView& capacity, const Autoscaler& autoscaler,
              AttemptTracker& attempts)
       : state_(state), capacity_(capacity), autoscaler_(autoscaler), attempts_(attempts) {}
 
-  /// `unplaced`: what the round found no room for. Machines are drained for a gang among it, or so
-  /// that they can be released.
+  /// Drains machines for the first gang among `unplaced`, the requests that the round could not
+  /// place, or, without one, so that the machines can be released.
   void rebalance(const std::vector<PlacementRequest>& unplaced, Seconds now);
 
  private:
--- a/src/dispatch/reconciler.cpp
+++ b/src/dispatch/reconciler.cpp
@@ -40,8 +40,8 @@
   return tasks;
 }
 
-/// The machine's attempts that the heartbeat doesn't list, but for those that are still to be
-/// started. Both are walked in the same order: the heartbeat of a full machine has hundreds of
+/// Returns the machine's attempts that the heartbeat does not list, except those that are still to
+/// be started. Merges two sorted sequences, since the heartbeat of a full machine lists hundreds of
 /// tasks.
 std::vector<TaskAttemptId> absent_attempts(const Machine& machine,
                                            const WorkerHeartbeat& heartbeat) {
@@ -66,7 +66,7 @@
   if (added) {
     machine.first_seen = now;
     machine.info.id = heartbeat.machine;
-    machine.reconciled = true;  // without a record no start was ever sent there
+    machine.reconciled = true;  // without a host record no task was ever started there
   }
   machine.info.addr = heartbeat.addr;
   machine.info.type = heartbeat.type;
@@ -78,7 +78,7 @@
 HeartbeatAnswer Reconciler::on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act,
                                          Seconds now) {
   failure_detector_.record_event(now);
-  // Delayed on its way until the machine was gone.
+  // The heartbeat was delayed in the network until after the machine was released.
   if (state_.released_machines().contains(heartbeat.machine)) return {};
   Machine& machine = find_or_add_machine(heartbeat, now);
   HeartbeatAnswer answer;
@@ -95,11 +95,11 @@
   if (newest && may_act && machine.fencing_token_acknowledged && no_commands_in_flight)
     answer.commands = commands_.commands_for(machine, true);
   else
-    // The answer renews the worker's lease: without these a cancelled task whose stop was lost
-    // would go on for as long as it is renewed, though this leader may do nothing else there.
+    // The response renews the worker's lease. Without these stops, a cancelled task whose stop
+    // command was lost would keep running for as long as the lease is renewed.
     answer.commands =
         stops_of_ended(heartbeat, [this](const std::string& id) { return state_.ended(id); });
-  // A probe shows it the fencing token sooner than its next heartbeat would.
+  // A probe delivers the fencing token and its acknowledgement before the next heartbeat does.
   if (!machine.fencing_token_acknowledged) machine.next_greeting_probe_at = now;
   answer.fencing_token = state_.fencing_token(machine);
   return answer;
@@ -113,8 +113,9 @@
   if (!machine) return;
   machine->commands_in_flight = false;
   if (!executed) {
-    // The commands may still be executed, minutes later: a higher fencing token ends that, and
-    // until the worker has shown it nothing new is started there and nothing counts as gone.
+    // The commands may still be executed minutes later unless a higher fencing token rejects them.
+    // Until the worker acknowledges the new token, no task is started there and no attempt counts
+    // as gone.
     state_.advance_fencing_token(*machine);
     machine->next_commands_at = now + state_.settings().heartbeat_period_s;
     for (auto& [id, attempt] : machine->attempts) attempt.stop_sent = false;
@@ -141,18 +142,19 @@
   if (Machine* machine = state_.find_machine(machine_id)) machine->probe_in_flight = false;
 }
 
-/// A new agent epoch begins with nothing: the tasks of the one before ended with its lease.
+/// Removes all attempts of the previous agent epoch, since its tasks ended when its lease expired.
 void Reconciler::begin_agent_epoch(Machine& machine, Seconds now) {
   attempts_.remove_all(machine);
   machine.failed_jobs.clear();
   machine.fencing_token_acknowledged = false;
-  // Its lease counts from when it began. If that is learnt from an answer to commands or a probe,
-  // the last answer to a heartbeat would say that the lease is over while new tasks run.
+  // The lease of the new epoch starts now. If the epoch is first seen in a response to commands or
+  // a probe, the last renewal dates from the previous epoch, and the lease would count as expired
+  // while new tasks run.
   machine.last_lease_renewal = std::max(machine.last_lease_renewal, now);
 }
 
-/// What a worker that has shown the fencing token in force does not list is gone, but for starts
-/// that may still be on their way to it.
+/// Removes attempts that the heartbeat of a worker with the current fencing token does not list,
+/// except those whose start command may still be in flight.
 void Reconciler::remove_unlisted(Machine& machine, const WorkerHeartbeat& heartbeat, Seconds now) {
   for (const auto& id : absent_attempts(machine, heartbeat)) {
     const auto attempt = machine.attempts.find(id);
@@ -163,17 +165,18 @@
   }
 }
 
-/// The worker follows this leader: it drops an earlier one's answers from here on.
+/// Marks the worker as following this leader: it rejects responses of earlier leaders from now on.
 void Reconciler::accept_worker(Machine& machine, Seconds now) {
-  // The last answer of an earlier leader can't have been later.
+  // An earlier leader cannot have renewed the lease later than now.
   if (machine.previous_leader_may_answer)
     machine.last_lease_renewal = std::max(machine.last_lease_renewal, now);
   machine.previous_leader_may_answer = false;
   state_.mark_reconciled(machine);
 }
 
-/// Called with heartbeats that are newer than all before. `absence_counts`: what it leaves out may
-/// be gone, which an answer to commands or a probe can't tell.
+/// Applies a heartbeat that is newer than all previous ones. `absence_counts`: attempts that it
+/// does not list may be removed, which holds only for periodic heartbeats and not for responses to
+/// commands or probes.
 void Reconciler::reconcile(Machine& machine, const WorkerHeartbeat& heartbeat, bool absence_counts,
                            Seconds now) {
   if (heartbeat.agent_epoch > machine.latest.agent_epoch) begin_agent_epoch(machine, now);
--- a/src/dispatch/reconciler.h
+++ b/src/dispatch/reconciler.h
@@ -14,17 +14,17 @@
 
 /// The answer to a worker's heartbeat, which renews the worker's lease.
 struct HeartbeatAnswer {
-  bool fresh = false;  ///< false: a late copy of a heartbeat, which nobody waits for
+  bool fresh = false;  ///< false: late or duplicate, no response is expected
   uint64_t fencing_token = 0;
   std::vector<Command> commands;
 };
 
-/// Squares what workers say, in heartbeats of their own and in answers to commands and probes, with
-/// the ClusterState. Owns no state.
+/// Reconciles the ClusterState with the heartbeats that workers send periodically and in responses
+/// to commands and probes. Owns no state.
 ///
-/// Whatever a heartbeat lists is present. What it leaves out is gone only if it is the worker's own
-/// heartbeat, it is newer than all before, it shows the fencing token in force, and no commands are
-/// in flight to the machine.
+/// Every attempt that a heartbeat lists is present. An attempt that it does not list is gone only
+/// if the heartbeat is a periodic one, is newer than all previous heartbeats and carries the
+/// current fencing token, and if no commands to the machine are in flight.
 class Reconciler {
  public:
   Reconciler(ClusterState& state, AttemptTracker& attempts, CommandDispatcher& commands,
@@ -34,17 +34,19 @@
         commands_(commands),
         failure_detector_(failure_detector) {}
 
-  /// A worker's own heartbeat. Without `may_act` the answer has nothing but stops of jobs that have
-  /// ended.
+  /// Applies a worker's periodic heartbeat. Without `may_act` the response contains only stop
+  /// commands for tasks of jobs that have ended.
   HeartbeatAnswer on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act, Seconds now);
-  /// The outcome of `SendCommands`; `executed` unless they may still be carried out later.
+  /// Handles the outcome of `SendCommands`. `executed` is false if the commands may still be
+  /// carried out later.
   void on_commands_answered(const std::string& machine_id,
                             const std::optional<WorkerHeartbeat>& heartbeat, bool executed,
                             Seconds now);
-  /// The outcome of a `Probe`; no heartbeat if there was no answer.
+  /// Handles the outcome of a `Probe`; `heartbeat` is none if the worker did not respond.
   void on_probe_answered(const std::string& machine_id,
                          const std::optional<WorkerHeartbeat>& heartbeat, Seconds now);
-  /// There was no socket for the probe: nothing is known of the machine, and it is probed again.
+  /// Handles a probe that was not sent for lack of a socket. It says nothing about the machine,
+  /// which is probed again.
   void on_probe_not_sent(const std::string& machine_id);
 
  private:
--- a/src/dispatch/record_ingestion.cpp
+++ b/src/dispatch/record_ingestion.cpp
@@ -7,7 +7,7 @@
 namespace sumacquay {
 namespace {
 
-/// Whether the record tells the next leader every machine on which a task of the job may be.
+/// Whether a later leader will find in the record every machine on which a task of the job may be.
 bool next_leader_knows_all(const Job& job) {
   return std::all_of(job.possible_placements.begin(), job.possible_placements.end(),
                      [&job](const auto& entry) {
@@ -45,7 +45,7 @@
   links_.records.enqueue_job(job, now);
 }
 
-/// The rest of a new job, whose record has been taken in.
+/// Initializes a new job whose record has been applied.
 void RecordIngestion::add_job(Job& job, Seconds now) {
   const JobRecord& record = job.stored;
   job.done = record.done;
@@ -59,7 +59,7 @@
   adopt_known_attempts(job, now);
 }
 
-/// A heartbeat may have brought tasks of the job before its record was read.
+/// Adopts tasks of the job that heartbeats reported before the job's record was read.
 void RecordIngestion::adopt_known_attempts(Job& job, Seconds now) {
   const std::string& id = job.spec().id;
   for (auto& [machine_id, machine] : state_.machines())
@@ -95,7 +95,7 @@
   machine.info = host;
   state_.set_machine_state(machine, MachineState::Up);
   machine.record = HostRecordState::Durable;
-  machine.first_seen = machine.last_heartbeat = now;  // until its worker has found this leader
+  machine.first_seen = machine.last_heartbeat = now;  // until the worker's first heartbeat
   state_.add_unreconciled_machine();
 }
 
--- a/src/dispatch/record_ingestion.h
+++ b/src/dispatch/record_ingestion.h
@@ -11,7 +11,7 @@
 
 namespace sumacquay {
 
-/// The modules that a new record may give something to do.
+/// The modules that new records are passed on to.
 struct RecordIngestionLinks {
   FailureAttribution& failures;
   AttemptTracker& attempts;
@@ -21,20 +21,22 @@
   WorkCounters& work;
 };
 
-/// Takes durable records into the ClusterState: those that the node reads, and those that the
+/// Applies durable records to the ClusterState: records that the node reads and records that the
 /// leader's own writes have stored. Owns no state.
 class RecordIngestion {
  public:
   RecordIngestion(ClusterState& state, const RecordIngestionLinks& links)
       : state_(state), links_(links) {}
 
-  /// A job's live record as it was read or written. Older versions than are known change nothing.
+  /// Applies a job's live record after it was read or written. Versions that are not newer than the
+  /// stored one are ignored.
   void on_job_record(const JobRecord& record, uint64_t version, Seconds now);
-  /// The job has left the live records.
+  /// Removes a job that is no longer among the live records.
   void on_job_finished(const std::string& id);
-  /// How a job ended that others depend on.
+  /// Applies the final state of a job that other jobs depend on.
   void on_dependency_finished(const std::string& id, const FinishedRecord& record);
-  /// A machine's record, read at the failover: tasks may be on it until it is reconciled.
+  /// Adds a machine from its record, read at the failover. Tasks may be on the machine until it is
+  /// reconciled.
   void restore_machine(const HostRecord& host, Seconds now);
 
  private:
@@ -45,7 +47,7 @@
   RecordIngestionLinks links_;
 };
 
-/// Counts the job as an arrival for the forecast, once, as soon as it waits for no other.
+/// Adds the job to the arrival forecast, once, as soon as its dependencies are done.
 void count_arrival(const ClusterState& state, ArrivalForecast& arrivals, Job& job);
 
 }  // namespace sumacquay
--- a/src/dispatch/record_planner.cpp
+++ b/src/dispatch/record_planner.cpp
@@ -9,13 +9,14 @@
 namespace sumacquay {
 namespace {
 
-/// A job's record is written in place, or moved: one deleted, another written.
+/// A job record is either overwritten or moved, which deletes one key and writes another.
 constexpr size_t kMaxChangesPerJob = 2;
-/// The size of a machine's record at most, or nearly so.
+/// Approximate maximum size of a machine record.
 constexpr size_t kMachineRecordBytes = 300;
 
-/// A write without an answer may be applied late: only hosts that every write of the record's
-/// present version names are certain to stay in it.
+/// Reduces `hosts_in_all_writes` to the hosts that this write names too. An unacknowledged write
+/// may be applied late, so only hosts named by every write against the current version are certain
+/// to stay in the record.
 void keep_common_hosts(Job& job, const std::optional<std::vector<std::string>>& hosts) {
   if (!hosts) return;
   if (!job.hosts_in_all_writes) {
@@ -29,13 +30,13 @@
 
 }  // namespace
 
-/// The writes of one transaction. Its size is kept well under the store's limit of 64 KiB.
+/// The writes of one transaction. Its size is kept well below the store's limit of 64 KiB.
 class RecordPlanner::Batch {
  public:
   explicit Batch(size_t max_changes) : max_changes_(max_changes) {}
   bool fits(size_t changes) const { return changes_ + changes <= max_changes_; }
   bool full() const { return bytes_ > kMaxBytes; }
-  /// `bytes`: the size of its value at most.
+  /// `bytes`: upper bound on the size of the record's value.
   void add(RecordWrite write, size_t bytes) {
     changes_ += write.changes();
     bytes_ += bytes;
@@ -58,7 +59,8 @@
   return batch.release();
 }
 
-/// Machines that are to get their first start: it waits for their records.
+/// Adds the records of machines that are to get their first task, which is not started before the
+/// record is durable.
 void RecordPlanner::add_machine_writes(Batch& batch) {
   if (!queue_.prompt()) {
     for (const auto& [id, machine] : state_.machines()) {
@@ -93,8 +95,8 @@
   }
 }
 
-/// Starts wait for some of them and users for others; what is merely tidied up comes last. False if
-/// the batch is full before all are in it.
+/// Adds job records in order of priority: those that task starts wait for, then those that users
+/// wait for, then progress and cleanup. Returns false if the batch is full before all are added.
 bool RecordPlanner::add_job_writes(Batch& batch, Seconds now) {
   if (queue_.prompt()) return add_queued_job_writes(batch, now);
   struct PrioritizedJob {
@@ -151,22 +153,24 @@
   if (state_.cancelled_by_dependency(job)) record.state = JobState::Cancelled;
   record.started = job.stored.started || job.start_record_requested;
   if (record.started && !record.spec.dependencies.empty()) {
-    // All of them are done: from here on only the time counts.
+    // A started job's dependencies are all done; only the time of the last completion is needed.
     record.ready_ms = state_.arrival_ms(job);
     record.spec.dependencies.clear();
   }
   if (record.started) record.hosts = possible_hosts(job);
   write.finished = record.state != JobState::Pending && state_.absent_everywhere(job);
-  // Of a job that is over only their number is kept.
+  // The record of a finished job stores only the number of done tasks.
   record.done = write.finished ? job.done : RecordQueue::done_for_record(job);
   return write;
 }
 
-/// Where the job's tasks may be, for the next leader: machines that it can't reconcile hold back
-/// this job only if they are among these. None if the list would take too much of a record.
+/// Returns the machines on which the job's tasks may be, for the record. After a failover, the job
+/// is held back only by unreconciled machines in this list. None, which means any machine, if the
+/// list is not known or does not fit into the record.
 std::optional<std::vector<std::string>> RecordPlanner::possible_hosts(const Job& job) const {
   if (state_.placement_unknown(job) && !job.stored.hosts) return std::nullopt;
-  // An array has tens of thousands of placements on a few hundred machines.
+  // Deduplicated first: an array can have tens of thousands of placements on a few hundred
+  // machines.
   std::unordered_set<std::string_view> machines;
   for_each_possible_placement(job, [&machines](uint32_t, const TaskPlacement& placement) {
     machines.insert(placement.machine);
--- a/src/dispatch/record_planner.h
+++ b/src/dispatch/record_planner.h
@@ -13,21 +13,23 @@
 
 namespace sumacquay {
 
-/// Plans which records go into the leader's next transaction, and takes in what became of it. Owns
-/// the account of machines' records whose writes are in flight. The node carries the writes out,
-/// guarded by the leader's term and each job record's version.
+/// Selects the record writes of the leader's next transaction and applies their outcomes. Owns the
+/// tracking of machine record writes. The node carries the writes out, guarded by the leader's term
+/// and the version of each job record.
 class RecordPlanner {
  public:
   RecordPlanner(ClusterState& state, RecordQueue& queue, RecordIngestion& ingestion,
                 CommandDispatcher& commands, WorkCounters& work)
       : state_(state), queue_(queue), ingestion_(ingestion), commands_(commands), work_(work) {}
 
-  /// The writes of one transaction of at most so many changes, the most urgent first. Each is in
-  /// flight until `on_write_answered`.
+  /// Returns the writes of one transaction with at most `max_changes` changes, the most urgent
+  /// first. Each write is in flight until `on_write_answered`.
   std::vector<RecordWrite> plan_writes(Seconds now, size_t max_changes);
-  /// `committed`: certainly carried out. Otherwise it may be carried out at any later time.
+  /// Applies the outcome of a write. Unless `committed`, the write may still be applied at any
+  /// later time.
   void on_write_answered(const RecordWrite& write, bool committed, uint64_t version, Seconds now);
-  /// The machine is gone: its record is deleted once there is nothing more urgent to write.
+  /// Requests deletion of the record of a machine that is gone. It is written once no write is more
+  /// urgent.
   void request_machine_deletion(const std::string& id) { host_writes_.request_deletion(id); }
 
  private:
--- a/src/dispatch/record_queue.cpp
+++ b/src/dispatch/record_queue.cpp
@@ -6,21 +6,23 @@
   if (job.write_in_flight || job.version == 0) return WritePriority::None;
   const bool pending = job.stored.state == JobState::Pending;
   const bool over = !pending || job.complete();
-  // A record of a version before these limits: the job can still be moved to the finished ones.
+  // The record predates the size limits and cannot be rewritten, but the job can still be moved to
+  // the finished records.
   if (!job.record_capacity.any() && !(over && state_.absent_everywhere(job)))
     return WritePriority::None;
   if ((job.start_record_requested && !job.stored.started) || job.hosts_record_requested)
     return WritePriority::Start;
   if (pending && job.complete()) return WritePriority::Done;
-  // It stays among the live records until nothing of it is left anywhere: the next leader must
-  // know what may still use resources and count against a quota.
+  // The job stays among the live records until no task of it can be present, so that a later leader
+  // accounts for tasks that may still use resources and count against the quota.
   if (!pending && state_.absent_everywhere(job)) return WritePriority::Finished;
   if (state_.cancelled_by_dependency(job)) return WritePriority::Finished;
   return progress_due(job, now) ? WritePriority::Progress : WritePriority::None;
 }
 
-/// Progress of an array is written in batches, as far as its record has room for it. Only more than
-/// is stored is progress: a record of larger limits isn't rewritten for what it would lose.
+/// Whether new completions of the job are due to be written. They are written at most once per
+/// heartbeat period, as far as the record has room. A record that already stores as many done tasks
+/// as would fit, for instance one written with larger limits, is not rewritten.
 bool RecordQueue::progress_due(const Job& job, Seconds now) const {
   if (job.done.count() == job.stored.done.count()) return false;
   const bool due =
--- a/src/dispatch/record_queue.h
+++ b/src/dispatch/record_queue.h
@@ -8,30 +8,31 @@
 
 namespace sumacquay {
 
-/// How urgently a job's record is to be written, the most urgent first: tasks wait to start for
-/// some of them and users wait for others.
+/// Priority of a job record's write, the most urgent first. Task starts wait for `Start`, users for
+/// `Done`.
 enum class WritePriority { Start, Done, Progress, Finished, None };
 
-/// Decides which records are to be written, and how urgently. With prompt dispatch it keeps them in
-/// queues, so that planning the writes costs what there is to write; otherwise nothing is queued
-/// and the RecordPlanner looks at every record. Like the queue of commands it only says where to
-/// look.
+/// Decides which records are due to be written, and with which priority. With prompt dispatch the
+/// due records are queued, so that the cost of planning depends on the number of due writes;
+/// otherwise the queues are empty and the RecordPlanner scans all records. As in the
+/// CommandDispatcher, queue entries are hints that are checked again when they are popped.
 class RecordQueue {
  public:
   explicit RecordQueue(ClusterState& state) : state_(state) {}
 
-  /// Whether records are queued.
+  /// Whether records are queued (prompt dispatch).
   bool prompt() const { return state_.settings().tuning.prompt_dispatch; }
   WritePriority write_priority(const Job& job, Seconds now) const;
-  /// The done tasks that the job's record has room for. What finds none stays with the workers
-  /// until earlier tasks close the gaps. What is stored has been cleared there, and goes first.
+  /// Returns the done tasks that fit into the job's record. Stored completions come first, since
+  /// the workers may have dropped them already. Workers keep reporting a completion that does not
+  /// fit, until earlier tasks are done and close the gaps between ranges.
   static Ranges done_for_record(const Job& job);
 
   void enqueue_job(const Job& job, Seconds now);
   void enqueue_machine(const Machine& machine);
-  /// Finds whatever came up without being queued. Called once a round; looks at all records.
+  /// Enqueues due records that no event has enqueued. Scans all records; called once per round.
   void enqueue_overlooked(Seconds now);
-  /// The next machine or job to look at, none: the queue is empty.
+  /// Removes and returns the next machine or job to check; none if the queue is empty.
   std::optional<std::string> pop_machine() { return machines_.pop(); }
   std::optional<std::string> pop_job() { return jobs_.pop(); }
   bool jobs_empty() const { return jobs_.empty(); }
--- a/src/dispatch/record_transaction.cpp
+++ b/src/dispatch/record_transaction.cpp
@@ -20,7 +20,8 @@
     transaction.mutations.push_back({live, *write.record});
     return;
   }
-  // In one transaction, so that whoever reads the finished records last finds every job.
+  // Moved in one transaction, so that a reader that lists the live records before the finished ones
+  // finds every job.
   transaction.mutations.push_back({live, DeletedRecord{}});
   transaction.mutations.push_back(
       {keys::kFinished + write.job,
--- a/src/dispatch/record_write.h
+++ b/src/dispatch/record_write.h
@@ -8,15 +8,16 @@
 
 namespace sumacquay {
 
-/// One change of a record that the leader wants. The node writes it in a transaction that is
-/// guarded by the leader's term and, for jobs, by the record's version.
+/// A record write planned by the leader. The node carries it out in a transaction that is guarded
+/// by the leader's term and, for jobs, by the version of the record.
 struct RecordWrite {
-  std::string job, host;  ///< which of the two it is
-  uint64_t version = 0;   ///< guard
-  std::optional<JobRecord> record;
-  bool finished = false;                  ///< the job leaves the live records
-  std::optional<HostRecord> host_record;  ///< none: delete
-  /// Changes that a transaction counts: a job that finishes moves from one key to another.
+  std::string job, host;                  ///< id of the job or machine; the other is empty
+  uint64_t version = 0;                   ///< job: version of the record that the write replaces
+  std::optional<JobRecord> record;        ///< job: the new record
+  bool finished = false;                  ///< job: moves to the finished records
+  std::optional<HostRecord> host_record;  ///< machine: the new record; none: delete it
+  /// How many keys the write changes in a transaction. A finished job is deleted from one key and
+  /// written to another.
   size_t changes() const { return finished ? 2 : 1; }
 };
 
--- a/src/dispatch/scale_out_requests.cpp
+++ b/src/dispatch/scale_out_requests.cpp
@@ -5,14 +5,14 @@
 namespace sumacquay {
 namespace {
 
-/// The pause after the first refusal, doubled with each further one up to the limit.
+/// Backoff after the first refusal, doubled with each consecutive one up to the limit.
 constexpr Seconds kFirstBackOff = 5;
 constexpr int kMostDoublings = 4;
 
 }  // namespace
 
 ScaleOut ScaleOutRequests::open(const OfferingKey& offering, int count) {
-  // The term is this leader's alone, so no node ever repeats a name.
+  // The term is unique to this leader, so no two nodes use the same name.
   const std::string name = "sq-" + std::to_string(term_) + "-" + std::to_string(next_number_++);
   ScaleOut rent{name, offering.type, offering.zone, offering.spot, count};
   open_[name] = {rent, std::nullopt};
--- a/src/dispatch/scale_out_requests.h
+++ b/src/dispatch/scale_out_requests.h
@@ -11,41 +11,42 @@
 
 namespace sumacquay {
 
-/// What can be requested: a machine type in a zone, on demand or as spot.
+/// Identifies an offering of the cloud: a machine type in a zone, on demand or as spot.
 struct OfferingKey {
   std::string type, zone;
   bool spot = false;
   auto operator<=>(const OfferingKey&) const = default;
 };
 
-/// The requests to the cloud for machines: names them, repeats those whose outcome is unknown, and
-/// backs off from offers that the cloud refused.
+/// Tracks the requests to the cloud for machines: names them, retries those whose outcome is
+/// unknown, and backs off from offerings that the cloud has refused.
 class ScaleOutRequests {
  public:
   explicit ScaleOutRequests(uint64_t term) : term_(term) {}
 
-  /// A new request, under a name that no leader uses again; it is open until it is settled.
+  /// Creates a request with a name that no leader uses again. It is in flight until `complete`.
   ScaleOut open(const OfferingKey& offering, int count);
-  /// Whether any request is open: what it brings is not known yet.
+  /// Whether any request is in flight, so that the number of its machines is not known yet.
   bool any_in_flight() const { return !open_.empty(); }
-  /// Open requests that are to be sent again by now. Each is returned once.
+  /// Returns the requests whose retry is due, each once per call of `retry_after`.
   std::vector<ScaleOut> due_for_retry(Seconds now);
-  /// The outcome is unknown: sent again after `delay`, under the same name, so that it rents
-  /// nothing more if it was carried out.
+  /// Schedules a retry of a request whose outcome is unknown. The name stays the same, so the retry
+  /// allocates no further machines if the request was already carried out.
   void retry_after(const ScaleOut& rent, Seconds now, Seconds delay);
-  /// The cloud has answered with so many machines, none if it refused. False if the request is not
-  /// open. Fewer than were asked for count as a refusal, each in a row of them for twice as long.
+  /// Completes a request with the number of machines that the cloud granted, 0 if it refused. Fewer
+  /// machines than requested count as a refusal; each consecutive refusal of an offering doubles
+  /// its backoff, up to a limit. Returns false if the request is not in flight.
   bool complete(const ScaleOut& rent, size_t rented, Seconds now);
-  /// Whether the cloud refused this not long ago.
+  /// Whether the offering is in backoff after a refusal.
   bool backing_off(const OfferingKey& offering, Seconds now) const;
 
  private:
   /// A request without a final answer.
   struct OpenRequest {
     ScaleOut rent;
-    std::optional<Seconds> repeat_at;  ///< none: an answer is awaited
+    std::optional<Seconds> repeat_at;  ///< none: a response is awaited
   };
-  /// How often in a row the cloud has refused an offering.
+  /// The consecutive refusals of an offering and the end of its backoff.
   struct Refusals {
     Seconds until = 0;
     int in_a_row = 0;
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -32,7 +32,7 @@
 std::unordered_map<std::string, uint32_t> Scheduler::running_counts() const {
   std::unordered_map<std::string, uint32_t> counts;
   for (const auto& [machine_id, machine] : state_.machines()) {
-    const std::string* job = nullptr;  // attempts are in the order of their jobs: one look-up a job
+    const std::string* job = nullptr;  // attempts are sorted by job: one look-up per job
     uint32_t* count = nullptr;
     for (const auto& [id, attempt] : machine.attempts) {
       if (attempt.state != TaskAttemptState::Running) continue;
--- a/src/dispatch/scheduling_queue.cpp
+++ b/src/dispatch/scheduling_queue.cpp
@@ -10,19 +10,19 @@
 namespace sumacquay {
 namespace {
 
-/// The order in which a round places jobs: the smaller goes first.
+/// Sort key of the jobs in a round, the smallest first.
 struct SchedulingOrder {
-  /// A job that may preempt another goes before it: the other way round, the other would only be
-  /// stopped again.
+  /// A job that may preempt another is placed before it; otherwise the other job would be started
+  /// and then preempted.
   int negated_priority = 0;
-  /// A job within its team's fair share need not wait for other teams, and what it has preempted
-  /// must not be back in its place before it.
+  /// A job within its team's fair share does not wait for other teams. Placing it first also keeps
+  /// a task that it has preempted from taking the room again.
   bool beyond_fair_share = false;
-  /// Of those that can preempt nobody: tasks that need no GPUs fit into every gap and would take
-  /// the CPUs beside all GPUs.
+  /// Among jobs of the lowest priority, which cannot preempt by priority, tasks without GPUs come
+  /// last: they fit on nearly any machine and would take the CPUs that GPU tasks need.
   bool fits_every_gap = false;
-  double arrival_period = 0;  ///< jobs that arrive within one heartbeat period arrive together
-  int negated_gang_size = 0;  ///< of these the largest gang goes first
+  double arrival_period = 0;  ///< arrival time in heartbeat periods, rounded down
+  int negated_gang_size = 0;  ///< within a period the largest gang comes first
   uint64_t arrival_ms = 0;
   std::string_view id;
   auto operator<=>(const SchedulingOrder&) const = default;
@@ -43,7 +43,7 @@
   return order;
 }
 
-/// A waiting job with its place in the order.
+/// A waiting job with its sort key.
 struct QueuedJob {
   SchedulingOrder order;
   Job* job = nullptr;
@@ -51,8 +51,8 @@
 
 }  // namespace
 
-/// Whether a round may start anything of the job. A crash-looping job gets one task at a time,
-/// until one of its tasks runs steadily.
+/// Whether a round may place tasks of the job. A crash-looping job gets one task at a time, until
+/// one of its tasks runs steadily.
 bool SchedulingQueue::may_be_placed(Job& job, Seconds now) {
   if (!job.runnable() || !state_.ready(job) || now < job.backoff_until ||
       state_.placement_unknown(job))
@@ -87,7 +87,8 @@
   return jobs;
 }
 
-/// Finds the jobs within fair shares, if any of those that wait could be one of them.
+/// Finds the jobs within their team's fair share. Skipped if no waiting job belongs to a team with
+/// a fair share.
 void SchedulingQueue::find_jobs_within_fair_share(const std::vector<Job*>& waiting) {
   within_fair_share_.clear();
   const auto& team_settings = state_.settings().teams;
--- a/src/dispatch/scheduling_queue.h
+++ b/src/dispatch/scheduling_queue.h
@@ -9,18 +9,19 @@
 
 namespace sumacquay {
 
-/// The jobs that wait for machines, in the order in which a round places them. Owns which of them
-/// are within their team's fair share, for the present round.
+/// Orders the jobs that wait for machines for a placement round. Owns the set of jobs within their
+/// team's fair share in the current round.
 class SchedulingQueue {
  public:
   SchedulingQueue(ClusterState& state, FailureAttribution& failures, ArrivalForecast& arrivals)
       : state_(state), failures_(failures), arrivals_(arrivals) {}
 
-  /// The jobs of which a round may place something, the first to be placed first.
+  /// Returns the jobs that may have tasks placed in this round, in the order of placement.
   std::vector<Job*> waiting_jobs(Seconds now);
-  /// Whether the job is within its team's fair share; false for all jobs outside of a round.
+  /// Whether the job is within its team's fair share. False for all jobs outside of a round.
   bool within_fair_share(std::string_view job) const { return within_fair_share_.contains(job); }
-  /// Ends the round: the ids that are kept belong to jobs that may go.
+  /// Ends the round. Clears the set of jobs within fair shares, since its ids refer to strings of
+  /// jobs that may be removed between rounds.
   void end_round() { within_fair_share_.clear(); }
 
  private:
--- a/src/dispatch/zone_partition_detector.cpp
+++ b/src/dispatch/zone_partition_detector.cpp
@@ -5,9 +5,9 @@
 namespace sumacquay {
 namespace {
 
-/// The part of a zone's machines that are silent when it counts as partitioned.
+/// A zone counts as partitioned if more than this fraction of its machines is silent.
 constexpr double kSilentShare = 0.5;
-/// The part of a zone's machines that were heard recently when it certainly isn't.
+/// A zone counts as reachable if more than this fraction of its machines has recent heartbeats.
 constexpr double kHeardShare = 0.25;
 
 bool more_than(double part, size_t some, size_t all) {
--- a/src/dispatch/zone_partition_detector.h
+++ b/src/dispatch/zone_partition_detector.h
@@ -9,33 +9,35 @@
 
 namespace sumacquay {
 
-/// So many machines never fall silent together by chance.
+/// Smallest group of machines whose simultaneous silence indicates a partition. This many machines
+/// do not fail together by coincidence.
 constexpr size_t kMinMachinesForPartition = 3;
 
-/// Finds out from the silent machines which zones are partitioned: most of a zone's machines don't
-/// fall silent together by themselves. What runs in such a zone goes on, so the leader releases
-/// nothing there, and requests nothing there since it could not reach it. The leader counts the
-/// machines whenever it looks for failed ones.
+/// Detects partitioned zones from the number of machines whose heartbeats are missing, since most
+/// machines of a zone do not fail at the same time. Tasks in a partitioned zone keep running, so
+/// the leader releases no machine there. It also requests none there, since it could not reach
+/// them. The leader updates the counts whenever it checks for failed machines.
 class ZonePartitionDetector {
  public:
-  /// The machines of a zone that are up.
+  /// Counts of the machines in a zone that are up.
   struct Count {
     size_t up = 0;
-    size_t silent = 0;          ///< for some time, though for less than a dead machine
-    size_t heard_recently = 0;  ///< within the last part of a heartbeat period
+    size_t silent = 0;          ///< silent for most of the time after which a machine is suspected
+    size_t heard_recently = 0;  ///< silent for a fraction of a heartbeat period at most
   };
-  /// Applies a new count. A zone without machines shows nothing either way: it stays partitioned
-  /// for `forget_after` at most, or nothing would ever be requested there again. Returns the zones
-  /// that are partitioned no longer.
+  /// Applies new counts and returns the zones that are no longer partitioned. A partitioned zone
+  /// without machines cannot be judged; it stays partitioned for at most `forget_after`, since
+  /// otherwise no machine would ever be requested there again.
   std::vector<std::string> update(const std::map<std::string, Count>& zones, Seconds now,
                                   Seconds forget_after);
   bool partitioned(const std::string& zone) const { return partitioned_.contains(zone); }
-  /// Whether so many machines of the zone were heard recently that it can't be partitioned: in a
-  /// zone that is, fewer were by the time the first machine is late and has not answered a probe.
+  /// Whether enough machines of the zone have recent heartbeats that it cannot be partitioned. In a
+  /// partitioned zone, fewer have one by the time the first machine is overdue and its probe has
+  /// failed.
   bool reachable(const std::string& zone) const { return reachable_.contains(zone); }
 
  private:
-  std::map<std::string, Seconds> partitioned_;  ///< and when a machine there was last counted
+  std::map<std::string, Seconds> partitioned_;  ///< zone -> when it last had machines
   std::set<std::string> reachable_;
 };
 
