--- a/src/dispatch/placement_round.cpp
+++ b/src/dispatch/placement_round.cpp
@@ -10,8 +10,8 @@
 /// A round considers at most this many tasks of one job other than a gang, or in a large fleet this
 /// many per machine, so that it does not scan all tasks of an array that is too large to start at
 /// once. Later rounds consider the remaining tasks.
-constexpr size_t kMinTasksPerRound = 500;
-constexpr size_t kTasksPerMachine = 4;
+constexpr size_t kMinRoundTaskLimit = 500;
+constexpr size_t kRoundTaskLimitPerMachine = 4;
 
 }  // namespace
 
@@ -33,8 +33,8 @@
   auto request = max_tasks > 0 ? create_request(job, max_tasks) : std::nullopt;
   if (!request) return;
   if (request->image_first && !links_.failures.crash_looping(job))
-    place_where_image_cached(job, *request, candidates, now);
-  if (!request->tasks.empty()) place_what_fits(job, *request, candidates, now);
+    place_on_machines_with_image(job, *request, candidates, now);
+  if (!request->tasks.empty()) place_fitting_tasks(job, *request, candidates, now);
   if (request->tasks.empty()) return;
   // A crash-looping job does not preempt other jobs.
   if (!links_.failures.crash_looping(job)) {
@@ -51,7 +51,7 @@
 // ---------------------------------------------------------------- requests
 
 size_t PlacementRound::max_tasks_per_round() const {
-  return std::max(kMinTasksPerRound, kTasksPerMachine * state_.machines().size());
+  return std::max(kMinRoundTaskLimit, kRoundTaskLimitPerMachine * state_.machines().size());
 }
 
 /// Returns the first `max_tasks` tasks that are neither done nor possibly present on a machine.
@@ -103,16 +103,16 @@
   const JobSpec& spec = job.spec();
   const Settings& settings = state_.settings();
   if (spec.kind != JobKind::Service) return false;
-  double longest = 0;
+  double longest_fetch_s = 0;
   for (const auto& type : state_.machine_types())
     if (type.fetch_gb_per_s > 0 && spec.allows_type(type.name) &&
         spec.request.fits_in(type.capacity))
-      longest = std::max(longest, spec.image_gb / type.fetch_gb_per_s);
-  if (job.stored.started) return longest > settings.heartbeat_period_s;
+      longest_fetch_s = std::max(longest_fetch_s, spec.image_gb / type.fetch_gb_per_s);
+  if (job.stored.started) return longest_fetch_s > settings.heartbeat_period_s;
   return std::any_of(settings.objectives.begin(), settings.objectives.end(),
                      [&](const ServiceLevelObjective& objective) {
                        return objective.kind == "wait" && objective.job_class == spec.job_class &&
-                              longest > objective.within_s;
+                              longest_fetch_s > objective.within_s;
                      });
 }
 
@@ -120,23 +120,24 @@
 
 /// Places tasks on machines that have the image cached, and preempts tasks of lower priority there.
 /// Tasks that remain in `request` are left to regular placement.
-void PlacementRound::place_where_image_cached(Job& job, PlacementRequest& request,
-                                              std::vector<CandidateMachine>& candidates,
-                                              Seconds now) {
-  PlacementRequest cached = request;
-  cached.avoid = [&request](const CandidateMachine& candidate) {
+void PlacementRound::place_on_machines_with_image(Job& job, PlacementRequest& request,
+                                                  std::vector<CandidateMachine>& candidates,
+                                                  Seconds now) {
+  PlacementRequest cached_request = request;
+  cached_request.avoid = [&request](const CandidateMachine& candidate) {
     return request.avoid(candidate) || !request.has_image(candidate);
   };
   // No preemption between teams here: machines without the image may have room.
-  cached.within_fair_share = false;
-  place_what_fits(job, cached, candidates, now);
-  if (!cached.tasks.empty()) links_.preemptor.preempt_for(job, cached, candidates, now);
-  request.tasks = cached.tasks;
-  request.zones = cached.zones;
+  cached_request.within_fair_share = false;
+  place_fitting_tasks(job, cached_request, candidates, now);
+  if (!cached_request.tasks.empty())
+    links_.preemptor.preempt_for(job, cached_request, candidates, now);
+  request.tasks = cached_request.tasks;
+  request.zones = cached_request.zones;
 }
 
-void PlacementRound::place_what_fits(Job& job, PlacementRequest& request,
-                                     std::vector<CandidateMachine>& candidates, Seconds now) {
+void PlacementRound::place_fitting_tasks(Job& job, PlacementRequest& request,
+                                         std::vector<CandidateMachine>& candidates, Seconds now) {
   const auto assignments = bin_pack(request, candidates);
   start_assignments(job, assignments, candidates, now);
   for (const Assignment& assignment : assignments) {
@@ -152,14 +153,14 @@
                                        Seconds now) {
   if (assignments.empty()) return;
   const JobSpec& spec = job.spec();
-  FencingTokenAllocator& numbers = state_.token_allocator();
+  FencingTokenAllocator& token_allocator = state_.token_allocator();
   const bool gang = spec.kind == JobKind::Gang;
-  if (gang) job.gang_attempt = numbers.new_attempt();
+  if (gang) job.gang_attempt = token_allocator.new_attempt();
   job.start_record_requested = true;
   for (const Assignment& assignment : assignments) {
     Machine& machine = state_.machines().at(candidates[assignment.candidate].machine);
     const TaskAttemptId id{{spec.id, assignment.task},
-                           gang ? job.gang_attempt : numbers.new_attempt()};
+                           gang ? job.gang_attempt : token_allocator.new_attempt()};
     log_debug("task_placed", log_field("job", spec.id), log_field("task", assignment.task),
               log_field("attempt", id.attempt), log_field("machine", machine.info.id));
     TaskAttempt& attempt = machine.attempts[id];
--- a/src/dispatch/placement_round.h
+++ b/src/dispatch/placement_round.h
@@ -48,10 +48,10 @@
   std::vector<uint32_t> tasks_to_place(const Job& job, size_t max_tasks) const;
   size_t max_tasks_per_round() const;
   bool image_fetch_misses_objective(const Job& job) const;
-  void place_where_image_cached(Job& job, PlacementRequest& request,
-                                std::vector<CandidateMachine>& candidates, Seconds now);
-  void place_what_fits(Job& job, PlacementRequest& request,
-                       std::vector<CandidateMachine>& candidates, Seconds now);
+  void place_on_machines_with_image(Job& job, PlacementRequest& request,
+                                    std::vector<CandidateMachine>& candidates, Seconds now);
+  void place_fitting_tasks(Job& job, PlacementRequest& request,
+                           std::vector<CandidateMachine>& candidates, Seconds now);
   void start_assignments(Job& job, const std::vector<Assignment>& assignments,
                          const std::vector<CandidateMachine>& candidates, Seconds now);
 
--- a/src/dispatch/preemptor.cpp
+++ b/src/dispatch/preemptor.cpp
@@ -8,14 +8,14 @@
 namespace sumacquay {
 namespace {
 
-/// The largest loss that a victim of preemption for a gang may have, as a fraction of the start-up
+/// The largest loss that a victim of preemption for a gang may have, as a fraction of the startup
 /// time on a new machine.
-constexpr double kMaxLossShare = 0.1;
-/// The wait objective of a class without a configured one, as a multiple of the start-up time on a
+constexpr double kMaxLossFraction = 0.1;
+/// The wait objective of a class without a configured one, as a multiple of the startup time on a
 /// new machine.
-constexpr double kDefaultPatience = 2;
+constexpr double kDefaultWaitObjectiveFactor = 2;
 /// Lower bound in GB/s, avoids division by a fetch rate of zero.
-constexpr double kMinFetchRate = 1e-3;
+constexpr double kMinFetchGbPerS = 1e-3;
 
 }  // namespace
 
@@ -24,12 +24,12 @@
 /// Returns the work lost by preempting an attempt: its running time or, before it runs, the time
 /// spent waiting for its image. If the task checkpoints, the loss is at most the time that a
 /// checkpoint takes. A gang has that loss on each of its tasks.
-Seconds Preemptor::loss_of(const Job& job, const TaskAttempt& attempt, Seconds now) const {
+Seconds Preemptor::preemption_loss(const Job& job, const TaskAttempt& attempt, Seconds now) const {
   const JobSpec& spec = job.spec();
-  const Seconds spent = now - attempt.running_since.value_or(attempt.placed_at);
+  const Seconds elapsed = now - attempt.running_since.value_or(attempt.placed_at);
   const bool checkpointed = attempt.running_since && spec.checkpoints();
-  const Seconds lost = checkpointed ? std::min(spent, spec.checkpoint_duration_s) : spent;
-  return spec.kind == JobKind::Gang ? lost * spec.tasks : lost;
+  const Seconds loss = checkpointed ? std::min(elapsed, spec.checkpoint_duration_s) : elapsed;
+  return spec.kind == JobKind::Gang ? loss * spec.tasks : loss;
 }
 
 Victim Preemptor::victim_for(const Job& job, const TaskAttemptId& id, const TaskAttempt& attempt,
@@ -43,7 +43,7 @@
   victim.candidate = candidate;
   victim.request = attempt.request;
   victim.priority = job.priority;
-  victim.loss_s = loss_of(job, attempt, now);
+  victim.loss_s = preemption_loss(job, attempt, now);
   victim.gang = gang;
   victim.beyond_fair_share = !links_.queue.within_fair_share(victim.job);
   victim.stops = gang ? attempt.request.times(spec.tasks) : attempt.request;
@@ -81,39 +81,42 @@
 
 /// Marks the task, and its gang if it has one, as being stopped, so that no other job in this round
 /// preempts it again.
-void Preemptor::mark_preempted(const Victim& gone) {
+void Preemptor::mark_preempted(const Victim& stopped_victim) {
   if (!victims_) return;
-  running_resources_.remove(gone.team, gone.stops);
+  running_resources_.remove(stopped_victim.team, stopped_victim.stops);
   for (Victim& victim : *victims_)
-    if (victim.job == gone.job && (gone.gang || victim.task == gone.task)) victim.stopped = true;
+    if (victim.job == stopped_victim.job &&
+        (stopped_victim.gang || victim.task == stopped_victim.task))
+      victim.stopped = true;
 }
 
 // ---------------------------------------------------------------- waiting or preempting
 
 /// Returns the shortest time until the job can run on a machine requested now, or none if no
 /// machine can be requested for it.
-std::optional<Seconds> Preemptor::time_on_new_machine(const JobSpec& spec, Seconds now) const {
-  std::optional<Seconds> soonest;
+std::optional<Seconds> Preemptor::startup_time_on_new_machine(const JobSpec& spec,
+                                                              Seconds now) const {
+  std::optional<Seconds> shortest;
   for (const InstanceOffering& offering : links_.autoscaler.offerings(now)) {
     const MachineType& type = *offering.type;
     if (offering.blocked || !allowed(spec, type.name, offering.zone, offering.spot) ||
         !spec.request.fits_in(type.capacity))
       continue;
-    const Seconds takes =
-        type.boot_s + spec.image_gb / std::max(type.fetch_gb_per_s, kMinFetchRate);
-    if (!soonest || takes < *soonest) soonest = takes;
+    const Seconds startup_time =
+        type.boot_s + spec.image_gb / std::max(type.fetch_gb_per_s, kMinFetchGbPerS);
+    if (!shortest || startup_time < *shortest) shortest = startup_time;
   }
-  return soonest;
+  return shortest;
 }
 
-/// Whether the job would miss the wait objective of its class if it started `start_takes` seconds
+/// Whether the job would miss the wait objective of its class if it started `start_delay` seconds
 /// from now.
-bool Preemptor::misses_objective(const Job& job, Seconds start_takes, Seconds now) const {
-  Seconds within = kDefaultPatience * start_takes;
+bool Preemptor::misses_objective(const Job& job, Seconds start_delay, Seconds now) const {
+  Seconds max_wait = kDefaultWaitObjectiveFactor * start_delay;
   for (const ServiceLevelObjective& objective : state_.settings().objectives)
     if (objective.kind == "wait" && objective.job_class == job.spec().job_class)
-      within = objective.within_s;
-  return now - state_.arrival(job) + start_takes > within;
+      max_wait = objective.within_s;
+  return now - state_.arrival(job) + start_delay > max_wait;
 }
 
 /// Whether all tasks of the request fit if victims are preempted for it.
@@ -142,8 +145,9 @@
 /// is not limited.
 void Preemptor::reserve_partial_gang(const Job& job, PlacementRequest& request,
                                      std::vector<CandidateMachine>& candidates, Seconds now) {
-  const auto new_machine_takes = time_on_new_machine(job.spec(), now);
-  const bool late = !new_machine_takes || misses_objective(job, *new_machine_takes, now);
+  const auto new_machine_startup_time = startup_time_on_new_machine(job.spec(), now);
+  const bool late =
+      !new_machine_startup_time || misses_objective(job, *new_machine_startup_time, now);
   const auto avoid = request.avoid;
   if (!late)
     request.avoid = [&](const CandidateMachine& candidate) {
@@ -155,9 +159,9 @@
   request.avoid = avoid;
   if (request.tasks.empty() || !late) return;
   auto victims = victims_in_round(candidates, now);
-  if (new_machine_takes)
+  if (new_machine_startup_time)
     std::erase_if(victims, [&](const Victim& victim) {
-      return victim.loss_s > kMaxLossShare * *new_machine_takes;
+      return victim.loss_s > kMaxLossFraction * *new_machine_startup_time;
     });
   if (whole_request_fits(request, candidates, victims))
     preempt_from(victims, job, request, candidates, now);
--- a/src/dispatch/preemptor.h
+++ b/src/dispatch/preemptor.h
@@ -51,16 +51,16 @@
   void stop_victim(const Victim& victim, const Job& job, CandidateMachine& candidate, Seconds now);
   bool whole_request_fits(PlacementRequest request, std::vector<CandidateMachine> candidates,
                           const std::vector<Victim>& victims) const;
-  std::optional<Seconds> time_on_new_machine(const JobSpec& spec, Seconds now) const;
-  bool misses_objective(const Job& job, Seconds start_takes, Seconds now) const;
-  Seconds loss_of(const Job& job, const TaskAttempt& attempt, Seconds now) const;
+  std::optional<Seconds> startup_time_on_new_machine(const JobSpec& spec, Seconds now) const;
+  bool misses_objective(const Job& job, Seconds start_delay, Seconds now) const;
+  Seconds preemption_loss(const Job& job, const TaskAttempt& attempt, Seconds now) const;
   Victim victim_for(const Job& job, const TaskAttemptId& id, const TaskAttempt& attempt,
                     size_t candidate, Seconds now) const;
   std::vector<Victim> list_victims(const std::vector<CandidateMachine>& candidates,
                                    Seconds now) const;
   const std::vector<Victim>& victims_in_round(const std::vector<CandidateMachine>& candidates,
                                               Seconds now);
-  void mark_preempted(const Victim& gone);
+  void mark_preempted(const Victim& stopped_victim);
 
   ClusterState& state_;
   PreemptorLinks links_;
--- a/src/dispatch/quota_tracker.cpp
+++ b/src/dispatch/quota_tracker.cpp
@@ -9,11 +9,11 @@
 /// Represents "no limit"; more tasks than any job has.
 constexpr double kUnlimitedTasks = 1e9;
 /// Compensates for rounding errors in sums of decimal amounts.
-constexpr double kRounding = 1e-6;
+constexpr double kRoundingTolerance = 1e-6;
 
-double tasks_within(double limit, double used, double request) {
+double max_additional_tasks(double limit, double used, double request) {
   if (limit <= 0 || request <= 0) return kUnlimitedTasks;
-  return std::max(0.0, std::floor((limit - used) / request + kRounding));
+  return std::max(0.0, std::floor((limit - used) / request + kRoundingTolerance));
 }
 
 }  // namespace
@@ -25,8 +25,8 @@
   size_t count = 0;
   for (const auto& [task, placements] : job.possible_placements) count += placements.size();
   if (!state_.placement_unknown(job)) return count;
-  const uint32_t gone = job.spec().kind == JobKind::Array ? job.stored.done.count() : 0;
-  return std::max<size_t>(count, job.spec().tasks - std::min(job.spec().tasks, gone));
+  const uint32_t excluded = job.spec().kind == JobKind::Array ? job.stored.done.count() : 0;
+  return std::max<size_t>(count, job.spec().tasks - std::min(job.spec().tasks, excluded));
 }
 
 void QuotaTracker::count_usage() {
@@ -42,8 +42,9 @@
   const auto found = usage_.find(team->name);
   const Resources used = found == usage_.end() ? Resources{} : found->second;
   const Resources& request = job.spec().request;
-  return static_cast<size_t>(std::min(tasks_within(team->cpus_max, used.cpus, request.cpus),
-                                      tasks_within(team->gpus_max, used.gpus, request.gpus)));
+  return static_cast<size_t>(
+      std::min(max_additional_tasks(team->cpus_max, used.cpus, request.cpus),
+               max_additional_tasks(team->gpus_max, used.gpus, request.gpus)));
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/rebalancer.cpp
+++ b/src/dispatch/rebalancer.cpp
@@ -10,17 +10,17 @@
 /// How long a replica must have been running before it is moved. The protocol counts a start only
 /// if no command stops the task within 30 s; a multiple of that prevents repeated moves of the same
 /// replica.
-constexpr Seconds kSettled = 4 * 30;
+constexpr Seconds kMinRunningTimeBeforeMove = 4 * 30;
 /// Interval between moves, as a multiple of the heartbeat period.
-constexpr double kPausePeriods = 2;
+constexpr double kRebalanceIntervalPeriods = 2;
 /// The largest fraction of the machines that may be drained at once, so that the replicas being
 /// moved are a negligible fraction of those that run.
-constexpr double kMaxDrainingShare = 0.02;
+constexpr double kMaxDrainingFraction = 0.02;
 /// Lowest price of a machine type worth draining, as a fraction of the highest price. Releasing a
 /// cheaper machine does not justify the downtime of a replica.
-constexpr double kMinPriceShare = 0.25;
+constexpr double kMinPriceFraction = 0.25;
 
-double used_share(const CandidateMachine& candidate) {
+double utilization(const CandidateMachine& candidate) {
   if (candidate.capacity.gpus > 0) return 1 - candidate.available.gpus / candidate.capacity.gpus;
   return candidate.capacity.cpus > 0 ? 1 - candidate.available.cpus / candidate.capacity.cpus : 1;
 }
@@ -43,16 +43,16 @@
 
 /// Whether the task would fit on the machine if the machine were empty.
 bool fits_when_empty(const PlacementRequest& task, const CandidateMachine& candidate) {
-  std::vector<CandidateMachine> alone{candidate};
-  alone[0].available = alone[0].capacity;
-  return !bin_pack(task, alone).empty();
+  std::vector<CandidateMachine> single_machine{candidate};
+  single_machine[0].available = single_machine[0].capacity;
+  return !bin_pack(task, single_machine).empty();
 }
 
 }  // namespace
 
 /// Returns a request to place the task on another machine that has its image. Empty machines are
 /// excluded, since a move to one gains nothing and would be followed by a move back.
-PlacementRequest Rebalancer::request_elsewhere(const Job& job, uint32_t task) const {
+PlacementRequest Rebalancer::relocation_request(const Job& job, uint32_t task) const {
   PlacementRequest request;
   request.spec = &job.spec();
   request.tasks = {task};
@@ -67,18 +67,18 @@
   return request;
 }
 
-/// Whether every task on the machine is a replica that has been running for `kSettled` and fits on
-/// another machine with its image.
-bool Rebalancer::evictable(const Machine& machine, TentativePlacement& elsewhere,
+/// Whether every task on the machine is a replica that has been running for
+/// `kMinRunningTimeBeforeMove` and fits on another machine with its image.
+bool Rebalancer::drainable(const Machine& machine, TentativePlacement& relocation,
                            Seconds now) const {
   for (const auto& [id, attempt] : machine.attempts) {
     if (!attempt.possibly_present()) continue;
     const Job* job = state_.find_job(id.task.job);
     if (!job || job->spec().kind != JobKind::Service || !attempt.desired_running) return false;
     if (attempt.state != TaskAttemptState::Running ||
-        now - attempt.running_since.value_or(now) < kSettled)
+        now - attempt.running_since.value_or(now) < kMinRunningTimeBeforeMove)
       return false;
-    if (!elsewhere.fits(request_elsewhere(*job, id.task.task))) return false;
+    if (!relocation.fits(relocation_request(*job, id.task.task))) return false;
   }
   return true;
 }
@@ -91,7 +91,7 @@
 }
 
 /// Ends the drain of machines that have become empty. Returns how many are still being drained.
-size_t Rebalancer::finish_evictions(Seconds now) {
+size_t Rebalancer::complete_drains(Seconds now) {
   size_t draining = 0;
   for (auto& [id, machine] : state_.machines()) {
     if (!machine.draining || machine.state != MachineState::Up) continue;
@@ -106,7 +106,7 @@
 }
 
 /// Returns the machines that are worth draining, in ascending order of utilization.
-std::vector<size_t> Rebalancer::eviction_candidates(
+std::vector<size_t> Rebalancer::drain_candidates(
     const std::vector<CandidateMachine>& candidates) const {
   double highest_price = 0;
   for (const auto& type : state_.machine_types())
@@ -114,33 +114,34 @@
   std::vector<size_t> order;
   for (size_t i = 0; i < candidates.size(); ++i) {
     const MachineType* type = state_.find_machine_type(candidates[i].type);
-    const bool expensive = type && type->price >= kMinPriceShare * highest_price;
+    const bool expensive = type && type->price >= kMinPriceFraction * highest_price;
     if (candidates[i].schedulable && !empty(candidates[i]) && expensive) order.push_back(i);
   }
   std::sort(order.begin(), order.end(), [&](size_t first, size_t second) {
-    return used_share(candidates[first]) < used_share(candidates[second]);
+    return utilization(candidates[first]) < utilization(candidates[second]);
   });
   return order;
 }
 
 void Rebalancer::rebalance(const std::vector<PlacementRequest>& unplaced, Seconds now) {
-  size_t draining = finish_evictions(now);
+  size_t draining = complete_drains(now);
   if (now < next_rebalance_ || !capacity_.settled(now)) return;
   auto candidates = capacity_.up(now);
   const size_t max_draining =
-      1 + static_cast<size_t>(kMaxDrainingShare * static_cast<double>(candidates.size()));
+      1 + static_cast<size_t>(kMaxDrainingFraction * static_cast<double>(candidates.size()));
   if (draining >= max_draining) return;
   const auto gang_task = task_of_unplaced_gang(unplaced);
-  next_rebalance_ = now + kPausePeriods * state_.settings().heartbeat_period_s;
+  next_rebalance_ = now + kRebalanceIntervalPeriods * state_.settings().heartbeat_period_s;
   std::set<size_t> receiving;  // machines that receive replicas are not drained
-  for (const size_t index : eviction_candidates(candidates)) {
+  for (const size_t index : drain_candidates(candidates)) {
     if (receiving.contains(index)) continue;
     if (gang_task && !fits_when_empty(*gang_task, candidates[index])) continue;
     Machine& machine = state_.machines().at(candidates[index].machine);
     candidates[index].schedulable = false;
-    TentativePlacement elsewhere(candidates);
-    if (evictable(machine, elsewhere, now) && (gang_task || autoscaler_.has_headroom(elsewhere))) {
-      for (const size_t receiver : elsewhere.keep()) receiving.insert(receiver);
+    TentativePlacement relocation(candidates);
+    if (drainable(machine, relocation, now) &&
+        (gang_task || autoscaler_.has_headroom(relocation))) {
+      for (const size_t receiver : relocation.keep()) receiving.insert(receiver);
       drain(machine, gang_task ? "gang_needs_machine" : "can_be_released", now);
       if (++draining >= max_draining) return;
     } else {
--- a/src/dispatch/rebalancer.h
+++ b/src/dispatch/rebalancer.h
@@ -27,10 +27,10 @@
   void rebalance(const std::vector<PlacementRequest>& unplaced, Seconds now);
 
  private:
-  size_t finish_evictions(Seconds now);
-  std::vector<size_t> eviction_candidates(const std::vector<CandidateMachine>& candidates) const;
-  bool evictable(const Machine& machine, TentativePlacement& elsewhere, Seconds now) const;
-  PlacementRequest request_elsewhere(const Job& job, uint32_t task) const;
+  size_t complete_drains(Seconds now);
+  std::vector<size_t> drain_candidates(const std::vector<CandidateMachine>& candidates) const;
+  bool drainable(const Machine& machine, TentativePlacement& relocation, Seconds now) const;
+  PlacementRequest relocation_request(const Job& job, uint32_t task) const;
   void drain(Machine& machine, std::string_view reason, Seconds now);
 
   ClusterState& state_;
--- a/src/dispatch/reconciler.cpp
+++ b/src/dispatch/reconciler.cpp
@@ -26,7 +26,7 @@
   return task.attempt == id.attempt && task.key == id.task;
 }
 
-bool goes_before(const TaskStatus& task, const TaskAttemptId& id) {
+bool precedes(const TaskStatus& task, const TaskAttemptId& id) {
   return std::tie(task.key, task.attempt) < std::tie(id.task, id.attempt);
 }
 
@@ -49,7 +49,7 @@
   std::vector<TaskAttemptId> absent;
   auto next = listed.begin();
   for (const auto& [id, attempt] : machine.attempts) {
-    while (next != listed.end() && goes_before(**next, id)) ++next;
+    while (next != listed.end() && precedes(**next, id)) ++next;
     const bool present = next != listed.end() && same_attempt(**next, id);
     const bool to_be_started =
         attempt.state == TaskAttemptState::Scheduled && attempt.desired_running;
@@ -174,11 +174,11 @@
   state_.mark_reconciled(machine);
 }
 
-/// Applies a heartbeat that is newer than all previous ones. `absence_counts`: attempts that it
-/// does not list may be removed, which holds only for periodic heartbeats and not for responses to
-/// commands or probes.
-void Reconciler::reconcile(Machine& machine, const WorkerHeartbeat& heartbeat, bool absence_counts,
-                           Seconds now) {
+/// Applies a heartbeat that is newer than all previous ones. `absence_is_conclusive`: attempts that
+/// it does not list may be removed, which holds only for periodic heartbeats and not for responses
+/// to commands or probes.
+void Reconciler::reconcile(Machine& machine, const WorkerHeartbeat& heartbeat,
+                           bool absence_is_conclusive, Seconds now) {
   if (heartbeat.agent_epoch > machine.latest.agent_epoch) begin_agent_epoch(machine, now);
   machine.latest = heartbeat.sequence();
   machine.last_heard = now;
@@ -194,7 +194,7 @@
   }
   for (const auto& task : heartbeat.tasks) reconcile_task(machine, task, now);
   if (!current_token) return;
-  if (absence_counts) remove_unlisted(machine, heartbeat, now);
+  if (absence_is_conclusive) remove_unlisted(machine, heartbeat, now);
   accept_worker(machine, now);
 }
 
--- a/src/dispatch/reconciler.h
+++ b/src/dispatch/reconciler.h
@@ -51,7 +51,7 @@
 
  private:
   Machine& find_or_add_machine(const WorkerHeartbeat& heartbeat, Seconds now);
-  void reconcile(Machine& machine, const WorkerHeartbeat& heartbeat, bool absence_counts,
+  void reconcile(Machine& machine, const WorkerHeartbeat& heartbeat, bool absence_is_conclusive,
                  Seconds now);
   void reconcile_task(Machine& machine, const TaskStatus& task, Seconds now);
   void begin_agent_epoch(Machine& machine, Seconds now);
--- a/src/dispatch/record_ingestion.cpp
+++ b/src/dispatch/record_ingestion.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Whether a later leader will find in the record every machine on which a task of the job may be.
-bool next_leader_knows_all(const Job& job) {
+bool all_hosts_recorded(const Job& job) {
   return std::all_of(job.possible_placements.begin(), job.possible_placements.end(),
                      [&job](const auto& entry) {
                        const auto& placements = entry.second;
@@ -31,17 +31,17 @@
   auto [entry, added] = state_.jobs().try_emplace(record.spec.id);
   Job& job = entry->second;
   if (!added && job.version >= version) return;
-  const bool starts_released =
+  const bool starts_unblocked =
       record.started && (!job.stored.started || job.stored.hosts != record.hosts);
   job.stored = record;
   job.version = version;
   job.hosts_in_all_writes.reset();
-  job.hosts_record_requested = job.hosts_record_requested && !next_leader_knows_all(job);
+  job.hosts_record_requested = job.hosts_record_requested && !all_hosts_recorded(job);
   state_.track_dependencies(record);
   if (added) add_job(job, now);
   if (record.state != JobState::Pending) links_.attempts.stop_job(job, false, now);
   if (record.state == JobState::Cancelled) links_.failures.clear_failures(job);
-  if (starts_released) links_.commands.enqueue_machines_of(job);
+  if (starts_unblocked) links_.commands.enqueue_machines_of(job);
   links_.records.enqueue_job(job, now);
 }
 
@@ -56,11 +56,11 @@
     log_error("job_description_too_large", log_field("job", record.spec.id));
   log_debug("job_arrived", log_field("job", record.spec.id), log_field("count", record.spec.tasks),
             log_field("class", record.spec.job_class));
-  adopt_known_attempts(job, now);
+  adopt_reported_attempts(job, now);
 }
 
 /// Adopts tasks of the job that heartbeats reported before the job's record was read.
-void RecordIngestion::adopt_known_attempts(Job& job, Seconds now) {
+void RecordIngestion::adopt_reported_attempts(Job& job, Seconds now) {
   const std::string& id = job.spec().id;
   for (auto& [machine_id, machine] : state_.machines())
     for (auto attempt = machine.attempts.lower_bound({{id, 0}, 0});
--- a/src/dispatch/record_ingestion.h
+++ b/src/dispatch/record_ingestion.h
@@ -41,7 +41,7 @@
 
  private:
   void add_job(Job& job, Seconds now);
-  void adopt_known_attempts(Job& job, Seconds now);
+  void adopt_reported_attempts(Job& job, Seconds now);
 
   ClusterState& state_;
   RecordIngestionLinks links_;
--- a/src/dispatch/record_planner.cpp
+++ b/src/dispatch/record_planner.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 /// A job record is either overwritten or moved, which deletes one key and writes another.
-constexpr size_t kMaxChangesPerJob = 2;
+constexpr size_t kMaxMutationsPerJob = 2;
 /// Approximate maximum size of a machine record.
 constexpr size_t kMachineRecordBytes = 300;
 
 /// Reduces `hosts_in_all_writes` to the hosts that this write names too. An unacknowledged write
 /// may be applied late, so only hosts named by every write against the current version are certain
 /// to stay in the record.
-void keep_common_hosts(Job& job, const std::optional<std::vector<std::string>>& hosts) {
+void intersect_hosts_in_all_writes(Job& job, const std::optional<std::vector<std::string>>& hosts) {
   if (!hosts) return;
   if (!job.hosts_in_all_writes) {
     job.hosts_in_all_writes = hosts;
@@ -33,12 +33,12 @@
 /// The writes of one transaction. Its size is kept well below the store's limit of 64 KiB.
 class RecordPlanner::Batch {
  public:
-  explicit Batch(size_t max_changes) : max_changes_(max_changes) {}
-  bool fits(size_t changes) const { return changes_ + changes <= max_changes_; }
+  explicit Batch(size_t max_mutations) : max_mutations_(max_mutations) {}
+  bool fits(size_t mutations) const { return mutations_ + mutations <= max_mutations_; }
   bool full() const { return bytes_ > kMaxBytes; }
   /// `bytes`: upper bound on the size of the record's value.
   void add(RecordWrite write, size_t bytes) {
-    changes_ += write.changes();
+    mutations_ += write.changes();
     bytes_ += bytes;
     writes_.push_back(std::move(write));
   }
@@ -46,14 +46,14 @@
 
  private:
   static constexpr size_t kMaxBytes = size_t{48} * 1024;
-  size_t max_changes_;
-  size_t changes_ = 0;
+  size_t max_mutations_;
+  size_t mutations_ = 0;
   size_t bytes_ = 0;
   std::vector<RecordWrite> writes_;
 };
 
-std::vector<RecordWrite> RecordPlanner::plan_writes(Seconds now, size_t max_changes) {
-  Batch batch(max_changes);
+std::vector<RecordWrite> RecordPlanner::plan_writes(Seconds now, size_t max_mutations) {
+  Batch batch(max_mutations);
   add_machine_writes(batch);
   if (add_job_writes(batch, now)) add_machine_deletions(batch);
   return batch.release();
@@ -114,14 +114,14 @@
                      return first.priority < second.priority;
                    });
   for (const PrioritizedJob& entry : order) {
-    if (!batch.fits(kMaxChangesPerJob) || batch.full()) return false;
+    if (!batch.fits(kMaxMutationsPerJob) || batch.full()) return false;
     add_job_write(batch, *entry.job, now);
   }
   return true;
 }
 
 bool RecordPlanner::add_queued_job_writes(Batch& batch, Seconds now) {
-  while (batch.fits(kMaxChangesPerJob) && !batch.full()) {
+  while (batch.fits(kMaxMutationsPerJob) && !batch.full()) {
     const auto id = queue_.pop_job();
     if (!id) return true;
     ++work_.dispatch_checks;
@@ -135,7 +135,7 @@
 void RecordPlanner::add_job_write(Batch& batch, Job& job, Seconds now) {
   RecordWrite write = write_for(job, now);
   job.write_in_flight = true;
-  keep_common_hosts(job, write.record->hosts);
+  intersect_hosts_in_all_writes(job, write.record->hosts);
   const size_t bytes = write.finished ? 0 : job.record_capacity.taken_by(*write.record);
   batch.add(std::move(write), bytes);
 }
--- a/src/dispatch/record_planner.h
+++ b/src/dispatch/record_planner.h
@@ -22,9 +22,9 @@
                 CommandDispatcher& commands, WorkCounters& work)
       : state_(state), queue_(queue), ingestion_(ingestion), commands_(commands), work_(work) {}
 
-  /// Returns the writes of one transaction with at most `max_changes` changes, the most urgent
+  /// Returns the writes of one transaction with at most `max_mutations` mutations, the most urgent
   /// first. Each write is in flight until `on_write_answered`.
-  std::vector<RecordWrite> plan_writes(Seconds now, size_t max_changes);
+  std::vector<RecordWrite> plan_writes(Seconds now, size_t max_mutations);
   /// Applies the outcome of a write. Unless `committed`, the write may still be applied at any
   /// later time.
   void on_write_answered(const RecordWrite& write, bool committed, uint64_t version, Seconds now);
--- a/src/dispatch/record_queue.cpp
+++ b/src/dispatch/record_queue.cpp
@@ -5,10 +5,10 @@
 WritePriority RecordQueue::write_priority(const Job& job, Seconds now) const {
   if (job.write_in_flight || job.version == 0) return WritePriority::None;
   const bool pending = job.stored.state == JobState::Pending;
-  const bool over = !pending || job.complete();
+  const bool ended = !pending || job.complete();
   // The record predates the size limits and cannot be rewritten, but the job can still be moved to
   // the finished records.
-  if (!job.record_capacity.any() && !(over && state_.absent_everywhere(job)))
+  if (!job.record_capacity.any() && !(ended && state_.absent_everywhere(job)))
     return WritePriority::None;
   if ((job.start_record_requested && !job.stored.started) || job.hosts_record_requested)
     return WritePriority::Start;
--- a/src/dispatch/record_transaction.cpp
+++ b/src/dispatch/record_transaction.cpp
@@ -14,15 +14,15 @@
 }
 
 void add_job(const RecordWrite& write, RecordTransaction& transaction) {
-  const std::string live = keys::kLive + write.job;
-  transaction.preconditions.push_back({live, write.version});
+  const std::string live_key = keys::kLive + write.job;
+  transaction.preconditions.push_back({live_key, write.version});
   if (!write.finished) {
-    transaction.mutations.push_back({live, *write.record});
+    transaction.mutations.push_back({live_key, *write.record});
     return;
   }
   // Moved in one transaction, so that a reader that lists the live records before the finished ones
   // finds every job.
-  transaction.mutations.push_back({live, DeletedRecord{}});
+  transaction.mutations.push_back({live_key, DeletedRecord{}});
   transaction.mutations.push_back(
       {keys::kFinished + write.job,
        FinishedRecord{write.record->state, write.record->done.count(), write.record->ended_ms}});
@@ -56,13 +56,14 @@
   return transaction;
 }
 
-std::vector<wire::Mutation> encode(const std::vector<RecordMutation>& changes) {
+std::vector<wire::Mutation> encode(const std::vector<RecordMutation>& mutations) {
   constexpr uint64_t kNoLease = 0;
   std::vector<wire::Mutation> encoded;
-  encoded.reserve(changes.size());
-  for (const auto& change : changes) {
-    std::string value = std::visit([](const auto& v) { return encode(v); }, change.value);
-    encoded.push_back({change.key, std::move(value), kNoLease});
+  encoded.reserve(mutations.size());
+  for (const auto& mutation : mutations) {
+    std::string value =
+        std::visit([](const auto& record) { return encode(record); }, mutation.value);
+    encoded.push_back({mutation.key, std::move(value), kNoLease});
   }
   return encoded;
 }
--- a/src/dispatch/record_transaction.h
+++ b/src/dispatch/record_transaction.h
@@ -41,6 +41,6 @@
 RecordTransaction record_transaction(const std::vector<RecordWrite>& writes, uint64_t term_version);
 
 /// Encodes the mutations for the state service.
-std::vector<wire::Mutation> encode(const std::vector<RecordMutation>& changes);
+std::vector<wire::Mutation> encode(const std::vector<RecordMutation>& mutations);
 
 }  // namespace sumacquay
--- a/src/dispatch/scale_out_requests.cpp
+++ b/src/dispatch/scale_out_requests.cpp
@@ -6,43 +6,44 @@
 namespace {
 
 /// Backoff after the first refusal, doubled with each consecutive one up to the limit.
-constexpr Seconds kFirstBackOff = 5;
-constexpr int kMostDoublings = 4;
+constexpr Seconds kInitialBackoff = 5;
+constexpr int kMaxBackoffDoublings = 4;
 
 }  // namespace
 
 ScaleOut ScaleOutRequests::open(const OfferingKey& offering, int count) {
   // The term is unique to this leader, so no two nodes use the same name.
   const std::string name = "sq-" + std::to_string(term_) + "-" + std::to_string(next_number_++);
-  ScaleOut rent{name, offering.type, offering.zone, offering.spot, count};
-  open_[name] = {rent, std::nullopt};
-  return rent;
+  ScaleOut request{name, offering.type, offering.zone, offering.spot, count};
+  in_flight_[name] = {request, std::nullopt};
+  return request;
 }
 
 std::vector<ScaleOut> ScaleOutRequests::due_for_retry(Seconds now) {
   std::vector<ScaleOut> out;
-  for (auto& [name, request] : open_) {
-    if (!request.repeat_at || now < *request.repeat_at) continue;
-    request.repeat_at.reset();
-    out.push_back(request.rent);
+  for (auto& [name, entry] : in_flight_) {
+    if (!entry.retry_at || now < *entry.retry_at) continue;
+    entry.retry_at.reset();
+    out.push_back(entry.request);
   }
   return out;
 }
 
-void ScaleOutRequests::retry_after(const ScaleOut& rent, Seconds now, Seconds delay) {
-  const auto request = open_.find(rent.request);
-  if (request != open_.end()) request->second.repeat_at = now + delay;
+void ScaleOutRequests::retry_after(const ScaleOut& request, Seconds now, Seconds delay) {
+  const auto entry = in_flight_.find(request.request);
+  if (entry != in_flight_.end()) entry->second.retry_at = now + delay;
 }
 
-bool ScaleOutRequests::complete(const ScaleOut& rent, size_t rented, Seconds now) {
-  if (open_.erase(rent.request) == 0) return false;
-  Refusals& refusals = refusals_[{rent.type, rent.zone, rent.spot}];
-  if (static_cast<int>(rented) >= rent.count) {
-    refusals.in_a_row = 0;
+bool ScaleOutRequests::complete(const ScaleOut& request, size_t granted, Seconds now) {
+  if (in_flight_.erase(request.request) == 0) return false;
+  Refusals& refusals = refusals_[{request.type, request.zone, request.spot}];
+  if (static_cast<int>(granted) >= request.count) {
+    refusals.consecutive = 0;
     return true;
   }
-  refusals.until = now + kFirstBackOff * (1 << std::min(refusals.in_a_row, kMostDoublings));
-  ++refusals.in_a_row;
+  refusals.until =
+      now + kInitialBackoff * (1 << std::min(refusals.consecutive, kMaxBackoffDoublings));
+  ++refusals.consecutive;
   return true;
 }
 
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -76,10 +76,10 @@
   /// Adds an image that the previous leader listed as cached on a machine. The information may be
   /// wrong and is used only for placement.
   void on_cached_image(const std::string& machine_id, const std::string& image, double size_gb);
-  /// Returns the writes of one transaction with at most `max_changes` changes, the most urgent
+  /// Returns the writes of one transaction with at most `max_mutations` mutations, the most urgent
   /// first. Each write is in flight until `on_write_answered`.
-  std::vector<RecordWrite> plan_writes(Seconds now, size_t max_changes) {
-    return record_planner_.plan_writes(now, max_changes);
+  std::vector<RecordWrite> plan_writes(Seconds now, size_t max_mutations) {
+    return record_planner_.plan_writes(now, max_mutations);
   }
   /// Applies the outcome of a write. Unless `committed`, the write may still be applied at any
   /// later time.
--- a/src/dispatch/scheduling_queue.cpp
+++ b/src/dispatch/scheduling_queue.cpp
@@ -20,7 +20,7 @@
   bool beyond_fair_share = false;
   /// Among jobs of the lowest priority, which cannot preempt by priority, tasks without GPUs come
   /// last: they fit on nearly any machine and would take the CPUs that GPU tasks need.
-  bool fits_every_gap = false;
+  bool low_priority_without_gpus = false;
   double arrival_period = 0;  ///< arrival time in heartbeat periods, rounded down
   int negated_gang_size = 0;  ///< within a period the largest gang comes first
   uint64_t arrival_ms = 0;
@@ -35,7 +35,7 @@
   SchedulingOrder order;
   order.negated_priority = -static_cast<int>(job.priority);
   order.beyond_fair_share = !within_fair_share;
-  order.fits_every_gap = job.priority == Priority::Low && spec.request.gpus == 0;
+  order.low_priority_without_gpus = job.priority == Priority::Low && spec.request.gpus == 0;
   order.arrival_period = std::floor(static_cast<double>(arrival_ms) / (period * kMsPerSecond));
   order.negated_gang_size = spec.kind == JobKind::Gang ? -static_cast<int>(spec.tasks) : 0;
   order.arrival_ms = arrival_ms;
@@ -96,14 +96,14 @@
   for (const auto& team : team_settings)
     if (has_fair_share(team)) teams.insert(team.name);
   if (teams.empty()) return;
-  const auto claims = [&teams](const Job& job) { return teams.contains(job.spec().team); };
-  if (std::none_of(waiting.begin(), waiting.end(), [&](const Job* job) { return claims(*job); }))
+  const auto has_share = [&teams](const Job& job) { return teams.contains(job.spec().team); };
+  if (std::none_of(waiting.begin(), waiting.end(), [&](const Job* job) { return has_share(*job); }))
     return;
   std::vector<UnfinishedJob> unfinished;
   for (const auto& [id, job] : state_.jobs()) {
-    if (!job.runnable() || !state_.ready(job) || !claims(job)) continue;
-    const uint32_t ended = job.spec().kind == JobKind::Array ? job.done.count() : 0;
-    unfinished.push_back({&job.spec(), job.spec().tasks - ended, state_.arrival_ms(job)});
+    if (!job.runnable() || !state_.ready(job) || !has_share(job)) continue;
+    const uint32_t completed = job.spec().kind == JobKind::Array ? job.done.count() : 0;
+    unfinished.push_back({&job.spec(), job.spec().tasks - completed, state_.arrival_ms(job)});
   }
   within_fair_share_ = sumacquay::within_fair_share(team_settings, std::move(unfinished));
 }
--- a/src/dispatch/zone_partition_detector.h
+++ b/src/dispatch/zone_partition_detector.h
@@ -26,10 +26,10 @@
     size_t heard_recently = 0;  ///< silent for a fraction of a heartbeat period at most
   };
   /// Applies new counts and returns the zones that are no longer partitioned. A partitioned zone
-  /// without machines cannot be judged; it stays partitioned for at most `forget_after`, since
+  /// without machines cannot be judged; it stays partitioned for at most `retention`, since
   /// otherwise no machine would ever be requested there again.
   std::vector<std::string> update(const std::map<std::string, Count>& zones, Seconds now,
-                                  Seconds forget_after);
+                                  Seconds retention);
   bool partitioned(const std::string& zone) const { return partitioned_.contains(zone); }
   /// Whether enough machines of the zone have recent heartbeats that it cannot be partitioned. In a
   /// partitioned zone, fewer have one by the time the first machine is overdue and its probe has
