--- a/src/dispatch/rebalancer.cpp
+++ b/src/dispatch/rebalancer.cpp
@@ -7,9 +7,9 @@
 namespace sumacquay {
 namespace {
 
-/// How long a replica must have been running before it is moved. The protocol counts a start only
-/// if no command stops the task within 30 s; a multiple of that prevents repeated moves of the same
-/// replica.
+/// How long a replica must have been running before it is moved. The platform's service levels
+/// count a start only if the task is not stopped by a command within 30 s; a multiple of that
+/// prevents repeated moves of the same replica.
 constexpr Seconds kMinRunningTimeBeforeMove = 4 * 30;
 /// Interval between moves, as a multiple of the heartbeat period.
 constexpr double kRebalanceIntervalPeriods = 2;
