--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -6,9 +6,10 @@
 namespace sumacquay {
 namespace {
 
-/// The spread of the nodes' campaigns / the leader's lease, which it prolongs: small beside it.
+/// Maximum random delay before a campaign, as a fraction of the leader lease. It is small because
+/// it prolongs a failover.
 constexpr double kCampaignSpreadLeaseShare = 0.05;
-/// The pause before a renewal without an answer is sent again / the renewal period.
+/// Delay before an unacknowledged renewal is retried, as a fraction of the renewal period.
 constexpr double kRenewalRetryShare = 0.3;
 constexpr Seconds kNever = std::numeric_limits<Seconds>::max();
 
@@ -61,7 +62,7 @@
   if (!office_vacant || now < rest_until_) {
     campaign_at_ = -1;
   } else if (campaign_at_ < 0) {
-    // Not all nodes are to campaign at the same time.
+    // The random delay keeps nodes from campaigning at the same time.
     campaign_at_ = now + jitter * config_.lease * kCampaignSpreadLeaseShare;
   } else if (now >= campaign_at_) {
     enter(State::Campaigning);
@@ -107,7 +108,7 @@
   if (state_ != State::Campaigning || campaign != campaign_) return;
   if (!won || term < highest_term_) return enter(State::Follower);
   term_ = highest_term_ = term;
-  // The lease counts from when it was asked for: it can't have begun earlier.
+  // Counted from when the lease was requested: the state service cannot have started it earlier.
   valid_until_ = lease_asked_at_ + config_.lease * (1 - config_.drift);
   next_renewal_ = now;
   renewing_ = false;
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -9,83 +9,87 @@
 
 namespace sumacquay {
 
-/// Leader election: a state machine over a lease in the state service. Every leader has a term of
-/// its own, and each term is higher than the one before.
+/// Leader election: a state machine over a lease in the state service. Every leader has its own
+/// term, and terms increase strictly.
 ///
-/// It owns the state, the lease and the terms. It does no I/O, which is that of the `Effects`, and
-/// must not know what a leader does. Times are seconds of the steady clock; ElectionDriver calls
-/// it.
+/// Owns the election state, the lease and the terms. Called by ElectionDriver. All I/O is done
+/// through `Effects`, and the class is independent of what a leader does. Times are seconds of the
+/// steady clock.
 class LeaderElection {
  public:
   enum class State {
-    Follower,      ///< somebody else leads, or nobody is known to
-    Campaigning,   ///< nobody leads: this node tries to
-    Leading,       ///< holds the lease
-    LeaseExpired,  ///< the lease may have ended: answers only, until the grace is over
+    Follower,      ///< another node leads, or no leader is known
+    Campaigning,   ///< no node leads, and this node tries to be elected
+    Leading,       ///< this node holds the lease
+    LeaseExpired,  ///< the lease may be over; only answers workers, until the grace period ends
   };
 
   /// Durations of the election, in seconds of the steady clock.
   struct Config {
-    Seconds lease = 2;     ///< of the leader's key
-    Seconds renew = 0.5;   ///< between two renewals of the lease
-    Seconds grace = 10;    ///< how long answers go on past the last one of the state service
-    double drift = 0.002;  ///< by which this clock may run slower than the state service's
+    Seconds lease = 2;     ///< duration of the leader's lease
+    Seconds renew = 0.5;   ///< interval between renewals of the lease
+    Seconds grace = 10;    ///< how long workers may be answered without the state service
+    double drift = 0.002;  ///< maximum relative lag of this clock behind the state service's
   };
 
-  /// Numbers campaigns and what answers them. Without it a late answer to an earlier campaign
-  /// could win one lease and renew another, and two nodes would act at once.
+  /// Identifies a campaign in requests and their outcomes. Without it, a late outcome of an earlier
+  /// campaign could elect this node under one lease while it renews another, and two nodes could
+  /// act as leader at once.
   using Campaign = uint64_t;
 
-  /// What the election asks for; each outcome comes back through the method of the same name.
+  /// I/O that the election requests. Each outcome is passed to the method that is named below.
   struct Effects {
-    /// Asks the state service for a lease of so many seconds: `granted`.
+    /// Requests a lease of `lease` seconds from the state service. Outcome: `granted`.
     std::function<void(Campaign campaign, Seconds lease)> grant;
-    /// Writes the leader's record under the lease, if nobody leads: `elected`.
+    /// Writes the leader's record under the lease unless another node leads. Outcome: `elected`.
     std::function<void(Campaign campaign, uint64_t lease)> elect;
-    /// Renews the lease: `renewed`.
+    /// Renews the lease. Outcome: `renewed`.
     std::function<void(uint64_t lease)> renew;
-    /// Called from inside any other method, after the state has changed.
+    /// Called after each state change, from within the method that caused it.
     std::function<void(State from, State to)> changed;
   };
 
   LeaderElection(Config config, Effects effects) : config_(config), effects_(std::move(effects)) {}
 
-  /// When `tick` has something to do next, unless an event or a change of the records comes before.
+  /// Time at which `tick` is due, unless an event or a record change requires an earlier call.
   Seconds due_at(Seconds now) const;
-  /// `leader_known`: the records are loaded and show a leader's key. `jitter`: from 0 to 1.
+  /// Performs due transitions and renewals. `loaded`: the records are loaded; `leader_known`: they
+  /// contain a leader's record; `jitter`: random, from 0 to 1.
   void tick(Seconds now, bool loaded, bool leader_known, double jitter);
-  /// The outcome of `grant`; none if there is no lease. `asked_at`: when the request was sent.
+  /// Outcome of `grant`; `lease` is empty if no lease was obtained. `asked_at`: when the request
+  /// was sent.
   void granted(Seconds now, Campaign campaign, std::optional<uint64_t> lease, Seconds asked_at);
-  /// The outcome of `elect`; `term` counts only if `won`.
+  /// Outcome of `elect`; `term` is used only if `won`.
   void elected(Seconds now, Campaign campaign, bool won, uint64_t term);
-  /// The outcome of `renew`. `answered`: certainly renewed; `ended`: the lease is over. Neither: it
-  /// may have been renewed or not.
+  /// Outcome of `renew`. `answered`: the lease was renewed; `ended`: the lease no longer exists. If
+  /// neither is set, it is unknown whether the lease was renewed.
   void renewed(Seconds now, uint64_t lease, Seconds sent_at, bool answered, bool ended);
-  /// Stops leading and does not campaign for `rest` seconds, so that another node is elected. The
+  /// Steps down and does not campaign for `rest` seconds, so that another node is elected. The
   /// caller revokes the lease.
   void resign(Seconds now, Seconds rest);
-  /// Somebody leads with this term: a peer, a worker or a record says so.
+  /// Observes a term reported by a peer, a worker or a record. Steps down if it is higher than the
+  /// term in which this node leads.
   void observe_term(Seconds now, uint64_t term);
 
   State state() const { return state_; }
-  /// The term in which this node leads, or led last.
+  /// Term in which this node leads, or last led.
   uint64_t term() const { return term_; }
-  /// The highest term of any leader that this node knows of.
+  /// Highest term observed so far, of any leader.
   uint64_t highest_term() const { return highest_term_; }
-  /// The lease's id in the state service, 0 for a follower.
+  /// Id of the lease in the state service; 0 for a follower.
   uint64_t lease() const { return lease_; }
-  /// May start tasks and write records.
+  /// Whether this node may start tasks and write records.
   [[nodiscard]] bool may_act(Seconds now) const {
     return state_ == State::Leading && now < valid_until_;
   }
-  /// The records are known as they were at that time or later.
+  /// Reports that this node's copy of the records is at least as recent as `at`.
   void records_known(Seconds at) { known_at_ = std::max(known_at_, at); }
-  /// May answer workers. Counts from the last look at the records: a node that was partitioned
-  /// since then can't know what was cancelled, and would keep it running.
+  /// Whether this node may answer workers. Limited by the age of its records: a node partitioned
+  /// from the state service does not see cancellations, and would keep cancelled tasks running.
   [[nodiscard]] bool may_answer(Seconds now) const {
     return (state_ == State::Leading || state_ == State::LeaseExpired) && now < answers_until();
   }
-  /// Until when `may_answer` can hold at most, as far as is known now.
+  /// Latest time until which `may_answer` can hold without a renewal or newer records.
   Seconds answers_until() const { return std::min(known_at_, valid_until_) + config_.grace; }
 
  private:
@@ -99,18 +103,18 @@
   uint64_t term_ = 0;
   uint64_t highest_term_ = 0;
   uint64_t lease_ = 0;
-  Campaign campaign_ = 0;       ///< the last one
-  Seconds campaign_at_ = -1;    ///< when a follower is to campaign; -1: it is not to
-  Seconds campaign_end_ = 0;    ///< a campaign without an outcome is given up then
-  Seconds lease_asked_at_ = 0;  ///< of the last campaign
-  Seconds valid_until_ = 0;     ///< the end of the leader's lease, at the earliest
+  Campaign campaign_ = 0;       ///< the most recent one
+  Seconds campaign_at_ = -1;    ///< when a follower starts a campaign; -1: none is scheduled
+  Seconds campaign_end_ = 0;    ///< when a campaign without an outcome is abandoned
+  Seconds lease_asked_at_ = 0;  ///< by the most recent campaign
+  Seconds valid_until_ = 0;     ///< earliest time at which the leader's lease can end
   Seconds next_renewal_ = 0;
-  bool renewing_ = false;   ///< a renewal is under way
-  Seconds rest_until_ = 0;  ///< after it resigned
-  Seconds known_at_ = 0;    ///< of the records
+  bool renewing_ = false;   ///< a renewal is in flight
+  Seconds rest_until_ = 0;  ///< after resigning, no campaign before then
+  Seconds known_at_ = 0;    ///< the records are at least as recent as this
 };
 
-/// The state as it stands in the log.
+/// Name of the state in log messages.
 const char* name(LeaderElection::State state);
 
 }  // namespace sumacquay
--- a/src/leadership/lease_delegation.cpp
+++ b/src/leadership/lease_delegation.cpp
@@ -6,7 +6,7 @@
 namespace sumacquay {
 namespace {
 
-/// What two clocks may differ by over any span, both ways.
+/// Maximum relative drift between the steady clocks of two nodes, in either direction.
 constexpr double kMaxClockDrift = 0.002;
 constexpr double kMillisecondsPerSecond = 1000;
 
@@ -49,7 +49,8 @@
                         const DelegationStatus& status, Seconds now) {
   Node& delegate = node(name, zone);
   if (delegate.process != status.process) {
-    // The answers of an earlier process are unknown, but that process ended before this one began.
+    // The node has restarted. The answers of its earlier process are unknown, but none was given
+    // after the new process started.
     if (delegate.process != 0) delegate.last_answer = std::max(delegate.last_answer, now);
     delegate.process = status.process;
     delegate.silent_until = -1;
@@ -57,7 +58,8 @@
   if (status.last_answer_age_s)
     delegate.last_answer =
         std::max(delegate.last_answer, now - *status.last_answer_age_s * (1 - kMaxClockDrift));
-  // It waits from when it received the delegation, which is no earlier than this leader sent it.
+  // The delegate is inactive for `after_` from when it received the delegation, which is no earlier
+  // than when this leader sent it.
   if (status.term == term_)
     delegate.silent_until = std::max(delegate.silent_until,
                                      static_cast<double>(status.number) / kMillisecondsPerSecond +
@@ -69,7 +71,7 @@
   for (const auto& [name, delegate] : nodes_) {
     if (delegate.zone != zone) continue;
     last = std::max(last, delegate.last_answer);
-    // It may be answering at this moment, without a way to tell this leader.
+    // The delegate may be answering workers right now while it cannot reach this leader.
     if (now >= delegate.silent_until) last = std::max(last, std::min(now, delegate.valid_until));
   }
   return last;
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -6,12 +6,12 @@
 namespace sumacquay {
 namespace {
 
-/// How long a command may take: in heartbeat periods, but at most this part of a worker's lease.
+/// Timeout of commands, in heartbeat periods; at most the given fraction of the worker lease.
 constexpr double kCommandDeadlineHeartbeats = 1.5;
 constexpr double kCommandDeadlineLeaseShare = 0.2;
-/// How long a machine has to answer a probe / the workers' lease.
+/// Timeout of a probe, as a fraction of the worker lease.
 constexpr double kProbeDeadlineLeaseShare = 0.05;
-/// How long the cloud has to answer / the workers' lease.
+/// Timeout of a request to the cloud, as a fraction of the worker lease.
 constexpr double kCloudDeadlineLeaseShare = 0.5;
 
 constexpr int kStatusBadRequest = 400;
@@ -44,7 +44,7 @@
   std::visit([this](const auto& a) { perform(a); }, action);
 }
 
-/// A worker answers commands with its heartbeat, whether it carries them out or not.
+/// Parses the heartbeat with which a worker answers commands, whether or not it executes them.
 std::optional<WorkerHeartbeat> ActionExecutor::receive_heartbeat(const HttpResult& result) {
   if (!result.ok() && !(result.answered && result.status == kStatusConflict)) return std::nullopt;
   auto heartbeat = wire::parse_worker_heartbeat(result.body);
@@ -58,7 +58,8 @@
   send_waiting();
 }
 
-/// The scheduler takes it for a command that may still be executed, which is safe and slower.
+/// Reports an unknown outcome: the scheduler assumes that the commands may still be executed, which
+/// is safe but delays the work.
 void ActionExecutor::give_up(const SendCommands& batch) {
   asio::post(io_, [this, machine = batch.machine, generation = scheduler_.generation()] {
     if (Scheduler* scheduler = scheduler_.get(generation))
@@ -75,8 +76,8 @@
        generation = scheduler_.generation()](const HttpResult& result) {
         if (!scheduler_.get(generation)) return;
         const auto heartbeat = receive_heartbeat(result);
-        // The scheduler that sent the commands gets the outcome, also if the heartbeat's term
-        // has just made this node step down: it is released later, by a posted handler.
+        // The scheduler that issued the commands gets the outcome even if the heartbeat's term
+        // has just made this node step down: a posted handler releases the scheduler later.
         if (scheduler_)
           scheduler_->on_commands_answered(machine, heartbeat, result.ok() && heartbeat,
                                            steady_now());
@@ -84,8 +85,8 @@
       });
 }
 
-/// Sends orders, those that have waited longest first, until all connections are busy. An order was
-/// decided while this node led, and goes out only while it does.
+/// Sends queued commands, the oldest first, until all connections are busy. Commands whose deadline
+/// has passed, or that are still queued when this node may no longer act as leader, are not sent.
 void ActionExecutor::send_waiting() {
   while (!waiting_.empty()) {
     const Seconds now = steady_now();
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -13,30 +13,32 @@
 
 namespace sumacquay {
 
-/// Carries out what the leader decides: commands and probes go to workers, scale outs and ins to
-/// the cloud. Called by the node after each tick of the scheduler.
+/// Executes the scheduler's actions: sends commands and probes to workers, and requests to scale
+/// out and in to the cloud. Called by SchedulerDriver after each tick of the scheduler. Owns the
+/// clients for workers and the queue of commands.
 ///
-/// Guarantees that the scheduler gets the outcome of every action, unless this node has stepped
-/// down since; never from inside `perform`, but for a probe that found no client. A term in a
-/// worker's answer is passed on before the outcome, and may make this node step down. With more
-/// machines than connections for commands, a command waits for a connection; it is sent only while
-/// this node leads.
+/// The outcome of every action is reported to the scheduler, unless this node has stepped down in
+/// the meantime. It is never reported from within `perform`, except for a probe for which no client
+/// is available. The term in a worker's answer is reported to the election first, which may make
+/// this node step down. If all connections to workers are busy, commands are queued; they are sent
+/// only while this node may act as leader.
 class ActionExecutor {
  public:
-  /// `most_workers`: connections to workers at once.
+  /// `most_workers`: maximum number of connections to workers.
   ActionExecutor(asio::io_context& io, const Settings& settings, size_t most_workers,
                  HttpClient& cloud, LeaderElection& election, ActiveScheduler& scheduler);
+  /// Starts one action of the active scheduler.
   void perform(const Action& action);
-  /// This node no longer leads: its connections to workers are closed.
+  /// Drops queued commands and releases the connections to workers, when this node stops leading.
   void stop();
-  /// Commands that wait for a connection.
+  /// Number of queued batches of commands.
   size_t waiting_commands() const { return waiting_.size(); }
 
  private:
-  /// Commands that wait for a connection to their worker.
+  /// Commands that wait for a connection to their worker to become available.
   struct WaitingCommands {
     SendCommands batch;
-    Seconds until = 0;  ///< then it is given up
+    Seconds until = 0;  ///< dropped if not sent by then
   };
   void perform(const SendCommands& batch);
   void send(const SendCommands& batch, const std::shared_ptr<HttpClient>& client);
@@ -55,14 +57,16 @@
   ActiveScheduler& scheduler_;
   WorkerClients workers_;
   std::deque<WaitingCommands>
-      waiting_;  ///< one a machine at most: the scheduler sends one at a time
+      waiting_;  ///< at most one per machine: the scheduler sends one at a time
 };
 
-/// What the cloud's answer to a rent says. Without one it may still be carried out.
+/// The cloud's answer to a scale-out request. Without an answer the outcome is unknown: the request
+/// may still be executed.
 struct RentResult {
   Scheduler::ScaleOutOutcome outcome = Scheduler::ScaleOutOutcome::Unknown;
   std::vector<std::string> machines;
 };
+/// Parses the cloud's answer to a scale-out request.
 RentResult read_scale_out_answer(const HttpResult& result);
 
 }  // namespace sumacquay
--- a/src/node/active_scheduler.h
+++ b/src/node/active_scheduler.h
@@ -7,17 +7,19 @@
 
 namespace sumacquay {
 
-/// The decisions of this node while it leads, shared by the node and by whoever carries them out.
+/// Owns the scheduler that is active while this node leads. Shared by the node and the components
+/// that act for the scheduler.
 ///
-/// A callback that comes late may meet no scheduler, or the one of a later period of leading. It
-/// remembers the `generation` it was made in and asks for the scheduler of that generation. Only
-/// handlers that were posted may `release` a scheduler: from inside one of its own calls that would
-/// destroy it while it runs.
+/// A late callback may find no scheduler, or the scheduler of a later term. Callbacks therefore
+/// capture the `generation` in which they were created and look up the scheduler of that
+/// generation. Only posted handlers may `release` a scheduler: doing so from within one of its own
+/// calls would destroy it while it runs.
 class ActiveScheduler {
  public:
   uint64_t generation() const { return generation_; }
+  /// The scheduler, also after its generation has ended, until it is released; null if none.
   Scheduler* get() const { return scheduler_.get(); }
-  /// None if this node has stepped down since, or leads anew.
+  /// Null if that generation has ended, because this node stepped down.
   Scheduler* get(uint64_t generation) const {
     return generation == generation_ ? scheduler_.get() : nullptr;
   }
@@ -25,14 +27,15 @@
   Scheduler* operator->() const { return scheduler_.get(); }
   Scheduler& operator*() const { return *scheduler_; }
 
-  /// Begins a generation, with a scheduler of its own.
+  /// Begins a new generation with the given scheduler.
   void begin(std::unique_ptr<Scheduler> scheduler) {
     ++generation_;
     scheduler_ = std::move(scheduler);
   }
-  /// Ends the generation: callbacks of it find no scheduler any more. Returns what to `release`.
+  /// Ends the generation, so that its callbacks no longer find the scheduler. Returns the argument
+  /// for `release`.
   uint64_t end() { return ++generation_; }
-  /// Destroys the scheduler that was ended, unless another generation has begun since.
+  /// Destroys the scheduler of the ended generation, unless a new generation has begun.
   void release(uint64_t ended) {
     if (ended == generation_) scheduler_.reset();
   }
--- a/src/node/connection_log.h
+++ b/src/node/connection_log.h
@@ -4,15 +4,15 @@
 
 namespace sumacquay {
 
-/// Logs when more users and workers connect than there are sockets: one line for a span in which
-/// connections were closed with their answers, or refused. Called by the node at each tick. It owns
-/// the counts of the last line and must not know why connections were closed.
+/// Logs when more users and workers connect than there are sockets: one line for each interval in
+/// which connections were closed after an answer, or refused. Called by the node at each tick. Owns
+/// the counts of the last line.
 class ConnectionLog {
  public:
-  /// `pause`: the least time between two lines, in seconds.
+  /// `pause`: the minimum interval between two lines.
   explicit ConnectionLog(Seconds pause) : pause_(pause) {}
 
-  /// True if it wrote a line.
+  /// Logs a line if one is due and connections were closed or refused; returns whether it did.
   bool observe(Seconds now, const ConnectionCounts& counts);
 
  private:
--- a/src/node/election_driver.cpp
+++ b/src/node/election_driver.cpp
@@ -5,9 +5,9 @@
 namespace sumacquay {
 namespace {
 
-/// The pause before a read of the records is tried again / the workers' lease.
+/// Delay before a failed read of the records is retried, as a fraction of the worker lease.
 constexpr double kReadRetryLeaseShare = 0.005;
-/// How long a node that resigned leaves the lead to others / the leader's lease.
+/// How long a node does not campaign after it has resigned, in leader leases.
 constexpr double kRestLeases = 2;
 
 LeaderElection::Config config(const Settings& settings) {
@@ -56,7 +56,8 @@
   return reading_records_ ? election_due : std::min(election_due, records_due);
 }
 
-/// Where little is written the watch says nothing for long, and nobody can tell silence from a cut.
+/// Reads the records if they have not been current for a renewal period. With few writes the watch
+/// is idle for long, which cannot be distinguished from a lost connection.
 void ElectionDriver::keep_records_known() {
   const Seconds known_at = to_seconds(record_cache_.known_at());
   election_.records_known(known_at);
@@ -88,14 +89,14 @@
                           });
 }
 
-/// The lease is ended at once, so that a transaction that is still on its way can't win.
+/// Revokes the lease at once, so that an election transaction still in flight cannot be committed.
 void ElectionDriver::lose(LeaderElection::Campaign campaign, uint64_t lease) {
   store_.revoke(lease, [](const HttpResult&) {});
   record_cache_.read_barrier(
       [this, campaign](bool) { election_.elected(steady_now(), campaign, false, 0); });
 }
 
-/// Reads everything that earlier leaders wrote before it acts on the records.
+/// Reads everything that earlier leaders wrote, before this node leads.
 void ElectionDriver::read_before_leading(LeaderElection::Campaign campaign, uint64_t term,
                                          Seconds lease_end) {
   record_cache_.read_barrier([this, campaign, term, lease_end](bool fresh) {
@@ -131,7 +132,8 @@
                          std::max(leader.value.term, record_cache_.term().value.term));
   const bool of_this_node = leader.version && leader.value.node == settings_.node;
   if (!of_this_node || leader.value.nonce == process_ || earlier_lease_revoked_) return;
-  // An earlier process of this node held the lease. It has ended, so nobody need wait for it.
+  // An earlier process of this node held the lease. That process has exited, so the lease is
+  // revoked instead of delaying the election until it expires.
   earlier_lease_revoked_ = true;
   store_.revoke(leader.value.lease, [](const HttpResult&) {});
 }
--- a/src/node/election_driver.h
+++ b/src/node/election_driver.h
@@ -9,27 +9,32 @@
 
 namespace sumacquay {
 
-/// Connects `LeaderElection`, which decides, with the state service, which holds the leader's
-/// lease. Called by the node: at every tick, and when a leader's record has changed.
+/// Runs the leader election against the state service: performs the requests that `LeaderElection`
+/// decides on and reports their outcomes to it. Owns the LeaderElection. Called by the node at
+/// every tick and when the leader's record changes.
 ///
-/// Guarantees that this node leads only once it has read everything that earlier leaders wrote,
-/// and that a campaign that failed can't win later: its lease is revoked.
+/// Guarantees that this node leads only after it has read everything that earlier leaders wrote,
+/// and that a failed campaign cannot succeed later, because its lease is revoked.
 class ElectionDriver {
  public:
-  /// `process` tells this process of the node from earlier ones. `changed` is called from inside
-  /// calls of `leadership()` and `tick`, so it must leave what may have made them in place.
+  /// `process` distinguishes this process from earlier ones of the node. `changed` is called from
+  /// within calls to `election()` and `tick`, so it must not destroy an object that may have made
+  /// such a call.
   ElectionDriver(asio::io_context& io, const Settings& settings, uint64_t process,
                  KeyValueStoreClient& store, RecordCache& record_cache,
                  std::function<void(LeaderElection::State, LeaderElection::State)> changed);
 
   LeaderElection& election() { return election_; }
   const LeaderElection& election() const { return election_; }
-  /// `jitter`: from 0 to 1, so that nodes don't campaign all at once.
+  /// `jitter`: random, from 0 to 1; keeps nodes from campaigning at the same time.
   void tick(double jitter);
-  /// When the next tick is due, unless the leadership or the leader's record changes before.
+  /// Time at which the next tick is due, unless the election state or the leader's record changes
+  /// earlier.
   Seconds due_at() const;
-  /// Leaves the lead to another node, for longer than that takes to be elected.
+  /// Steps down and revokes the lease, and does not campaign for long enough that another node is
+  /// elected.
   void resign();
+  /// Handles a change of the leader's record or the term record.
   void on_leader_record();
 
  private:
--- a/src/node/leader_hints_source.h
+++ b/src/node/leader_hints_source.h
@@ -2,15 +2,15 @@
 #include "dispatch/scheduler.h"
 #include "wire/messages.h"
 
-/// What the leader's heartbeats carry beside its status, without I/O. Called by the node as it
-/// builds a heartbeat. Safety rests on none of it.
+/// Builds the parts of the leader's peer heartbeats that go beyond its status, without I/O. Called
+/// by PeerHeartbeatExchange when it builds a heartbeat. Correctness does not depend on these parts.
 namespace sumacquay {
 
-/// The counts that users are shown, and nothing of jobs whose records are gone.
+/// Adds the counts that users see, for the jobs that still have a live record.
 void add_counts(const Scheduler& scheduler, wire::PeerHeartbeat& heartbeat);
 
-/// Hints for a successor: the images that machines hold, and the machines that were rented and not
-/// heard yet, with their ages.
+/// Adds hints for a successor: the images that machines have cached, and the machines that were
+/// requested and have not sent a heartbeat yet, with their ages.
 void add_hints(const Scheduler& scheduler, Seconds now, wire::PeerHeartbeat& heartbeat);
 
 }  // namespace sumacquay
--- a/src/node/leads_now.h
+++ b/src/node/leads_now.h
@@ -5,9 +5,9 @@
 
 namespace sumacquay {
 
-/// Whether this node may start tasks and write records at this moment: it has a scheduler, and the
-/// leader's lease is valid by its own clock. Asked anew before each action, since either may end
-/// between two calls.
+/// Whether this node may start tasks and write records now: it has a scheduler, and the leader's
+/// lease is valid by this node's clock. Checked before each action, because either condition may
+/// cease to hold between two calls.
 [[nodiscard]] inline bool leads_now(const ActiveScheduler& scheduler,
                                     const LeaderElection& election) {
   return scheduler && election.may_act(steady_now());
--- a/src/node/machine_list_poller.cpp
+++ b/src/node/machine_list_poller.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr int kMachinesPerPage = 500;
-/// How long the cloud has to answer / the workers' lease.
+/// Timeout of a request, as a fraction of the worker lease.
 constexpr double kDeadlineLeaseShare = 0.5;
-/// The pause between two lists / the time by which the cloud's list lags.
+/// Delay between two polls, as a fraction of the lag of the cloud's list.
 constexpr double kPauseLagShare = 0.5;
 
 }  // namespace
--- a/src/node/machine_list_poller.h
+++ b/src/node/machine_list_poller.h
@@ -10,9 +10,12 @@
 
 namespace sumacquay {
 
-/// Reads the cloud's list of machines, page by page and again and again, while this node leads.
-/// Called by the node as it begins and ceases to lead. Guarantees that the scheduler sees whole
-/// lists only, and nothing of a list that was begun in an earlier period of leading.
+/// Polls the cloud's paginated list of machines while this node leads and passes each complete list
+/// to the scheduler. Started and stopped by the node when it begins and stops leading. Owns the
+/// poll timer.
+///
+/// The scheduler never receives a partial list, nor a list whose first page was requested in an
+/// earlier term.
 class MachineListPoller {
  public:
   MachineListPoller(asio::io_context& io, const Settings& settings, HttpClient& cloud,
--- a/src/node/machine_types_poller.cpp
+++ b/src/node/machine_types_poller.cpp
@@ -6,12 +6,12 @@
 namespace sumacquay {
 namespace {
 
-/// How long the cloud has to answer / the workers' lease.
+/// Timeout of a request, as a fraction of the worker lease.
 constexpr double kDeadlineLeaseShare = 0.5;
-/// The pause between two reads / the workers' lease: prices move.
+/// Delay between two polls, in worker leases; prices change over time.
 constexpr double kPauseLeases = 6;
-/// Until the first read has succeeded, the shortest pause / the heartbeat period, and the random
-/// part on top: a node that has no types yet can't take submissions.
+/// Delay between two polls until the first one has succeeded, in heartbeat periods: the minimum and
+/// the maximum of the added jitter. Short, because a node cannot accept jobs without machine types.
 constexpr double kFirstPauseHeartbeats = 0.3;
 constexpr double kFirstPauseJitterHeartbeats = 0.4;
 
--- a/src/node/machine_types_poller.h
+++ b/src/node/machine_types_poller.h
@@ -9,15 +9,17 @@
 
 namespace sumacquay {
 
-/// Keeps the cloud's machine types and their prices up to date on every node, leading or not: the
-/// frontend judges submissions by them. Started by the node; `changed` is called after each read.
+/// Polls the cloud's machine types and their prices. Runs on every node, whether or not it leads,
+/// because the frontend checks submissions against the types. Started by the node. Owns the latest
+/// types and the poll timer.
 class MachineTypesPoller {
  public:
-  /// `random`: from 0 to 1, so that the nodes don't ask all at once.
+  /// `random` returns a number from 0 to 1; keeps the nodes from polling at the same time.
+  /// `changed` is called after each successful poll.
   MachineTypesPoller(asio::io_context& io, const Settings& settings, HttpClient& cloud,
                      std::function<double()> random, std::function<void()> changed);
   void start() { read(); }
-  /// Empty until the first read has succeeded; those of the last one after a failure.
+  /// The types of the last successful poll; empty until there was one.
   const std::vector<MachineType>& types() const { return types_; }
 
  private:
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -10,16 +10,16 @@
 namespace sumacquay {
 namespace {
 
-/// The pause between two ticks of the node / the placement round.
+/// Minimum interval between two ticks of the node, as a fraction of the placement round.
 constexpr double kTickRoundShare = 0.25;
-/// How long a worker's connection may be idle / the heartbeat period.
+/// How long a connection of a worker may be idle, in heartbeat periods.
 constexpr double kIdleHeartbeats = 60;
 
-/// After how long an unused connection is closed in favour of a worker that connects / the
-/// heartbeat period: a live worker sends again sooner, also if one of its heartbeats is lost.
+/// Idle time after which a connection may be closed in favour of a new one, in heartbeat periods. A
+/// live worker sends its next heartbeat earlier, even if one is lost.
 constexpr double kStaleHeartbeats = 2.5;
 
-/// Requests to the cloud that may wait for a connection.
+/// Maximum number of requests to the cloud that wait for a connection.
 constexpr size_t kMaxQueuedCloudRequests = 32;
 
 }  // namespace
@@ -91,7 +91,7 @@
       [this](const HttpRequest& request, const Respond& respond) { on_request(request, respond); });
 }
 
-/// From 0 to 1, so that nodes don't act all at once.
+/// Random number from 0 to 1; keeps nodes from acting at the same time.
 double Node::random() {
   return std::uniform_real_distribution<double>(0, 1)(rng_);
 }
@@ -112,7 +112,7 @@
   schedule_tick(tick_requested_ ? 0 : time_to_next_tick());
 }
 
-/// Something has changed that a tick should see, however long the next one was to come.
+/// Schedules a tick immediately, because of a change that cannot wait for the next regular tick.
 void Node::request_tick() {
   tick_requested_ = true;
   schedule_tick(0);
@@ -125,8 +125,8 @@
   });
 }
 
-/// A leader looks at its workers steadily. Any other node sleeps until its election has something
-/// to do, but for no longer than between two renewals.
+/// A leader ticks at the minimum interval to supervise its workers. Any other node sleeps until its
+/// election has work to do, but no longer than a renewal period.
 Seconds Node::time_to_next_tick() const {
   const Seconds shortest = settings_.heartbeat_period_s * settings_.tuning.round * kTickRoundShare;
   if (scheduler_) return shortest;
@@ -145,7 +145,8 @@
 }
 
 bool Node::ready() const {
-  // In an outage for all, no other node could do better: the users stay where they are.
+  // If the state service is unavailable to all nodes, no other node could serve users better, so
+  // this node stays ready.
   return record_cache_.loaded() && !machine_types_.types().empty() &&
          (state_service_.served() || !peer_heartbeats_.others_served());
 }
@@ -162,7 +163,8 @@
 }
 
 void Node::stop_leading() {
-  // Released from inside one of its own calls the scheduler would be destroyed while it runs.
+  // Posted, because this may be running within a call of the scheduler, which must not be destroyed
+  // during the call.
   asio::post(io_, [this, ended = scheduler_.end()] { scheduler_.release(ended); });
   machine_list_.stop();
   executor_.stop();
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -27,17 +27,16 @@
 
 namespace sumacquay {
 
-/// One controller: connects the parts with one another, ticks them, routes requests to them, and
-/// starts and stops what runs only while this node leads. Made and started by main(); everything
-/// runs on the one thread of `io`.
-///
-/// It owns all parts. It must not know what any of them decides, only when each is to act.
+/// One controller: owns and connects all components, ticks them, routes requests to them, and
+/// starts and stops the ones that run only while this node leads. Created and started by main();
+/// everything runs on the single thread of `io`. The node determines when a component acts, and
+/// makes no scheduling decisions.
 class Node {
  public:
-  /// `settings` outlives the node.
+  /// `settings` must outlive the node.
   Node(asio::io_context& io, const Settings& settings);
-  /// Listens, starts to read the records, and ticks from then on. Throws if an address can't be
-  /// listened on.
+  /// Starts the servers, the reading of the records and the ticks. Throws if an address cannot be
+  /// bound.
   void start();
 
  private:
@@ -56,7 +55,7 @@
   asio::io_context& io_;
   const Settings& settings_;
   std::mt19937_64 rng_;
-  uint64_t process_;  ///< tells this process of the node from earlier ones
+  uint64_t process_;  ///< distinguishes this process from earlier ones of the node
   SocketBudget sockets_;
   KeyValueStoreClient store_;
   StateServiceHealth state_service_;
@@ -80,7 +79,7 @@
   ConnectionLog connection_log_;
   std::unique_ptr<HttpServer> server_;
   asio::steady_timer tick_timer_;
-  bool tick_requested_ = false;  ///< since the last tick began
+  bool tick_requested_ = false;  ///< since the start of the last tick
 };
 
 }  // namespace sumacquay
--- a/src/node/outage_log.cpp
+++ b/src/node/outage_log.cpp
@@ -5,7 +5,7 @@
 namespace sumacquay {
 namespace {
 
-/// The pause between two ticks that shows this process to have stood still / the workers' lease.
+/// Minimum gap between two ticks that counts as a stall, as a fraction of the worker lease.
 constexpr double kStallLeaseShare = 0.1;
 
 }  // namespace
--- a/src/node/outage_log.h
+++ b/src/node/outage_log.h
@@ -3,12 +3,14 @@
 
 namespace sumacquay {
 
-/// Tells operators from the log which trouble it was: this process that stood still, or the state
-/// service that was lost. Lost peers are logged by `PeerHeartbeats`. Called by the node at every
-/// tick; each trouble is logged once as it begins, the state service's also as it ends.
+/// Logs stalls of this process and outages of the state service, so that operators can tell them
+/// apart. `PeerHeartbeats` logs silent peers. Called by the node at every tick. A stall is logged
+/// once, and an outage once when it begins and once when it ends. Owns the time of the last tick
+/// and the last state of the service.
 class OutageLog {
  public:
   explicit OutageLog(Seconds worker_lease) : worker_lease_(worker_lease) {}
+  /// Handles a tick at `now`. `state_served`: whether the state service answers this node.
   void observe(Seconds now, bool state_served);
 
  private:
--- a/src/node/peer_heartbeat_exchange.cpp
+++ b/src/node/peer_heartbeat_exchange.cpp
@@ -42,7 +42,7 @@
   return heartbeat;
 }
 
-/// None if the settings do not name such a peer.
+/// Null if the settings contain no such peer.
 const std::string* PeerHeartbeatExchange::zone_of(const std::string& node) const {
   const auto peer = std::ranges::find(settings_.peers, node, &PeerSettings::node);
   return peer == settings_.peers.end() ? nullptr : &peer->zone;
@@ -56,7 +56,8 @@
     scheduler_->delegations().heard(heartbeat.node, *zone, heartbeat.status, now);
 }
 
-/// Delegations go out with answers only: they count from when they were asked for.
+/// Delegations are sent only in answers, because a delegate counts their validity from when it sent
+/// its own heartbeat.
 wire::PeerHeartbeat PeerHeartbeatExchange::answer(const wire::PeerHeartbeat& from) {
   on_heartbeat(from);
   wire::PeerHeartbeat answer = own_heartbeat(wire::PeerHeartbeatPart::StatusOnly);
@@ -73,8 +74,8 @@
   if (heartbeat.delegation)
     delegated_responder_.delegated(*heartbeat.delegation, to_seconds(asked_at), steady_now());
   if (!scheduler_ || heartbeat.leading || heartbeat.term < election_.term()) return;
-  // That node follows this term: it answers no worker under an older one. Once all do, nobody else
-  // can renew a worker's lease.
+  // The peer has acknowledged this term and no longer answers workers under an older one. Once all
+  // peers have, no other node can renew a worker's lease.
   acknowledged_terms_[node] = heartbeat.term;
   if (acknowledged_terms_.size() == settings_.peers.size())
     scheduler_->on_previous_leader_fenced(steady_now());
--- a/src/node/peer_heartbeat_exchange.h
+++ b/src/node/peer_heartbeat_exchange.h
@@ -14,20 +14,21 @@
 
 namespace sumacquay {
 
-/// What this node's heartbeats to peers contain, and what follows from those of peers: terms,
-/// delegations, and the point from which no previous leader can answer a worker. Called through its
-/// `hooks` by `PeerHeartbeats`, which does the I/O.
+/// Builds this node's peer heartbeats and handles those of peers: observes terms, exchanges lease
+/// delegations, and detects when all peers have acknowledged this node's term, after which no
+/// previous leader can answer a worker. Called through its `hooks` by `PeerHeartbeats`, which does
+/// the I/O and determines when heartbeats are sent.
 ///
-/// It owns the terms that peers have acknowledged. It must not know when heartbeats are sent.
+/// Owns the terms that peers have acknowledged.
 class PeerHeartbeatExchange {
  public:
   PeerHeartbeatExchange(const Settings& settings, const StateServiceHealth& state_service,
                         LeaderElection& election, ActiveScheduler& scheduler,
                         DelegatedResponder& delegated_responder);
 
-  /// The hooks refer to this object, which has to outlive the `PeerHeartbeats` that calls them.
+  /// The hooks refer to this object, which must outlive the `PeerHeartbeats` that calls them.
   PeerHeartbeats::Hooks hooks();
-  /// A new period of leading begins: acknowledgements of earlier terms no longer count.
+  /// Discards the acknowledgements of earlier terms, when this node begins to lead.
   void start_term() { acknowledged_terms_.clear(); }
 
  private:
@@ -43,7 +44,7 @@
   LeaderElection& election_;
   ActiveScheduler& scheduler_;
   DelegatedResponder& delegated_responder_;
-  std::map<std::string, uint64_t> acknowledged_terms_;  ///< of peers that follow this node's term
+  std::map<std::string, uint64_t> acknowledged_terms_;  ///< by peer
 };
 
 }  // namespace sumacquay
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -59,7 +59,8 @@
     record_cache_.wrote_job(*write.record, revision);
 }
 
-/// What the records say now decides what is still to be written.
+/// Reads the records again before the next write, because their current state determines what still
+/// has to be written.
 void RecordWriter::reread(const TransactionResult& result) {
   for (const auto& key : result.failed)
     if (key == keys::kTerm) log_info("term_changed");
--- a/src/node/record_writer.h
+++ b/src/node/record_writer.h
@@ -10,28 +10,31 @@
 
 namespace sumacquay {
 
-/// Writes the records that the leader wants written. Called by the node after each tick of the
-/// scheduler.
+/// Writes the records that the scheduler plans to the state service. Called by SchedulerDriver
+/// after each tick of the scheduler and after each committed transaction. Owns the state of the
+/// current write and the write pacing.
 ///
-/// Guarantees that one transaction at a time is under way, that what it wrote is in this node's
-/// copy of the records before the scheduler is told of it, and that after a failure or without an
-/// answer nothing more is written before the records have been read again. No refusal is final:
-/// what was refused is wanted again, in smaller transactions (see WritePacing).
+/// Guarantees that at most one transaction is in flight, and that committed records are in the
+/// record cache before the scheduler is notified. After a failed transaction, or one with an
+/// unknown outcome, nothing is written until the records have been read again. A refused write is
+/// not final: the scheduler plans it again, in smaller transactions if it was too large (see
+/// WritePacing).
 class RecordWriter {
  public:
-  /// `committed` is called after each transaction that was carried out.
+  /// `committed` is called after each committed transaction.
   RecordWriter(const Settings& settings, KeyValueStoreClient& store, RecordCache& record_cache,
                ActiveScheduler& scheduler, std::function<void()> committed);
-  /// The caller has made sure that this node may act as the leader.
+  /// Sends the next planned transaction if none is in flight and the pacing allows it. Requires
+  /// that this node may act as leader.
   void write_planned_records();
-  /// A new period of leading begins: answers to earlier writes no longer count.
+  /// Discards the state of earlier writes, when this node begins to lead.
   void reset() { state_ = State::Idle; }
 
  private:
   enum class State {
     Idle,
     Writing,
-    Rereading,  ///< a write failed, or nobody knows: the records are read before the next
+    Rereading,  ///< after a write that failed or may have failed, before the next one
   };
   void on_answer(const std::vector<RecordWrite>& writes, const TransactionResult& result);
   void update_copy(const RecordWrite& write, uint64_t revision);
--- a/src/node/scheduler_driver.cpp
+++ b/src/node/scheduler_driver.cpp
@@ -6,8 +6,8 @@
 namespace sumacquay {
 namespace {
 
-/// The pause after a tick of the scheduler / the tick's own duration: lease renewals, heartbeats
-/// and users need the processor too.
+/// Minimum pause after a tick of the scheduler, as a multiple of the tick's duration. It leaves CPU
+/// time for lease renewals, heartbeats and users' requests.
 constexpr double kPausePerTickDuration = 3;
 
 }  // namespace
@@ -51,9 +51,9 @@
   if (leads()) record_writer_.write_planned_records();
 }
 
-/// The state service still renews the lease of a leader that no worker can reach: the leader has to
-/// resign by itself, or every worker's lease would expire. A leader that has used up the numbers of
-/// its term could start nothing any more.
+/// A leader that no worker can reach can still renew its own lease in the state service, so it must
+/// resign; otherwise every worker's lease would expire. A leader that has used up the attempt
+/// numbers or fencing tokens of its term could not start any more tasks.
 std::optional<ResignReason> SchedulerDriver::reason_to_resign() const {
   if (!leads()) return std::nullopt;
   if (scheduler_->term_nearly_exhausted()) return ResignReason::TermNearlyExhausted;
--- a/src/node/scheduler_driver.h
+++ b/src/node/scheduler_driver.h
@@ -9,33 +9,30 @@
 
 namespace sumacquay {
 
-/// Why a leader gives up its lease by itself.
+/// Why a leader resigns although its lease is valid.
 enum class ResignReason {
-  TermNearlyExhausted,  ///< few attempt numbers or fencing tokens are left of its term
-  IsolatedFromWorkers,  ///< no worker's heartbeat reaches this node
+  TermNearlyExhausted,  ///< few attempt numbers or fencing tokens are left in its term
+  IsolatedFromWorkers,  ///< no worker's heartbeats reach this node
 };
 
-/// The reason as it stands in the log.
+/// Name of the reason in log messages.
 const char* name(ResignReason reason);
 
-/// Runs the scheduler while this node leads: ticks it, hands its actions to the executor and its
-/// writes to the record writer. Called by the node.
-///
-/// It owns the pause between two ticks of the scheduler. It must not know how actions and writes
-/// are carried out.
+/// Runs the scheduler while this node leads: ticks it, passes its actions to the ActionExecutor and
+/// has the RecordWriter write its records. Called by the node. Owns the timing of the scheduler's
+/// ticks.
 class SchedulerDriver {
  public:
   SchedulerDriver(const Settings& settings, const LeaderElection& election,
                   ActiveScheduler& scheduler, ActionExecutor& executor,
                   RecordWriter& record_writer);
 
-  /// A tick of the scheduler, unless this node does not lead or the pause after the last one is not
-  /// over yet.
+  /// Ticks the scheduler, if this node leads and the pause after the last tick is over.
   void tick();
-  /// A transaction was committed: starts that waited for its records may go out, and there is room
-  /// for the next transaction.
+  /// Handles a committed transaction: starts that waited for its records can be sent, and the next
+  /// transaction can be written.
   void on_committed();
-  /// Why this node should leave the lead, none if it should not.
+  /// Why this node should resign; nothing if it should not.
   [[nodiscard]] std::optional<ResignReason> reason_to_resign() const;
 
  private:
--- a/src/node/scheduler_feed.cpp
+++ b/src/node/scheduler_feed.cpp
@@ -22,8 +22,8 @@
   pass_on_finished_dependencies(*scheduler);
   for (const auto& cached : hints.images())
     scheduler->on_cached_image(cached.machine, cached.image, cached.gb);
-  // The cloud's list lags: without the previous leader's own list, machines that it has requested
-  // would be requested once more.
+  // The cloud's list lags: without the previous leader's own list, the machines that it requested
+  // would be requested again.
   scheduler->on_machines_listed(hints.booting(), steady_now());
   return scheduler;
 }
@@ -49,9 +49,9 @@
     scheduler_->on_job_record(job.value, job.version, steady_now());
 }
 
-/// Finished jobs matter to the scheduler only as far as others depend on them.
+/// Reports finished jobs that live jobs depend on; the scheduler needs no other finished jobs.
 void SchedulerFeed::pass_on_finished_dependencies(Scheduler& scheduler) const {
-  // A copy: each call below removes an entry.
+  // A copy, because each call below removes an entry from the scheduler's set.
   const std::set<std::string> unknown = scheduler.unknown_dependencies();
   for (const auto& id : unknown)
     if (const auto record = record_cache_.dependency_end(id))
--- a/src/node/scheduler_feed.h
+++ b/src/node/scheduler_feed.h
@@ -11,23 +11,23 @@
 
 namespace sumacquay {
 
-/// Creates the scheduler of a term from the records and the previous leader's hints, and passes on
-/// every change of a record from then on. The scheduler itself reads no records.
+/// Creates the scheduler of a term from the records and the previous leader's hints, and passes
+/// later changes of job records to it. The scheduler itself reads no records.
 ///
-/// It owns nothing; the record cache and the active scheduler are the node's. It must not know when
-/// this node leads: the node calls it.
+/// Owns nothing; the record cache and the active scheduler belong to the node, which calls this
+/// class.
 class SchedulerFeed {
  public:
   SchedulerFeed(const Settings& settings, const RecordCache& record_cache,
                 ActiveScheduler& scheduler)
       : settings_(settings), record_cache_(record_cache), scheduler_(scheduler) {}
 
-  /// A scheduler for `term` that knows all machines and jobs of the records. The caller has made
-  /// sure that the records are at least as new as the last write of any earlier leader.
+  /// Creates a scheduler for `term` with all machines and jobs in the records. Requires that the
+  /// record cache includes every write of earlier leaders.
   [[nodiscard]] std::unique_ptr<Scheduler> create_scheduler(
       uint64_t term, const std::vector<MachineType>& machine_types, const LeaderHints& hints) const;
-  /// A job's record has changed or was removed. An empty id: the whole cache was loaded anew.
-  /// Without a scheduler nothing happens.
+  /// Handles a changed or removed job record. An empty id means that the whole cache was reloaded.
+  /// Does nothing if there is no scheduler.
   void on_job_record(const std::string& id);
 
  private:
--- a/src/node/state_service_health.cpp
+++ b/src/node/state_service_health.cpp
@@ -5,7 +5,8 @@
 namespace sumacquay {
 namespace {
 
-/// For how long an answer of the state service shows that it serves this node / the workers' lease.
+/// Maximum age of the state service's last answer while the service counts as available, as a
+/// fraction of the worker lease.
 constexpr double kServedLeaseShare = 0.3;
 
 }  // namespace
--- a/src/node/state_service_health.h
+++ b/src/node/state_service_health.h
@@ -4,13 +4,14 @@
 
 namespace sumacquay {
 
-/// Whether the state service serves this node, judged by the age of its last answer. Owns nothing;
-/// it must not know who leads. Used for readiness, for the outage log and for own heartbeats.
+/// Determines from the age of the state service's last answer whether the service is available to
+/// this node, independently of which node leads. Used for readiness, the outage log and this node's
+/// peer heartbeats. Owns nothing.
 class StateServiceHealth {
  public:
   StateServiceHealth(const Settings& settings, const KeyValueStoreClient& store)
       : settings_(settings), store_(store) {}
-  /// True while the last answer is younger than a fixed share of the workers' lease.
+  /// Whether the last answer is younger than a fixed fraction of the worker lease.
   [[nodiscard]] bool served() const;
 
  private:
--- a/src/node/steady_time.h
+++ b/src/node/steady_time.h
@@ -3,7 +3,7 @@
 
 #include "jobs/spec.h"
 
-/// Conversions between the steady clock and the seconds in which the parts without I/O count time.
+/// Conversions between the steady clock and `Seconds`, which the code without I/O uses for times.
 namespace sumacquay {
 
 inline Seconds to_seconds(std::chrono::steady_clock::time_point time) {
--- a/src/node/wall_clock.h
+++ b/src/node/wall_clock.h
@@ -2,8 +2,8 @@
 #include <chrono>
 #include <cstdint>
 
-/// The time of day, for what users are shown and for arrivals that are compared across processes.
-/// Leases, deadlines and pauses are measured by the steady clock alone (node/steady_time.h).
+/// Wall-clock time, for users and for arrival times that are compared across processes. Leases,
+/// deadlines and delays use only the steady clock (node/steady_time.h).
 namespace sumacquay {
 
 /// Milliseconds since the Unix epoch.
--- a/src/node/worker_clients.cpp
+++ b/src/node/worker_clients.cpp
@@ -9,11 +9,11 @@
 namespace sumacquay {
 namespace {
 
-/// A worker gets one command at a time; the few more that may meet wait for the connection.
+/// A worker is sent one batch of commands at a time; requests that overlap with it are queued.
 constexpr size_t kConnectionsPerWorker = 1;
 constexpr size_t kQueuedPerWorker = 4;
 
-/// An IP address and a port.
+/// Parses an IP address and a port; nothing if either is invalid.
 std::optional<Endpoint> parse_address(const std::string& address) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
@@ -57,8 +57,8 @@
   pool_.clear();
 }
 
-/// Finds the first that isn't busy: a look at all of thousands for each command would cost more
-/// than the command itself. The end: all are busy.
+/// Returns the least recently used client that is idle, or the end if all are busy. Stops at the
+/// first match, since visiting thousands of clients per command would cost more than the command.
 WorkerClients::Pool::const_iterator WorkerClients::longest_unused() const {
   return std::find_if(pool_.begin(), pool_.end(),
                       [](const PooledClient& pooled) { return pooled.client->in_progress() == 0; });
--- a/src/node/worker_clients.h
+++ b/src/node/worker_clients.h
@@ -9,22 +9,23 @@
 
 namespace sumacquay {
 
-/// HTTP clients for workers, kept for reuse. Called by the ActionExecutor for commands and probes.
-/// Guarantees that there are never more than `limit`, so that commands to a large fleet leave
-/// sockets for all else, and that a client with a request under way is kept.
+/// Pool of HTTP clients for workers. Called by the ActionExecutor for commands and probes. Holds at
+/// most `limit` clients, so that commands to a large fleet leave sockets for other purposes. A
+/// client with a request in flight is never evicted.
 class WorkerClients {
  public:
   WorkerClients(asio::io_context& io, size_t limit) : io_(io), limit_(limit) {}
-  /// The client for a worker's address, none if the address can't be used or if all clients are
-  /// busy. At the limit the idle one that has been unused longest is dropped.
+  /// Returns the client for a worker's address; null if the address is invalid, or if the limit is
+  /// reached and all clients are busy. At the limit, evicts the least recently used idle client.
   std::shared_ptr<HttpClient> find_or_open(const std::string& address);
+  /// Removes all clients from the pool, including busy ones.
   void clear();
-  /// Whether the limit is reached and every client has a request under way.
+  /// Whether the limit is reached and every client has a request in flight.
   bool all_busy() const;
   size_t size() const { return pool_.size(); }
 
  private:
-  /// A client and the address that it is connected to.
+  /// A client and its worker's address.
   struct PooledClient {
     std::string address;
     std::shared_ptr<HttpClient> client;
@@ -35,7 +36,7 @@
 
   asio::io_context& io_;
   size_t limit_;
-  Pool pool_;  ///< the longest unused first
+  Pool pool_;  ///< least recently used first
   std::unordered_map<std::string, Pool::iterator> by_address_;
 };
 
--- a/src/node/worker_endpoint.cpp
+++ b/src/node/worker_endpoint.cpp
@@ -33,7 +33,7 @@
   respond({200, wire::heartbeat_answer(answer.fencing_token, answer.commands), 0});
 }
 
-/// Answers in the leader's place where this node may, and otherwise with the leader's name.
+/// Answers on behalf of the leader if this node may, and redirects to the leader otherwise.
 void WorkerEndpoint::answer_as_follower(const WorkerHeartbeat& heartbeat, const Respond& respond) {
   if (may_answer_as_delegate(heartbeat)) {
     const auto stops = delegated_responder_.answer(
@@ -44,7 +44,7 @@
   respond({421, wire::redirect_body(leader_to_redirect_to()), 0});
 }
 
-/// Empty if no other node is known to lead.
+/// The node to redirect to; empty if no other node is known to lead.
 std::string WorkerEndpoint::leader_to_redirect_to() const {
   const auto& record = record_cache_.leader().value;
   const bool record_newer = record.term > peer_heartbeats_.leader_term();
@@ -52,8 +52,9 @@
   return leader == settings_.node ? std::string() : leader;
 }
 
-/// A partitioned zone loses the leader and the state service together. While this node still
-/// reaches either, another leader may be found, and workers had better go on looking.
+/// Whether this node may answer as a delegate. A partitioned zone loses both the leader and the
+/// state service. While this node still reaches either of them, workers may find another leader and
+/// are redirected; DelegatedResponder checks whether the leader is silent.
 bool WorkerEndpoint::may_answer_as_delegate(const WorkerHeartbeat& heartbeat) const {
   const Seconds served_at = to_seconds(store_.last_served());
   return election_.state() == LeaderElection::State::Follower && heartbeat.zone == settings_.zone &&
--- a/src/node/worker_endpoint.h
+++ b/src/node/worker_endpoint.h
@@ -12,11 +12,11 @@
 
 namespace sumacquay {
 
-/// Answers the heartbeats of workers: as the leader, as a delegated responder in a partitioned
-/// zone, or as a follower that redirects to the leader. Called by the node for each request.
+/// Answers workers' heartbeats: as the leader, as a delegated responder in a partitioned zone, or
+/// as a follower that redirects to the leader. Called by the node for each request.
 ///
-/// It owns no state of its own; all parts belong to the node and outlive it. It must not know when
-/// this node begins or ceases to lead: it asks the election anew for each request.
+/// Owns nothing; everything it refers to belongs to the node and outlives it. It keeps no
+/// leadership state and checks the election for each request.
 class WorkerEndpoint {
  public:
   WorkerEndpoint(const Settings& settings, const KeyValueStoreClient& store,
@@ -24,8 +24,8 @@
                  ActiveScheduler& scheduler, const PeerHeartbeats& peer_heartbeats,
                  DelegatedResponder& delegated_responder);
 
-  /// Responds with 200 and commands, 400 if the body is no heartbeat, 421 with the leader's name if
-  /// this node does not lead, or 503 if the heartbeat is a late copy.
+  /// Responds with 200 and commands, 400 if the body is not a heartbeat, 421 and the leader's name
+  /// if this node may not answer, or 503 if the heartbeat is stale.
   void on_worker_heartbeat(const HttpRequest& request, const Respond& respond);
 
  private:
--- a/src/node/write_pacing.cpp
+++ b/src/node/write_pacing.cpp
@@ -5,12 +5,14 @@
 namespace sumacquay {
 namespace {
 
-/// A job that finishes leaves one key and enters another.
+/// Minimum size of a transaction: a finished job is deleted under one key and written under
+/// another.
 constexpr size_t kFewestChanges = 2;
-/// How long transactions stay small / the heartbeat period.
+/// How long transactions stay at the minimum size after a refusal, in heartbeat periods.
 constexpr double kCautionHeartbeats = 30;
 
-/// A transaction of more changes than the service takes in a second might never be taken.
+/// Maximum changes per transaction. Also limited by the accepted changes per second, because a
+/// larger transaction might never be accepted.
 size_t changes_within_limits(const Settings& settings) {
   const auto in_a_second = static_cast<size_t>(settings.state_write_rps);
   const auto in_a_transaction = static_cast<size_t>(settings.state_txn_ops);
--- a/src/node/write_pacing.h
+++ b/src/node/write_pacing.h
@@ -6,20 +6,21 @@
 
 namespace sumacquay {
 
-/// When the leader's records may be written, and in how large transactions. The record writer asks
-/// it before each transaction.
+/// Throttles the leader's record writes: limits when a transaction may be sent and how many changes
+/// it may contain. RecordWriter consults it before each transaction. Owns the backoff state.
 ///
-/// The state service may come to refuse what it took before. After a transaction that was too large
-/// this pauses for a heartbeat period, and for a while lets through only the fewest changes that
-/// are of use, so that one record that is too large keeps no others back.
+/// The state service may lower its limits while it runs. After a transaction is refused as too
+/// large, writes pause for one heartbeat period, and transactions then stay at the minimum size for
+/// a while, so that one record that is too large does not block the others.
 class WritePacing {
  public:
   explicit WritePacing(const Settings& settings);
 
+  /// Whether a transaction may be sent now.
   bool may_write(Seconds now) const { return now >= paused_until_; }
-  /// The most changes of a transaction that is sent now.
+  /// Maximum number of changes in a transaction that is sent now.
   size_t most_changes(Seconds now) const;
-  /// The service has refused a transaction for its size.
+  /// Handles a transaction that the state service has refused as too large.
   void too_large(Seconds now);
 
  private:
--- a/src/peer/leader_hints.cpp
+++ b/src/peer/leader_hints.cpp
@@ -24,7 +24,7 @@
   if (batch.complete()) show(fragment.part, batch);
 }
 
-/// Shows what has come of the batch, and frees it.
+/// Applies the received fragments of the batch and releases them.
 void LeaderHints::show(wire::PeerHeartbeatPart part, Batch& batch) {
   std::vector<const wire::PeerHeartbeat*> fragments;
   for (const auto& [index, heartbeat] : batch.come) fragments.push_back(&heartbeat);
--- a/src/peer/leader_hints.h
+++ b/src/peer/leader_hints.h
@@ -8,33 +8,38 @@
 
 #include "wire/peer_heartbeat.h"
 
-/// What the leader tells beside its term: counts for users, and hints for a successor. Kept by
-/// `PeerHeartbeats` on every node. Nothing that safety needs rests on it.
+/// The leader's hints in peer heartbeats: job counts for users, and cached images and booting
+/// machines for a successor. Kept by `PeerHeartbeats` on every node. Correctness does not depend on
+/// them.
 namespace sumacquay {
 
-/// Pieces of a batch that are sent and kept: each has up to 64 KiB.
+/// Maximum number of fragments of a batch that are sent and kept; each has up to 64 KiB.
 inline constexpr size_t kMaxPeerHeartbeatFragments = 256;
 
-/// Takes in heartbeats of leaders. What comes in several fragments is shown once all have come, in
-/// any order; if one is lost, what has come of them is shown as soon as the next batch begins.
+/// Holds the latest hints of the leader and reassembles those that are split into fragments.
+///
+/// A fragmented batch is applied once all its fragments have been received, in any order. If a
+/// fragment is lost, the received ones are applied when a fragment of a newer batch arrives.
 class LeaderHints {
  public:
   using Clock = std::chrono::steady_clock;
 
+  /// Applies a heartbeat of the leader; fragments are kept until their batch is complete.
   void take(const wire::PeerHeartbeat& heartbeat);
 
+  /// The job's last reported counts; zeros if none were reported.
   wire::JobProgress counts(const std::string& job) const;
   const std::vector<wire::CachedImageHint>& images() const { return images_; }
-  /// Machines that were rented and not heard yet, their ages as of now.
+  /// Machines that were requested and have not sent a heartbeat yet, with their current ages.
   std::vector<ListedMachine> booting() const;
 
  private:
-  /// The fragments of one batch that have come.
+  /// The received fragments of one batch.
   struct Batch {
     std::pair<uint64_t, uint64_t> term_and_number{0, 0};
     uint64_t fragments = 0;
     std::map<uint64_t, wire::PeerHeartbeat> come;  ///< by index
-    bool applied = false;                          ///< late fragments and repeats are of no use
+    bool applied = false;                          ///< late and repeated fragments are ignored
     bool complete() const { return come.size() == fragments; }
   };
 
--- a/src/peer/peer_heartbeats.cpp
+++ b/src/peer/peer_heartbeats.cpp
@@ -8,17 +8,17 @@
 namespace sumacquay {
 namespace {
 using Clock = std::chrono::steady_clock;
-/// For how many periods what was heard still counts.
+/// A received heartbeat counts as recent for this many periods.
 constexpr double kRecentPeriods = 4;
-/// Seconds between counts: what users are shown may lag by 3 s.
+/// Interval between heartbeats that carry counts; the counts that users see may lag by 3 s.
 constexpr double kCountsIntervalS = 2.4;
-/// What helps a successor may be older: every how many counts it is sent.
+/// Counts are sent this many times per transmission of the hints, which may be older.
 constexpr int kCountsPerHints = 2;
-/// How long a peer has to answer, in periods.
+/// Timeout of a heartbeat request, in periods.
 constexpr double kDeadlinePeriods = 2;
 constexpr size_t kBodyLimit = HttpLimits{}.body_bytes;
 
-/// A peer with so many heartbeats under way gets no more until one is answered or given up.
+/// No heartbeats are sent to a peer while this many are in flight to it.
 constexpr size_t kMaxHeartbeatsInFlight = 2;
 
 double age_s(Clock::time_point time) {
@@ -81,7 +81,7 @@
                  });
 }
 
-/// Each peer that falls silent or is heard again is logged once, for operators.
+/// Logs each peer once when it falls silent and once when its heartbeats resume.
 void PeerHeartbeats::log_silent_peers() {
   for (auto& [node, peer] : peers_) {
     const bool silent = age_s(peer.heard) > kRecentPeriods * period_s_;
--- a/src/peer/peer_heartbeats.h
+++ b/src/peer/peer_heartbeats.h
@@ -12,34 +12,39 @@
 
 namespace sumacquay {
 
-/// Heartbeats among controllers: every node sends to every other, at a steady pace, which term
-/// it knows; the leader adds the counts that users are shown and the images that machines hold,
-/// which would help its successor place. Made by the node, which supplies what is said (`Hooks`)
-/// and asks what was heard. Nothing that safety needs rests on it, but for one answer: a node that
-/// has answered a term never acts under an older one.
+/// Heartbeats between controllers. Every node periodically sends the highest term it has observed
+/// to every peer; the leader adds job counts for users and hints for its successor, such as the
+/// images that machines have cached. The node owns this object and supplies the contents (`Hooks`).
+///
+/// Owns the peer server, the clients for peers, the time of each peer's last heartbeat and the
+/// leader's hints. Correctness depends only on terms and lease delegations: a node that has
+/// answered a heartbeat with a term never acts under an older one.
 class PeerHeartbeats {
  public:
-  /// What the node supplies: what is said to peers, and what is done with answers.
+  /// Callbacks of the node, which supply the contents of heartbeats and handle answers.
   struct Hooks {
-    /// What this node says: its status, or also what users are shown or a successor would want.
+    /// Builds this node's heartbeat: its status, and the given part if this node leads.
     std::function<wire::PeerHeartbeat(wire::PeerHeartbeatPart)> own;
+    /// Builds the answer to a peer's heartbeat.
     std::function<wire::PeerHeartbeat(const wire::PeerHeartbeat& from)> answer;
-    /// A peer has answered what was sent at `asked_at`.
+    /// Handles a peer's answer to the heartbeat that was sent at `asked_at`.
     std::function<void(const std::string& node, const wire::PeerHeartbeat&,
                        std::chrono::steady_clock::time_point asked_at)>
         answered;
   };
   PeerHeartbeats(asio::io_context& io, const Settings& settings, double period_s, Hooks hooks);
+  /// Starts the server and the periodic heartbeats.
   void start();
-  /// Sends a heartbeat to all peers at once, beside the steady ones.
+  /// Sends a heartbeat to all peers immediately, in addition to the periodic ones.
   void send_peer_heartbeats(wire::PeerHeartbeatPart part);
 
-  /// The leader that others speak of, empty if none was heard of lately.
+  /// The peer that has recently reported that it leads; empty if there is none.
   std::string leader() const;
+  /// Highest term in which a peer has reported that it leads.
   uint64_t leader_term() const { return leader_term_; }
-  /// As the leader said last, be it another node or this one.
+  /// The latest hints of the leader, whether it is a peer or this node.
   const LeaderHints& leader_hints() const { return leader_hints_; }
-  /// Another node was served by the state service lately.
+  /// Whether a peer has recently reported that the state service answers it.
   bool others_served() const;
 
  private:
@@ -53,7 +58,7 @@
   const Settings& settings_;
   double period_s_;
   Hooks hooks_;
-  /// When a peer was last heard.
+  /// Time of a peer's last heartbeat, and whether the peer was logged as silent.
   struct Peer {
     std::chrono::steady_clock::time_point heard;
     bool silent = false;
@@ -68,7 +73,7 @@
   uint64_t leader_term_ = 0;
   std::chrono::steady_clock::time_point leader_heard_{}, served_heard_{};
   LeaderHints leader_hints_;
-  uint64_t batches_ = 0;  ///< sent so far; numbers the fragments of those that need several
+  uint64_t batches_ = 0;  ///< number of the last batch sent, which its fragments carry
 };
 
 }  // namespace sumacquay
