--- a/src/leadership/fencing_token_allocator.h
+++ b/src/leadership/fencing_token_allocator.h
@@ -18,19 +18,21 @@
 
   /// Allocates an attempt number. Requires `attempts_left() > 0`.
   [[nodiscard]] uint64_t new_attempt() {
-    const uint64_t number = next_attempt_++;
-    record_use(number);
-    return with_term(number);
+    const uint64_t counter = next_attempt_++;
+    record_use(counter);
+    return with_term(counter);
   }
   /// Number of attempts that can still be allocated in this term.
   size_t attempts_left() const { return kFencingTokenCounterEnd - next_attempt_; }
 
   /// Adds the term to the counter of an attempt or a fencing token, as the upper bits.
-  uint64_t with_term(uint64_t number) const { return (term_ << kFencingTokenCounterBits) | number; }
+  uint64_t with_term(uint64_t counter) const {
+    return (term_ << kFencingTokenCounterBits) | counter;
+  }
   /// Records that the counter value is in use by an attempt or a worker's fencing token.
-  void record_use(uint64_t number) {
-    if (static_cast<double>(number) >
-        kNearlyExhaustedShare * static_cast<double>(kFencingTokenCounterEnd))
+  void record_use(uint64_t counter) {
+    if (static_cast<double>(counter) >
+        kNearlyExhaustedFraction * static_cast<double>(kFencingTokenCounterEnd))
       nearly_exhausted_ = true;
   }
 
@@ -40,7 +42,7 @@
  private:
   /// Fraction of the counter range after which a new term is needed. The remainder covers the tasks
   /// that are started before the node has obtained it.
-  static constexpr double kNearlyExhaustedShare = 0.9;
+  static constexpr double kNearlyExhaustedFraction = 0.9;
 
   uint64_t term_;
   uint64_t next_attempt_ = 1;
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -8,9 +8,9 @@
 
 /// Maximum random delay before a campaign, as a fraction of the leader lease. It is small because
 /// it prolongs a failover.
-constexpr double kCampaignSpreadLeaseShare = 0.05;
+constexpr double kMaxCampaignDelayLeaseFraction = 0.05;
 /// Delay before an unacknowledged renewal is retried, as a fraction of the renewal period.
-constexpr double kRenewalRetryShare = 0.3;
+constexpr double kRenewalRetryPeriodFraction = 0.3;
 constexpr Seconds kNever = std::numeric_limits<Seconds>::max();
 
 }  // namespace
@@ -36,7 +36,7 @@
   campaign_at_ = -1;
   if (next == State::Follower) {
     lease_ = 0;
-    renewing_ = false;
+    renewal_in_flight_ = false;
   }
   effects_.changed(from, next);
 }
@@ -46,7 +46,7 @@
     case State::Follower:
       return tick_follower(now, loaded && !leader_known, jitter);
     case State::Campaigning:
-      if (now >= campaign_end_) enter(State::Follower);
+      if (now >= campaign_deadline_) enter(State::Follower);
       return;
     case State::Leading:
       if (now >= valid_until_) enter(State::LeaseExpired);
@@ -58,34 +58,34 @@
   renew_if_due(now);
 }
 
-void LeaderElection::tick_follower(Seconds now, bool office_vacant, double jitter) {
-  if (!office_vacant || now < rest_until_) {
+void LeaderElection::tick_follower(Seconds now, bool may_campaign, double jitter) {
+  if (!may_campaign || now < no_campaign_before_) {
     campaign_at_ = -1;
   } else if (campaign_at_ < 0) {
     // The random delay keeps nodes from campaigning at the same time.
-    campaign_at_ = now + jitter * config_.lease * kCampaignSpreadLeaseShare;
+    campaign_at_ = now + jitter * config_.lease * kMaxCampaignDelayLeaseFraction;
   } else if (now >= campaign_at_) {
     enter(State::Campaigning);
-    campaign_end_ = now + config_.lease;
+    campaign_deadline_ = now + config_.lease;
     effects_.grant(++campaign_, config_.lease);
   }
 }
 
 void LeaderElection::renew_if_due(Seconds now) {
-  if (renewing_ || now < next_renewal_) return;
-  renewing_ = true;
+  if (renewal_in_flight_ || now < next_renewal_) return;
+  renewal_in_flight_ = true;
   next_renewal_ = now + config_.renew;
   effects_.renew(lease_);
 }
 
 Seconds LeaderElection::due_at(Seconds now) const {
-  const Seconds renewal = renewing_ ? kNever : next_renewal_;
+  const Seconds renewal = renewal_in_flight_ ? kNever : next_renewal_;
   switch (state_) {
     case State::Follower:
       if (campaign_at_ >= 0) return campaign_at_;
-      return now < rest_until_ ? rest_until_ : kNever;
+      return now < no_campaign_before_ ? no_campaign_before_ : kNever;
     case State::Campaigning:
-      return campaign_end_;
+      return campaign_deadline_;
     case State::Leading:
       return std::min(valid_until_, renewal);
     case State::LeaseExpired:
@@ -95,12 +95,12 @@
 }
 
 void LeaderElection::granted(Seconds now, Campaign campaign, std::optional<uint64_t> lease,
-                             Seconds asked_at) {
+                             Seconds requested_at) {
   if (state_ != State::Campaigning || campaign != campaign_) return;
   if (!lease) return enter(State::Follower);
   lease_ = *lease;
-  lease_asked_at_ = asked_at;
-  campaign_end_ = now + config_.lease;
+  lease_requested_at_ = requested_at;
+  campaign_deadline_ = now + config_.lease;
   effects_.elect(campaign_, lease_);
 }
 
@@ -109,29 +109,29 @@
   if (!won || term < highest_term_) return enter(State::Follower);
   term_ = highest_term_ = term;
   // Counted from when the lease was requested: the state service cannot have started it earlier.
-  valid_until_ = lease_asked_at_ + config_.lease * (1 - config_.drift);
+  valid_until_ = lease_requested_at_ + config_.lease * (1 - config_.drift);
   next_renewal_ = now;
-  renewing_ = false;
+  renewal_in_flight_ = false;
   enter(State::Leading);
 }
 
-void LeaderElection::renewed(Seconds now, uint64_t lease, Seconds sent_at, bool answered,
-                             bool ended) {
+void LeaderElection::renewed(Seconds now, uint64_t lease, Seconds sent_at, bool confirmed,
+                             bool lease_ended) {
   if (lease != lease_) return;
-  renewing_ = false;
+  renewal_in_flight_ = false;
   if (state_ != State::Leading && state_ != State::LeaseExpired) return;
-  if (ended) return enter(State::Follower);
-  if (!answered) {
-    next_renewal_ = std::min(next_renewal_, now + config_.renew * kRenewalRetryShare);
+  if (lease_ended) return enter(State::Follower);
+  if (!confirmed) {
+    next_renewal_ = std::min(next_renewal_, now + config_.renew * kRenewalRetryPeriodFraction);
     return;
   }
   valid_until_ = std::max(valid_until_, sent_at + config_.lease * (1 - config_.drift));
   if (state_ == State::LeaseExpired && now < valid_until_) enter(State::Leading);
 }
 
-void LeaderElection::resign(Seconds now, Seconds rest) {
+void LeaderElection::resign(Seconds now, Seconds backoff) {
   if (state_ != State::Leading && state_ != State::LeaseExpired) return;
-  rest_until_ = now + rest;
+  no_campaign_before_ = now + backoff;
   enter(State::Follower);
 }
 
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -56,17 +56,17 @@
   /// Performs due transitions and renewals. `loaded`: the records are loaded; `leader_known`: they
   /// contain a leader's record; `jitter`: random, from 0 to 1.
   void tick(Seconds now, bool loaded, bool leader_known, double jitter);
-  /// Outcome of `grant`; `lease` is empty if no lease was obtained. `asked_at`: when the request
-  /// was sent.
-  void granted(Seconds now, Campaign campaign, std::optional<uint64_t> lease, Seconds asked_at);
+  /// Outcome of `grant`; `lease` is empty if no lease was obtained. `requested_at`: when the
+  /// request was sent.
+  void granted(Seconds now, Campaign campaign, std::optional<uint64_t> lease, Seconds requested_at);
   /// Outcome of `elect`; `term` is used only if `won`.
   void elected(Seconds now, Campaign campaign, bool won, uint64_t term);
-  /// Outcome of `renew`. `answered`: the lease was renewed; `ended`: the lease no longer exists. If
-  /// neither is set, it is unknown whether the lease was renewed.
-  void renewed(Seconds now, uint64_t lease, Seconds sent_at, bool answered, bool ended);
-  /// Steps down and does not campaign for `rest` seconds, so that another node is elected. The
+  /// Outcome of `renew`. `confirmed`: the lease was renewed; `lease_ended`: the lease no longer
+  /// exists. If neither is set, it is unknown whether the lease was renewed.
+  void renewed(Seconds now, uint64_t lease, Seconds sent_at, bool confirmed, bool lease_ended);
+  /// Steps down and does not campaign for `backoff` seconds, so that another node is elected. The
   /// caller revokes the lease.
-  void resign(Seconds now, Seconds rest);
+  void resign(Seconds now, Seconds backoff);
   /// Observes a term reported by a peer, a worker or a record. Steps down if it is higher than the
   /// term in which this node leads.
   void observe_term(Seconds now, uint64_t term);
@@ -83,18 +83,20 @@
     return state_ == State::Leading && now < valid_until_;
   }
   /// Reports that this node's copy of the records is at least as recent as `at`.
-  void records_known(Seconds at) { known_at_ = std::max(known_at_, at); }
+  void records_known(Seconds at) { records_current_at_ = std::max(records_current_at_, at); }
   /// Whether this node may answer workers. Limited by the age of its records: a node partitioned
   /// from the state service does not see cancellations, and would keep cancelled tasks running.
   [[nodiscard]] bool may_answer(Seconds now) const {
     return (state_ == State::Leading || state_ == State::LeaseExpired) && now < answers_until();
   }
   /// Latest time until which `may_answer` can hold without a renewal or newer records.
-  Seconds answers_until() const { return std::min(known_at_, valid_until_) + config_.grace; }
+  Seconds answers_until() const {
+    return std::min(records_current_at_, valid_until_) + config_.grace;
+  }
 
  private:
   void enter(State next);
-  void tick_follower(Seconds now, bool office_vacant, double jitter);
+  void tick_follower(Seconds now, bool may_campaign, double jitter);
   void renew_if_due(Seconds now);
 
   Config config_;
@@ -103,15 +105,15 @@
   uint64_t term_ = 0;
   uint64_t highest_term_ = 0;
   uint64_t lease_ = 0;
-  Campaign campaign_ = 0;       ///< the most recent one
-  Seconds campaign_at_ = -1;    ///< when a follower starts a campaign; -1: none is scheduled
-  Seconds campaign_end_ = 0;    ///< when a campaign without an outcome is abandoned
-  Seconds lease_asked_at_ = 0;  ///< by the most recent campaign
-  Seconds valid_until_ = 0;     ///< earliest time at which the leader's lease can end
+  Campaign campaign_ = 0;           ///< the most recent one
+  Seconds campaign_at_ = -1;        ///< when a follower starts a campaign; -1: none is scheduled
+  Seconds campaign_deadline_ = 0;   ///< when a campaign without an outcome is abandoned
+  Seconds lease_requested_at_ = 0;  ///< by the most recent campaign
+  Seconds valid_until_ = 0;         ///< earliest time at which the leader's lease can end
   Seconds next_renewal_ = 0;
-  bool renewing_ = false;   ///< a renewal is in flight
-  Seconds rest_until_ = 0;  ///< after resigning, no campaign before then
-  Seconds known_at_ = 0;    ///< the records are at least as recent as this
+  bool renewal_in_flight_ = false;
+  Seconds no_campaign_before_ = 0;  ///< after resigning, no campaign before then
+  Seconds records_current_at_ = 0;  ///< the records are at least as recent as this
 };
 
 /// Name of the state in log messages.
--- a/src/leadership/lease_delegation.cpp
+++ b/src/leadership/lease_delegation.cpp
@@ -12,67 +12,67 @@
 
 }  // namespace
 
-void DelegatedResponder::delegated(const Delegation& delegation, Seconds asked_at, Seconds now) {
+void DelegatedResponder::delegated(const Delegation& delegation, Seconds sent_at, Seconds now) {
   const bool older_term = delegation.term < newest_.term;
-  const bool repeat = delegation.term == newest_.term && delegation.number <= newest_.number;
-  if (older_term || repeat) return;
+  const bool not_newer = delegation.term == newest_.term && delegation.number <= newest_.number;
+  if (older_term || not_newer) return;
   newest_ = delegation;
-  valid_until_ = asked_at + delegation.valid_for_s * (1 - kMaxClockDrift);
+  valid_until_ = sent_at + delegation.valid_for_s * (1 - kMaxClockDrift);
   received_at_ = now;
 }
 
 bool DelegatedResponder::active(uint64_t highest_term, Seconds now) const {
-  return newest_.term > 0 && newest_.term == highest_term && now >= received_at_ + after_ &&
-         now < valid_until_;
+  return newest_.term > 0 && newest_.term == highest_term &&
+         now >= received_at_ + takeover_delay_ && now < valid_until_;
 }
 
 DelegationStatus DelegatedResponder::status(Seconds now) const {
-  DelegationStatus status{process_, newest_.term, newest_.number, std::nullopt};
+  DelegationStatus status{incarnation_, newest_.term, newest_.number, std::nullopt};
   if (last_answer_at_) status.last_answer_age_s = now - *last_answer_at_;
   return status;
 }
 
-Delegations::Node& Delegations::node(const std::string& name, const std::string& zone) {
-  Node& node = nodes_[name];
-  node.zone = zone;
-  return node;
+Delegations::Delegate& Delegations::find_or_add(const std::string& name, const std::string& zone) {
+  Delegate& delegate = delegates_[name];
+  delegate.zone = zone;
+  return delegate;
 }
 
 Delegation Delegations::delegate(const std::string& name, const std::string& zone, Seconds until,
                                  Seconds now) {
-  Node& delegate = node(name, zone);
+  Delegate& delegate = find_or_add(name, zone);
   delegate.valid_until = std::max(delegate.valid_until, until);
   return {term_, static_cast<uint64_t>(now * kMillisecondsPerSecond), until - now};
 }
 
 void Delegations::heard(const std::string& name, const std::string& zone,
                         const DelegationStatus& status, Seconds now) {
-  Node& delegate = node(name, zone);
-  if (delegate.process != status.process) {
+  Delegate& delegate = find_or_add(name, zone);
+  if (delegate.incarnation != status.process) {
     // The node has restarted. The answers of its earlier process are unknown, but none was given
     // after the new process started.
-    if (delegate.process != 0) delegate.last_answer = std::max(delegate.last_answer, now);
-    delegate.process = status.process;
-    delegate.silent_until = -1;
+    if (delegate.incarnation != 0) delegate.last_answer = std::max(delegate.last_answer, now);
+    delegate.incarnation = status.process;
+    delegate.inactive_until = -1;
   }
   if (status.last_answer_age_s)
     delegate.last_answer =
         std::max(delegate.last_answer, now - *status.last_answer_age_s * (1 - kMaxClockDrift));
-  // The delegate is inactive for `after_` from when it received the delegation, which is no earlier
-  // than when this leader sent it.
+  // The delegate is inactive for `takeover_delay_` from when it received the delegation, which is
+  // no earlier than when this leader sent it.
   if (status.term == term_)
-    delegate.silent_until = std::max(delegate.silent_until,
-                                     static_cast<double>(status.number) / kMillisecondsPerSecond +
-                                         after_ * (1 - kMaxClockDrift));
+    delegate.inactive_until = std::max(delegate.inactive_until,
+                                       static_cast<double>(status.number) / kMillisecondsPerSecond +
+                                           takeover_delay_ * (1 - kMaxClockDrift));
 }
 
 Seconds Delegations::last_answer(const std::string& zone, Seconds now) const {
   Seconds last = -1;
-  for (const auto& [name, delegate] : nodes_) {
+  for (const auto& [name, delegate] : delegates_) {
     if (delegate.zone != zone) continue;
     last = std::max(last, delegate.last_answer);
     // The delegate may be answering workers right now while it cannot reach this leader.
-    if (now >= delegate.silent_until) last = std::max(last, std::min(now, delegate.valid_until));
+    if (now >= delegate.inactive_until) last = std::max(last, std::min(now, delegate.valid_until));
   }
   return last;
 }
--- a/src/leadership/lease_delegation.h
+++ b/src/leadership/lease_delegation.h
@@ -37,13 +37,14 @@
 /// node; PeerHeartbeatExchange passes in delegations.
 class DelegatedResponder {
  public:
-  /// `after`: how long the leader must be silent before this node answers on its behalf.
-  /// `answers_s`: how long workers may be answered after the records were last known to be current.
-  DelegatedResponder(uint64_t process, Seconds after, Seconds answers_s)
-      : process_(process), after_(after), answers_s_(answers_s) {}
-  /// Handles a delegation received in the answer to a heartbeat sent at `asked_at`. Delegations
+  /// `takeover_delay`: how long the leader must be silent before this node answers on its behalf.
+  /// `answer_grace`: how long workers may be answered after the records were last known to
+  /// be current.
+  DelegatedResponder(uint64_t incarnation, Seconds takeover_delay, Seconds answer_grace)
+      : incarnation_(incarnation), takeover_delay_(takeover_delay), answer_grace_(answer_grace) {}
+  /// Handles a delegation received in the answer to a heartbeat sent at `sent_at`. Delegations
   /// that are not newer than the current one are ignored.
-  void delegated(const Delegation& delegation, Seconds asked_at, Seconds now);
+  void delegated(const Delegation& delegation, Seconds sent_at, Seconds now);
   /// Whether this node acts on behalf of the leader: the leader has been silent long enough, the
   /// delegation is valid, and no higher term than the delegation's is known.
   [[nodiscard]] bool active(uint64_t highest_term, Seconds now) const;
@@ -57,7 +58,7 @@
                                                            uint64_t highest_term,
                                                            Seconds records_known_at, Ended&& ended,
                                                            Seconds now) {
-    const bool records_recent = now < records_known_at + answers_s_;
+    const bool records_recent = now < records_known_at + answer_grace_;
     if (heartbeat.fencing_token == 0 || !records_recent || !active(highest_term, now))
       return std::nullopt;
     last_answer_at_ = now;
@@ -67,9 +68,9 @@
   DelegationStatus status(Seconds now) const;
 
  private:
-  uint64_t process_;
-  Seconds after_;
-  Seconds answers_s_;
+  uint64_t incarnation_;
+  Seconds takeover_delay_;
+  Seconds answer_grace_;
   Delegation newest_;
   Seconds valid_until_ = -1;  ///< of the newest delegation
   Seconds received_at_ = -1;  ///< of the newest delegation
@@ -80,8 +81,9 @@
 /// scheduler of a term.
 class Delegations {
  public:
-  /// `after`: the same value as in the delegates' DelegatedResponder.
-  Delegations(uint64_t term, Seconds after) : term_(term), after_(after) {}
+  /// `takeover_delay`: the same value as in the delegates' DelegatedResponder.
+  Delegations(uint64_t term, Seconds takeover_delay)
+      : term_(term), takeover_delay_(takeover_delay) {}
   /// Records and returns a delegation to the node `name`, valid until `until`. The caller sends it
   /// in the answer to that node's heartbeat.
   [[nodiscard]] Delegation delegate(const std::string& name, const std::string& zone, Seconds until,
@@ -94,18 +96,18 @@
 
  private:
   /// The leader's view of one follower that it delegates to.
-  struct Node {
+  struct Delegate {
     std::string zone;
-    uint64_t process = 0;
-    Seconds valid_until = -1;   ///< end of all delegations sent to it
-    Seconds silent_until = -1;  ///< cannot answer earlier: it had a delegation too recently
-    Seconds last_answer = -1;   ///< as reported, or the latest of an earlier process
+    uint64_t incarnation = 0;
+    Seconds valid_until = -1;     ///< end of all delegations sent to it
+    Seconds inactive_until = -1;  ///< cannot answer earlier: it had a delegation too recently
+    Seconds last_answer = -1;     ///< as reported, or the latest of an earlier process
   };
-  Node& node(const std::string& name, const std::string& zone);
+  Delegate& find_or_add(const std::string& name, const std::string& zone);
 
   uint64_t term_;
-  Seconds after_;
-  std::map<std::string, Node> nodes_;
+  Seconds takeover_delay_;
+  std::map<std::string, Delegate> delegates_;
 };
 
 }  // namespace sumacquay
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// Timeout of commands, in heartbeat periods; at most the given fraction of the worker lease.
-constexpr double kCommandDeadlineHeartbeats = 1.5;
-constexpr double kCommandDeadlineLeaseShare = 0.2;
+constexpr double kCommandTimeoutHeartbeatPeriods = 1.5;
+constexpr double kCommandTimeoutLeaseFraction = 0.2;
 /// Timeout of a probe, as a fraction of the worker lease.
-constexpr double kProbeDeadlineLeaseShare = 0.05;
+constexpr double kProbeTimeoutLeaseFraction = 0.05;
 /// Timeout of a request to the cloud, as a fraction of the worker lease.
-constexpr double kCloudDeadlineLeaseShare = 0.5;
+constexpr double kCloudTimeoutLeaseFraction = 0.5;
 
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusConflict = 409;
@@ -20,28 +20,28 @@
 
 }  // namespace
 
-ActionExecutor::ActionExecutor(asio::io_context& io, const Settings& settings, size_t most_workers,
-                               HttpClient& cloud, LeaderElection& election,
-                               ActiveScheduler& scheduler)
+ActionExecutor::ActionExecutor(asio::io_context& io, const Settings& settings,
+                               size_t max_worker_connections, HttpClient& cloud,
+                               LeaderElection& election, ActiveScheduler& scheduler)
     : io_(io),
       settings_(settings),
       cloud_(cloud),
       election_(election),
       scheduler_(scheduler),
-      workers_(io, most_workers) {}
+      workers_(io, max_worker_connections) {}
 
 void ActionExecutor::stop() {
-  waiting_.clear();
+  queued_.clear();
   workers_.clear();
 }
 
-Seconds ActionExecutor::command_deadline() const {
-  return std::min(settings_.heartbeat_period_s * kCommandDeadlineHeartbeats,
-                  settings_.lease_s * kCommandDeadlineLeaseShare);
+Seconds ActionExecutor::command_timeout() const {
+  return std::min(settings_.heartbeat_period_s * kCommandTimeoutHeartbeatPeriods,
+                  settings_.lease_s * kCommandTimeoutLeaseFraction);
 }
 
 void ActionExecutor::perform(const Action& action) {
-  std::visit([this](const auto& a) { perform(a); }, action);
+  std::visit([this](const auto& concrete_action) { perform(concrete_action); }, action);
 }
 
 /// Parses the heartbeat with which a worker answers commands, whether or not it executes them.
@@ -54,13 +54,13 @@
 }
 
 void ActionExecutor::perform(const SendCommands& batch) {
-  waiting_.push_back({batch, steady_now() + command_deadline()});
-  send_waiting();
+  queued_.push_back({batch, steady_now() + command_timeout()});
+  send_queued();
 }
 
 /// Reports an unknown outcome: the scheduler assumes that the commands may still be executed, which
 /// is safe but delays the work.
-void ActionExecutor::give_up(const SendCommands& batch) {
+void ActionExecutor::report_unknown_outcome(const SendCommands& batch) {
   asio::post(io_, [this, machine = batch.machine, generation = scheduler_.generation()] {
     if (Scheduler* scheduler = scheduler_.get(generation))
       scheduler->on_commands_answered(machine, std::nullopt, false, steady_now());
@@ -71,7 +71,7 @@
   client->request(
       "POST", wire::path::kWorkerCommands,
       wire::worker_commands_body(batch.fencing_token, batch.agent_epoch, batch.commands),
-      command_deadline(),
+      command_timeout(),
       [this, client, machine = batch.machine,
        generation = scheduler_.generation()](const HttpResult& result) {
         if (!scheduler_.get(generation)) return;
@@ -81,24 +81,25 @@
         if (scheduler_)
           scheduler_->on_commands_answered(machine, heartbeat, result.ok() && heartbeat,
                                            steady_now());
-        send_waiting();
+        send_queued();
       });
 }
 
-/// Sends queued commands, the oldest first, until all connections are busy. Commands whose deadline
-/// has passed, or that are still queued when this node may no longer act as leader, are not sent.
-void ActionExecutor::send_waiting() {
-  while (!waiting_.empty()) {
+/// Sends queued commands, the oldest first, until all connections are busy. Commands whose
+/// deadline has passed, or that are still queued when this node may no longer act as leader, are
+/// not sent.
+void ActionExecutor::send_queued() {
+  while (!queued_.empty()) {
     const Seconds now = steady_now();
-    const bool in_time = election_.may_act(now) && now < waiting_.front().until;
-    const auto client = in_time ? workers_.find_or_open(waiting_.front().batch.addr) : nullptr;
-    if (in_time && !client && workers_.all_busy()) return;
-    const SendCommands batch = std::move(waiting_.front().batch);
-    waiting_.pop_front();
+    const bool sendable = election_.may_act(now) && now < queued_.front().deadline;
+    const auto client = sendable ? workers_.find_or_open(queued_.front().batch.addr) : nullptr;
+    if (sendable && !client && workers_.all_busy()) return;
+    const SendCommands batch = std::move(queued_.front().batch);
+    queued_.pop_front();
     if (client)
       send(batch, client);
     else
-      give_up(batch);
+      report_unknown_outcome(batch);
   }
 }
 
@@ -107,50 +108,51 @@
   if (!client) return scheduler_->on_probe_not_sent(probe.machine);
   client->request("POST", wire::path::kWorkerCommands,
                   wire::worker_commands_body(probe.fencing_token, probe.agent_epoch, {}),
-                  settings_.lease_s * kProbeDeadlineLeaseShare,
+                  settings_.lease_s * kProbeTimeoutLeaseFraction,
                   [this, client, machine = probe.machine,
                    generation = scheduler_.generation()](const HttpResult& result) {
                     if (!scheduler_.get(generation)) return;
                     const auto heartbeat = receive_heartbeat(result);
                     if (scheduler_) scheduler_->on_probe_answered(machine, heartbeat, steady_now());
-                    send_waiting();
+                    send_queued();
                   });
 }
 
-void ActionExecutor::perform(const ScaleOut& rent) {
+void ActionExecutor::perform(const ScaleOut& scale_out) {
   cloud_.request("POST", wire::path::kMachines,
-                 wire::rent_body(rent.request, rent.type, rent.zone, rent.spot, rent.count),
-                 settings_.lease_s * kCloudDeadlineLeaseShare,
-                 [this, rent, generation = scheduler_.generation()](const HttpResult& result) {
+                 wire::rent_body(scale_out.request, scale_out.type, scale_out.zone, scale_out.spot,
+                                 scale_out.count),
+                 settings_.lease_s * kCloudTimeoutLeaseFraction,
+                 [this, scale_out, generation = scheduler_.generation()](const HttpResult& result) {
                    Scheduler* scheduler = scheduler_.get(generation);
                    if (!scheduler) return;
-                   const RentResult rented = read_scale_out_answer(result);
-                   scheduler->on_scale_out_answered(rent, rented.outcome, rented.machines,
-                                                    steady_now());
+                   const RentResult scale_out_answer = read_scale_out_answer(result);
+                   scheduler->on_scale_out_answered(scale_out, scale_out_answer.outcome,
+                                                    scale_out_answer.machines, steady_now());
                  });
 }
 
-void ActionExecutor::perform(const ScaleIn& release) {
-  cloud_.request("POST", wire::path::kRelease, wire::release_body(release.machines),
-                 settings_.lease_s * kCloudDeadlineLeaseShare,
-                 [this, release, generation = scheduler_.generation()](const HttpResult& result) {
+void ActionExecutor::perform(const ScaleIn& scale_in) {
+  cloud_.request("POST", wire::path::kRelease, wire::release_body(scale_in.machines),
+                 settings_.lease_s * kCloudTimeoutLeaseFraction,
+                 [this, scale_in, generation = scheduler_.generation()](const HttpResult& result) {
                    if (Scheduler* scheduler = scheduler_.get(generation))
-                     scheduler->on_scale_in_answered(release, result.ok(), steady_now());
+                     scheduler->on_scale_in_answered(scale_in, result.ok(), steady_now());
                  });
 }
 
 RentResult read_scale_out_answer(const HttpResult& result) {
-  RentResult rented;
+  RentResult scale_out_answer;
   if (result.ok()) {
     if (auto machines = wire::parse_rented(result.body)) {
-      rented.outcome = Scheduler::ScaleOutOutcome::Granted;
-      rented.machines = std::move(*machines);
+      scale_out_answer.outcome = Scheduler::ScaleOutOutcome::Granted;
+      scale_out_answer.machines = std::move(*machines);
     }
-    return rented;
+    return scale_out_answer;
   }
   const bool refused = result.status == kStatusUnavailable || result.status == kStatusBadRequest;
-  if (result.answered && refused) rented.outcome = Scheduler::ScaleOutOutcome::Refused;
-  return rented;
+  if (result.answered && refused) scale_out_answer.outcome = Scheduler::ScaleOutOutcome::Refused;
+  return scale_out_answer;
 }
 
 }  // namespace sumacquay
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -24,30 +24,30 @@
 /// only while this node may act as leader.
 class ActionExecutor {
  public:
-  /// `most_workers`: maximum number of connections to workers.
-  ActionExecutor(asio::io_context& io, const Settings& settings, size_t most_workers,
+  /// `max_worker_connections`: maximum number of connections to workers.
+  ActionExecutor(asio::io_context& io, const Settings& settings, size_t max_worker_connections,
                  HttpClient& cloud, LeaderElection& election, ActiveScheduler& scheduler);
   /// Starts one action of the active scheduler.
   void perform(const Action& action);
   /// Drops queued commands and releases the connections to workers, when this node stops leading.
   void stop();
   /// Number of queued batches of commands.
-  size_t waiting_commands() const { return waiting_.size(); }
+  size_t waiting_commands() const { return queued_.size(); }
 
  private:
   /// Commands that wait for a connection to their worker to become available.
-  struct WaitingCommands {
+  struct QueuedCommands {
     SendCommands batch;
-    Seconds until = 0;  ///< dropped if not sent by then
+    Seconds deadline = 0;  ///< dropped if not sent by then
   };
   void perform(const SendCommands& batch);
   void send(const SendCommands& batch, const std::shared_ptr<HttpClient>& client);
-  void send_waiting();
-  void give_up(const SendCommands& batch);
-  Seconds command_deadline() const;
+  void send_queued();
+  void report_unknown_outcome(const SendCommands& batch);
+  Seconds command_timeout() const;
   void perform(const Probe& probe);
-  void perform(const ScaleOut& rent);
-  void perform(const ScaleIn& release);
+  void perform(const ScaleOut& scale_out);
+  void perform(const ScaleIn& scale_in);
   std::optional<WorkerHeartbeat> receive_heartbeat(const HttpResult& result);
 
   asio::io_context& io_;
@@ -56,8 +56,8 @@
   LeaderElection& election_;
   ActiveScheduler& scheduler_;
   WorkerClients workers_;
-  std::deque<WaitingCommands>
-      waiting_;  ///< at most one per machine: the scheduler sends one at a time
+  std::deque<QueuedCommands>
+      queued_;  ///< at most one per machine: the scheduler sends one at a time
 };
 
 /// The cloud's answer to a scale-out request. Without an answer the outcome is unknown: the request
--- a/src/node/connection_log.h
+++ b/src/node/connection_log.h
@@ -9,16 +9,16 @@
 /// the counts of the last line.
 class ConnectionLog {
  public:
-  /// `pause`: the minimum interval between two lines.
-  explicit ConnectionLog(Seconds pause) : pause_(pause) {}
+  /// `min_interval`: the minimum interval between two lines.
+  explicit ConnectionLog(Seconds min_interval) : min_interval_(min_interval) {}
 
   /// Logs a line if one is due and connections were closed or refused; returns whether it did.
   bool observe(Seconds now, const ConnectionCounts& counts);
 
  private:
-  Seconds pause_;
-  Seconds next_ = 0;
-  ConnectionCounts logged_;
+  Seconds min_interval_;
+  Seconds next_log_at_ = 0;
+  ConnectionCounts last_logged_;
 };
 
 }  // namespace sumacquay
--- a/src/node/election_driver.h
+++ b/src/node/election_driver.h
@@ -17,12 +17,13 @@
 /// and that a failed campaign cannot succeed later, because its lease is revoked.
 class ElectionDriver {
  public:
-  /// `process` distinguishes this process from earlier ones of the node. `changed` is called from
-  /// within calls to `election()` and `tick`, so it must not destroy an object that may have made
-  /// such a call.
-  ElectionDriver(asio::io_context& io, const Settings& settings, uint64_t process,
-                 KeyValueStoreClient& store, RecordCache& record_cache,
-                 std::function<void(LeaderElection::State, LeaderElection::State)> changed);
+  /// `incarnation` distinguishes this process from earlier ones of the node. `on_state_changed` is
+  /// called from within calls to `election()` and `tick`, so it must not destroy an object that may
+  /// have made such a call.
+  ElectionDriver(
+      asio::io_context& io, const Settings& settings, uint64_t incarnation,
+      KeyValueStoreClient& store, RecordCache& record_cache,
+      std::function<void(LeaderElection::State, LeaderElection::State)> on_state_changed);
 
   LeaderElection& election() { return election_; }
   const LeaderElection& election() const { return election_; }
@@ -39,21 +40,21 @@
 
  private:
   LeaderElection::Effects effects(
-      std::function<void(LeaderElection::State, LeaderElection::State)> changed);
+      std::function<void(LeaderElection::State, LeaderElection::State)> on_state_changed);
   void grant(LeaderElection::Campaign campaign, Seconds duration);
   void elect(LeaderElection::Campaign campaign, uint64_t lease);
-  void read_before_leading(LeaderElection::Campaign campaign, uint64_t term, Seconds lease_end);
-  void lose(LeaderElection::Campaign campaign, uint64_t lease);
+  void catch_up_before_leading(LeaderElection::Campaign campaign, uint64_t term, Seconds lease_end);
+  void abandon_campaign(LeaderElection::Campaign campaign, uint64_t lease);
   void renew(uint64_t lease);
-  void keep_records_known();
+  void refresh_records();
 
   asio::io_context& io_;
   const Settings& settings_;
-  uint64_t process_;
+  uint64_t incarnation_;
   KeyValueStoreClient& store_;
   RecordCache& record_cache_;
   LeaderElection election_;
-  bool reading_records_ = false;
+  bool refresh_in_flight_ = false;
   bool earlier_lease_revoked_ = false;
 };
 
--- a/src/node/machine_list_poller.cpp
+++ b/src/node/machine_list_poller.cpp
@@ -8,9 +8,9 @@
 
 constexpr int kMachinesPerPage = 500;
 /// Timeout of a request, as a fraction of the worker lease.
-constexpr double kDeadlineLeaseShare = 0.5;
+constexpr double kTimeoutLeaseFraction = 0.5;
 /// Delay between two polls, as a fraction of the lag of the cloud's list.
-constexpr double kPauseLagShare = 0.5;
+constexpr double kPollDelayLagFraction = 0.5;
 
 }  // namespace
 
@@ -23,25 +23,26 @@
 }
 
 void MachineListPoller::read_page(uint64_t generation, const std::string& after,
-                                  const std::shared_ptr<Machines>& so_far) {
+                                  const std::shared_ptr<Machines>& machines) {
   cloud_.request("GET", wire::machines_path(after, kMachinesPerPage), "",
-                 settings_.lease_s * kDeadlineLeaseShare,
-                 [this, generation, so_far](const HttpResult& result) {
+                 settings_.lease_s * kTimeoutLeaseFraction,
+                 [this, generation, machines](const HttpResult& result) {
                    Scheduler* scheduler = scheduler_.get(generation);
                    if (!scheduler) return;
                    const auto page = result.ok() ? wire::parse_machines(result.body) : std::nullopt;
                    if (page) {
-                     so_far->insert(so_far->end(), page->machines.begin(), page->machines.end());
+                     machines->insert(machines->end(), page->machines.begin(),
+                                      page->machines.end());
                      if (page->more && !page->machines.empty())
-                       return read_page(generation, page->machines.back().id, so_far);
-                     scheduler->on_machines_listed(*so_far, steady_now());
+                       return read_page(generation, page->machines.back().id, machines);
+                     scheduler->on_machines_listed(*machines, steady_now());
                    }
-                   read_again_later(generation);
+                   schedule_next_read(generation);
                  });
 }
 
-void MachineListPoller::read_again_later(uint64_t generation) {
-  timer_.expires_after(to_microseconds(settings_.list_lag_s * kPauseLagShare));
+void MachineListPoller::schedule_next_read(uint64_t generation) {
+  timer_.expires_after(to_microseconds(settings_.list_lag_s * kPollDelayLagFraction));
   timer_.async_wait([this, generation](auto error) {
     if (!error && generation == scheduler_.generation()) start();
   });
--- a/src/node/machine_list_poller.h
+++ b/src/node/machine_list_poller.h
@@ -26,8 +26,8 @@
  private:
   using Machines = std::vector<ListedMachine>;
   void read_page(uint64_t generation, const std::string& after,
-                 const std::shared_ptr<Machines>& so_far);
-  void read_again_later(uint64_t generation);
+                 const std::shared_ptr<Machines>& machines);
+  void schedule_next_read(uint64_t generation);
 
   const Settings& settings_;
   HttpClient& cloud_;
--- a/src/node/machine_types_poller.h
+++ b/src/node/machine_types_poller.h
@@ -15,21 +15,21 @@
 class MachineTypesPoller {
  public:
   /// `random` returns a number from 0 to 1; keeps the nodes from polling at the same time.
-  /// `changed` is called after each successful poll.
+  /// `on_polled` is called after each successful poll.
   MachineTypesPoller(asio::io_context& io, const Settings& settings, HttpClient& cloud,
-                     std::function<double()> random, std::function<void()> changed);
-  void start() { read(); }
+                     std::function<double()> random, std::function<void()> on_polled);
+  void start() { poll(); }
   /// The types of the last successful poll; empty until there was one.
   const std::vector<MachineType>& types() const { return types_; }
 
  private:
-  void read();
-  Seconds pause();
+  void poll();
+  Seconds poll_delay();
 
   const Settings& settings_;
   HttpClient& cloud_;
   std::function<double()> random_;
-  std::function<void()> changed_;
+  std::function<void()> on_polled_;
   asio::steady_timer timer_;
   std::vector<MachineType> types_;
 };
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 /// Minimum interval between two ticks of the node, as a fraction of the placement round.
-constexpr double kTickRoundShare = 0.25;
+constexpr double kTickRoundFraction = 0.25;
 /// How long a connection of a worker may be idle, in heartbeat periods.
-constexpr double kIdleHeartbeats = 60;
+constexpr double kIdleTimeoutHeartbeatPeriods = 60;
 
 /// Idle time after which a connection may be closed in favour of a new one, in heartbeat periods. A
 /// live worker sends its next heartbeat earlier, even if one is lost.
-constexpr double kStaleHeartbeats = 2.5;
+constexpr double kStaleTimeoutHeartbeatPeriods = 2.5;
 
 /// Maximum number of requests to the cloud that wait for a connection.
 constexpr size_t kMaxQueuedCloudRequests = 32;
@@ -28,12 +28,12 @@
     : io_(io),
       settings_(settings),
       rng_(std::random_device{}()),
-      process_(rng_() >> 1),
+      incarnation_(rng_() >> 1),
       sockets_(socket_budget(settings)),
       store_(io, settings),
       state_service_(settings, store_),
       record_cache_(io, settings, store_),
-      election_driver_(io, settings, process_, store_, record_cache_,
+      election_driver_(io, settings, incarnation_, store_, record_cache_,
                        [this](LeaderElection::State from, LeaderElection::State to) {
                          on_election_state_changed(from, to);
                        }),
@@ -41,7 +41,7 @@
       scheduler_feed_(settings, record_cache_, scheduler_),
       cloud_(io, settings.cloud, fixed_sockets::kCloudConnections, kMaxQueuedCloudRequests),
       machine_types_(
-          io, settings, cloud_, [this] { return random(); },
+          io, settings, cloud_, [this] { return random_jitter(); },
           [this] {
             if (scheduler_) scheduler_->set_machine_types(machine_types_.types());
           }),
@@ -50,7 +50,7 @@
       record_writer_(settings, store_, record_cache_, scheduler_,
                      [this] { asio::post(io_, [this] { scheduler_driver_.on_committed(); }); }),
       scheduler_driver_(settings, election_, scheduler_, executor_, record_writer_),
-      delegated_responder_(process_, settings.delegation_after_s(), settings.answers_s()),
+      delegated_responder_(incarnation_, settings.delegation_after_s(), settings.answers_s()),
       peer_exchange_(settings, state_service_, election_, scheduler_, delegated_responder_),
       peer_heartbeats_(io, settings, settings.renew_s(), peer_exchange_.hooks()),
       worker_endpoint_(settings, store_, record_cache_, election_, scheduler_, peer_heartbeats_,
@@ -65,8 +65,8 @@
       tick_timer_(io) {}
 
 void Node::start() {
-  if (const auto cost = cost_of_few_sockets(settings_))
-    log_warning("few_sockets", log_field("reason", *cost));
+  if (const auto warning = cost_of_few_sockets(settings_))
+    log_warning("few_sockets", log_field("reason", *warning));
   listen();
   record_cache_.set_listener({[this](const std::string& id) { scheduler_feed_.on_job_record(id); },
                               [this] {
@@ -84,15 +84,15 @@
   limits.connections = sockets_.served_and_refused;
   limits.refusals = sockets_.refusals;
   limits.kept_open = sockets_.kept_open;
-  limits.idle_s = kIdleHeartbeats * settings_.heartbeat_period_s;
-  limits.stale_s = kStaleHeartbeats * settings_.heartbeat_period_s;
+  limits.idle_s = kIdleTimeoutHeartbeatPeriods * settings_.heartbeat_period_s;
+  limits.stale_s = kStaleTimeoutHeartbeatPeriods * settings_.heartbeat_period_s;
   server_ = std::make_unique<HttpServer>(
       io_, settings_.listen, limits,
       [this](const HttpRequest& request, const Respond& respond) { on_request(request, respond); });
 }
 
 /// Random number from 0 to 1; keeps nodes from acting at the same time.
-double Node::random() {
+double Node::random_jitter() {
   return std::uniform_real_distribution<double>(0, 1)(rng_);
 }
 
@@ -102,7 +102,7 @@
   tick_requested_ = false;
   outage_log_.observe(steady_now(), state_service_.served());
   connection_log_.observe(steady_now(), server_->counts());
-  election_driver_.tick(random());
+  election_driver_.tick(random_jitter());
   if (const auto reason = scheduler_driver_.reason_to_resign()) {
     log_info("leader_resigned", log_field("reason", name(*reason)),
              log_field("term", election_.term()));
@@ -128,10 +128,11 @@
 /// A leader ticks at the minimum interval to supervise its workers. Any other node sleeps until its
 /// election has work to do, but no longer than a renewal period.
 Seconds Node::time_to_next_tick() const {
-  const Seconds shortest = settings_.heartbeat_period_s * settings_.tuning.round * kTickRoundShare;
-  if (scheduler_) return shortest;
-  return std::clamp(election_driver_.due_at() - steady_now(), shortest,
-                    std::max(shortest, settings_.renew_s()));
+  const Seconds min_interval =
+      settings_.heartbeat_period_s * settings_.tuning.round * kTickRoundFraction;
+  if (scheduler_) return min_interval;
+  return std::clamp(election_driver_.due_at() - steady_now(), min_interval,
+                    std::max(min_interval, settings_.renew_s()));
 }
 
 // ---------------------------------------------------------------- requests
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -40,7 +40,7 @@
   void start();
 
  private:
-  double random();
+  double random_jitter();
   void tick();
   void request_tick();
   void schedule_tick(Seconds delay);
@@ -55,7 +55,7 @@
   asio::io_context& io_;
   const Settings& settings_;
   std::mt19937_64 rng_;
-  uint64_t process_;  ///< distinguishes this process from earlier ones of the node
+  uint64_t incarnation_;  ///< distinguishes this process from earlier ones of the node
   SocketBudget sockets_;
   KeyValueStoreClient store_;
   StateServiceHealth state_service_;
--- a/src/node/outage_log.h
+++ b/src/node/outage_log.h
@@ -10,13 +10,14 @@
 class OutageLog {
  public:
   explicit OutageLog(Seconds worker_lease) : worker_lease_(worker_lease) {}
-  /// Handles a tick at `now`. `state_served`: whether the state service answers this node.
-  void observe(Seconds now, bool state_served);
+  /// Handles a tick at `now`. `state_service_available`: whether the state service answers this
+  /// node.
+  void observe(Seconds now, bool state_service_available);
 
  private:
   Seconds worker_lease_;
-  Seconds observed_at_ = 0;
-  bool state_served_ = true;
+  Seconds last_observed_at_ = 0;
+  bool state_service_available_ = true;
 };
 
 }  // namespace sumacquay
--- a/src/node/peer_heartbeat_exchange.cpp
+++ b/src/node/peer_heartbeat_exchange.cpp
@@ -23,7 +23,7 @@
   hooks.own = [this](wire::PeerHeartbeatPart part) { return own_heartbeat(part); };
   hooks.answer = [this](const wire::PeerHeartbeat& from) { return answer(from); };
   hooks.answered = [this](const std::string& node, const wire::PeerHeartbeat& heartbeat,
-                          auto asked_at) { on_answer(node, heartbeat, asked_at); };
+                          auto sent_at) { on_answer(node, heartbeat, sent_at); };
   return hooks;
 }
 
@@ -69,10 +69,10 @@
 }
 
 void PeerHeartbeatExchange::on_answer(const std::string& node, const wire::PeerHeartbeat& heartbeat,
-                                      std::chrono::steady_clock::time_point asked_at) {
+                                      std::chrono::steady_clock::time_point sent_at) {
   on_heartbeat(heartbeat);
   if (heartbeat.delegation)
-    delegated_responder_.delegated(*heartbeat.delegation, to_seconds(asked_at), steady_now());
+    delegated_responder_.delegated(*heartbeat.delegation, to_seconds(sent_at), steady_now());
   if (!scheduler_ || heartbeat.leading || heartbeat.term < election_.term()) return;
   // The peer has acknowledged this term and no longer answers workers under an older one. Once all
   // peers have, no other node can renew a worker's lease.
--- a/src/node/peer_heartbeat_exchange.h
+++ b/src/node/peer_heartbeat_exchange.h
@@ -36,7 +36,7 @@
   wire::PeerHeartbeat answer(const wire::PeerHeartbeat& from);
   void on_heartbeat(const wire::PeerHeartbeat& heartbeat);
   void on_answer(const std::string& node, const wire::PeerHeartbeat& heartbeat,
-                 std::chrono::steady_clock::time_point asked_at);
+                 std::chrono::steady_clock::time_point sent_at);
   const std::string* zone_of(const std::string& node) const;
 
   const Settings& settings_;
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -8,18 +8,18 @@
 
 RecordWriter::RecordWriter(const Settings& settings, KeyValueStoreClient& store,
                            RecordCache& record_cache, ActiveScheduler& scheduler,
-                           std::function<void()> committed)
+                           std::function<void()> on_committed)
     : store_(store),
       record_cache_(record_cache),
       scheduler_(scheduler),
-      committed_(std::move(committed)),
+      on_committed_(std::move(on_committed)),
       pacing_(settings) {}
 
 void RecordWriter::write_planned_records() {
   if (state_ != State::Idle || !record_cache_.loaded()) return;
   if (!pacing_.may_write(steady_now())) return;
-  const size_t most_changes = pacing_.most_changes(steady_now());
-  const auto writes = scheduler_->plan_writes(steady_now(), most_changes);
+  const size_t max_changes = pacing_.most_changes(steady_now());
+  const auto writes = scheduler_->plan_writes(steady_now(), max_changes);
   if (writes.empty()) return;
   const auto transaction = record_transaction(writes, record_cache_.term().version);
   state_ = State::Writing;
@@ -38,17 +38,17 @@
     pacing_.too_large(steady_now());
   }
   if (committed)
-    for (const auto& write : writes) update_copy(write, result.revision);
+    for (const auto& write : writes) update_cache(write, result.revision);
   if (!scheduler_) return;
   for (const auto& write : writes)
     scheduler_->on_write_answered(write, committed, result.revision, steady_now());
-  if (!committed) return reread(result);
+  if (!committed) return refresh_records(result);
   state_ = State::Idle;
   scheduler_->request_round();
-  committed_();
+  on_committed_();
 }
 
-void RecordWriter::update_copy(const RecordWrite& write, uint64_t revision) {
+void RecordWriter::update_cache(const RecordWrite& write, uint64_t revision) {
   if (!write.host.empty())
     record_cache_.wrote_host(write.host, write.host_record ? &*write.host_record : nullptr,
                              revision);
@@ -61,10 +61,10 @@
 
 /// Reads the records again before the next write, because their current state determines what still
 /// has to be written.
-void RecordWriter::reread(const TransactionResult& result) {
+void RecordWriter::refresh_records(const TransactionResult& result) {
   for (const auto& key : result.failed)
     if (key == keys::kTerm) log_info("term_changed");
-  state_ = State::Rereading;
+  state_ = State::RefreshingRecords;
   record_cache_.read_barrier([this, generation = scheduler_.generation()](bool) {
     if (generation == scheduler_.generation()) state_ = State::Idle;
   });
--- a/src/node/record_writer.h
+++ b/src/node/record_writer.h
@@ -21,9 +21,9 @@
 /// WritePacing).
 class RecordWriter {
  public:
-  /// `committed` is called after each committed transaction.
+  /// `on_committed` is called after each committed transaction.
   RecordWriter(const Settings& settings, KeyValueStoreClient& store, RecordCache& record_cache,
-               ActiveScheduler& scheduler, std::function<void()> committed);
+               ActiveScheduler& scheduler, std::function<void()> on_committed);
   /// Sends the next planned transaction if none is in flight and the pacing allows it. Requires
   /// that this node may act as leader.
   void write_planned_records();
@@ -34,16 +34,16 @@
   enum class State {
     Idle,
     Writing,
-    Rereading,  ///< after a write that failed or may have failed, before the next one
+    RefreshingRecords,  ///< after a write that failed or may have failed, before the next one
   };
   void on_answer(const std::vector<RecordWrite>& writes, const TransactionResult& result);
-  void update_copy(const RecordWrite& write, uint64_t revision);
-  void reread(const TransactionResult& result);
+  void update_cache(const RecordWrite& write, uint64_t revision);
+  void refresh_records(const TransactionResult& result);
 
   KeyValueStoreClient& store_;
   RecordCache& record_cache_;
   ActiveScheduler& scheduler_;
-  std::function<void()> committed_;
+  std::function<void()> on_committed_;
   State state_ = State::Idle;
   WritePacing pacing_;
 };
--- a/src/node/scheduler_driver.cpp
+++ b/src/node/scheduler_driver.cpp
@@ -36,12 +36,12 @@
 }
 
 void SchedulerDriver::tick() {
-  const Seconds began = steady_now();
-  if (!leads() || began < next_tick_) return;
-  for (const auto& action : scheduler_->tick(began)) executor_.perform(action);
+  const Seconds started_at = steady_now();
+  if (!leads() || started_at < next_tick_) return;
+  for (const auto& action : scheduler_->tick(started_at)) executor_.perform(action);
   if (leads()) record_writer_.write_planned_records();
-  const Seconds ended = steady_now();
-  next_tick_ = ended + kPausePerTickDuration * (ended - began);
+  const Seconds finished_at = steady_now();
+  next_tick_ = finished_at + kPausePerTickDuration * (finished_at - started_at);
 }
 
 void SchedulerDriver::on_committed() {
--- a/src/node/scheduler_feed.cpp
+++ b/src/node/scheduler_feed.cpp
@@ -19,7 +19,7 @@
     scheduler->restore_machine(host.value, steady_now());
   for (const auto& [id, job] : record_cache_.live())
     scheduler->on_job_record(job.value, job.version, steady_now());
-  pass_on_finished_dependencies(*scheduler);
+  report_finished_dependencies(*scheduler);
   for (const auto& cached : hints.images())
     scheduler->on_cached_image(cached.machine, cached.image, cached.gb);
   // The cloud's list lags: without the previous leader's own list, the machines that it requested
@@ -36,7 +36,7 @@
     scheduler_->on_job_record(record->value, record->version, steady_now());
   else
     scheduler_->on_job_finished(id);
-  pass_on_finished_dependencies(*scheduler_);
+  report_finished_dependencies(*scheduler_);
   scheduler_->request_round();
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// Reports finished jobs that live jobs depend on; the scheduler needs no other finished jobs.
-void SchedulerFeed::pass_on_finished_dependencies(Scheduler& scheduler) const {
+void SchedulerFeed::report_finished_dependencies(Scheduler& scheduler) const {
   // A copy, because each call below removes an entry from the scheduler's set.
   const std::set<std::string> unknown = scheduler.unknown_dependencies();
   for (const auto& id : unknown)
--- a/src/node/scheduler_feed.h
+++ b/src/node/scheduler_feed.h
@@ -32,7 +32,7 @@
 
  private:
   void on_all_job_records();
-  void pass_on_finished_dependencies(Scheduler& scheduler) const;
+  void report_finished_dependencies(Scheduler& scheduler) const;
 
   const Settings& settings_;
   const RecordCache& record_cache_;
--- a/src/node/state_service_health.cpp
+++ b/src/node/state_service_health.cpp
@@ -7,13 +7,13 @@
 
 /// Maximum age of the state service's last answer while the service counts as available, as a
 /// fraction of the worker lease.
-constexpr double kServedLeaseShare = 0.3;
+constexpr double kMaxAnswerAgeLeaseFraction = 0.3;
 
 }  // namespace
 
 bool StateServiceHealth::served() const {
   const std::chrono::duration<double> age = std::chrono::steady_clock::now() - store_.last_served();
-  return age.count() < settings_.lease_s * kServedLeaseShare;
+  return age.count() < settings_.lease_s * kMaxAnswerAgeLeaseFraction;
 }
 
 }  // namespace sumacquay
--- a/src/node/steady_time.h
+++ b/src/node/steady_time.h
@@ -14,8 +14,8 @@
   return to_seconds(std::chrono::steady_clock::now());
 }
 
-inline std::chrono::microseconds to_microseconds(Seconds span) {
-  return std::chrono::microseconds(static_cast<long long>(span * 1e6));
+inline std::chrono::microseconds to_microseconds(Seconds duration) {
+  return std::chrono::microseconds(static_cast<long long>(duration * 1e6));
 }
 
 }  // namespace sumacquay
--- a/src/node/worker_clients.h
+++ b/src/node/worker_clients.h
@@ -31,8 +31,8 @@
     std::shared_ptr<HttpClient> client;
   };
   using Pool = std::list<PooledClient>;
-  Pool::const_iterator longest_unused() const;
-  bool drop_longest_unused();
+  Pool::const_iterator least_recently_used_idle() const;
+  bool evict_least_recently_used();
 
   asio::io_context& io_;
   size_t limit_;
--- a/src/node/write_pacing.h
+++ b/src/node/write_pacing.h
@@ -24,10 +24,10 @@
   void too_large(Seconds now);
 
  private:
-  size_t most_changes_;
+  size_t max_changes_;
   Seconds heartbeat_period_s_;
   Seconds paused_until_ = 0;
-  Seconds cautious_until_ = 0;
+  Seconds reduced_until_ = 0;
 };
 
 }  // namespace sumacquay
--- a/src/peer/leader_hints.h
+++ b/src/peer/leader_hints.h
@@ -36,23 +36,24 @@
  private:
   /// The received fragments of one batch.
   struct Batch {
-    std::pair<uint64_t, uint64_t> term_and_number{0, 0};
+    std::pair<uint64_t, uint64_t> term_and_batch{0, 0};
     uint64_t fragments = 0;
-    std::map<uint64_t, wire::PeerHeartbeat> come;  ///< by index
-    bool applied = false;                          ///< late and repeated fragments are ignored
-    bool complete() const { return come.size() == fragments; }
+    std::map<uint64_t, wire::PeerHeartbeat> received;  ///< by index
+    bool applied = false;                              ///< late and repeated fragments are ignored
+    bool complete() const { return received.size() == fragments; }
   };
 
   void receive_fragment(const wire::PeerHeartbeat& heartbeat,
                         const wire::PeerHeartbeatFragment& fragment);
-  void show(wire::PeerHeartbeatPart part, Batch& batch);
-  void show(wire::PeerHeartbeatPart part, const std::vector<const wire::PeerHeartbeat*>& fragments);
+  void apply_batch(wire::PeerHeartbeatPart part, Batch& batch);
+  void apply_fragments(wire::PeerHeartbeatPart part,
+                       const std::vector<const wire::PeerHeartbeat*>& fragments);
 
   std::map<wire::PeerHeartbeatPart, Batch> batches_;
   std::map<std::string, wire::JobProgress> counts_;
   std::vector<wire::CachedImageHint> images_;
   std::vector<ListedMachine> booting_;
-  Clock::time_point hints_heard_{};
+  Clock::time_point hints_received_at_{};
 };
 
 }  // namespace sumacquay
--- a/src/peer/peer_heartbeats.cpp
+++ b/src/peer/peer_heartbeats.cpp
@@ -15,7 +15,7 @@
 /// Counts are sent this many times per transmission of the hints, which may be older.
 constexpr int kCountsPerHints = 2;
 /// Timeout of a heartbeat request, in periods.
-constexpr double kDeadlinePeriods = 2;
+constexpr double kTimeoutPeriods = 2;
 constexpr size_t kBodyLimit = HttpLimits{}.body_bytes;
 
 /// No heartbeats are sent to a peer while this many are in flight to it.
@@ -35,7 +35,7 @@
       timer_(io),
       periods_per_counts_(std::max(1, static_cast<int>(kCountsIntervalS / period_s))) {
   for (const auto& peer : settings.peers) {
-    peers_[peer.node].heard = Clock::now();
+    peers_[peer.node].last_heartbeat = Clock::now();
     clients_[peer.node] = std::make_unique<HttpClient>(
         io, peer.addr, fixed_sockets::kClientConnectionsPerPeer, kMaxPeerHeartbeatFragments);
   }
@@ -61,9 +61,10 @@
 }
 
 void PeerHeartbeats::send_peer_heartbeats(wire::PeerHeartbeatPart part) {
-  const wire::PeerHeartbeat own = hooks_.own(part);
-  if (own.leading) leader_hints_.take(own);
-  const auto bodies = wire::encode_peer_heartbeat_fragments(own, ++batches_, kBodyLimit);
+  const wire::PeerHeartbeat own_heartbeat = hooks_.own(part);
+  if (own_heartbeat.leading) leader_hints_.take(own_heartbeat);
+  const auto bodies =
+      wire::encode_peer_heartbeat_fragments(own_heartbeat, ++last_batch_, kBodyLimit);
   for (auto& [node, client] : clients_) {
     if (client->in_progress() >= kMaxHeartbeatsInFlight) continue;
     for (const auto& body : bodies) send(*client, node, body);
@@ -71,20 +72,20 @@
 }
 
 void PeerHeartbeats::send(HttpClient& client, const std::string& node, const std::string& body) {
-  client.request("POST", wire::path::kPeerHeartbeat, body, period_s_ * kDeadlinePeriods,
-                 [this, node, asked_at = Clock::now()](const HttpResult& result) {
+  client.request("POST", wire::path::kPeerHeartbeat, body, period_s_ * kTimeoutPeriods,
+                 [this, node, sent_at = Clock::now()](const HttpResult& result) {
                    const auto heartbeat =
                        result.ok() ? wire::decode_peer_heartbeat(result.body) : std::nullopt;
                    if (!heartbeat) return;
                    record_heartbeat(*heartbeat);
-                   hooks_.answered(node, *heartbeat, asked_at);
+                   hooks_.answered(node, *heartbeat, sent_at);
                  });
 }
 
 /// Logs each peer once when it falls silent and once when its heartbeats resume.
 void PeerHeartbeats::log_silent_peers() {
   for (auto& [node, peer] : peers_) {
-    const bool silent = age_s(peer.heard) > kRecentPeriods * period_s_;
+    const bool silent = age_s(peer.last_heartbeat) > kRecentPeriods * period_s_;
     if (silent == peer.silent) continue;
     peer.silent = silent;
     log_info(silent ? "peer_silent" : "peer_heard", log_field("peer", node));
@@ -93,10 +94,10 @@
 
 void PeerHeartbeats::send_periodic_peer_heartbeats() {
   log_silent_peers();
-  const int count = periods_++;
-  send_peer_heartbeats(count % periods_per_counts_ == 0 ? wire::PeerHeartbeatPart::Counts
-                                                        : wire::PeerHeartbeatPart::StatusOnly);
-  if (count % (kCountsPerHints * periods_per_counts_) == 0)
+  const int period = periods_++;
+  send_peer_heartbeats(period % periods_per_counts_ == 0 ? wire::PeerHeartbeatPart::Counts
+                                                         : wire::PeerHeartbeatPart::StatusOnly);
+  if (period % (kCountsPerHints * periods_per_counts_) == 0)
     send_peer_heartbeats(wire::PeerHeartbeatPart::Hints);
   timer_.expires_after(std::chrono::microseconds(static_cast<long long>(period_s_ * 1e6)));
   timer_.async_wait([this](auto error) {
@@ -106,21 +107,21 @@
 
 void PeerHeartbeats::record_heartbeat(const wire::PeerHeartbeat& heartbeat) {
   const auto peer = peers_.find(heartbeat.node);
-  if (peer != peers_.end()) peer->second.heard = Clock::now();
-  if (heartbeat.served) served_heard_ = Clock::now();
+  if (peer != peers_.end()) peer->second.last_heartbeat = Clock::now();
+  if (heartbeat.served) peer_served_at_ = Clock::now();
   if (!heartbeat.leading || heartbeat.term < leader_term_) return;
   leader_ = heartbeat.node;
   leader_term_ = heartbeat.term;
-  leader_heard_ = Clock::now();
+  leader_heartbeat_at_ = Clock::now();
   leader_hints_.take(heartbeat);
 }
 
 std::string PeerHeartbeats::leader() const {
-  return age_s(leader_heard_) < kRecentPeriods * period_s_ ? leader_ : std::string();
+  return age_s(leader_heartbeat_at_) < kRecentPeriods * period_s_ ? leader_ : std::string();
 }
 
 bool PeerHeartbeats::others_served() const {
-  return age_s(served_heard_) < kRecentPeriods * period_s_;
+  return age_s(peer_served_at_) < kRecentPeriods * period_s_;
 }
 
 }  // namespace sumacquay
--- a/src/peer/peer_heartbeats.h
+++ b/src/peer/peer_heartbeats.h
@@ -27,9 +27,9 @@
     std::function<wire::PeerHeartbeat(wire::PeerHeartbeatPart)> own;
     /// Builds the answer to a peer's heartbeat.
     std::function<wire::PeerHeartbeat(const wire::PeerHeartbeat& from)> answer;
-    /// Handles a peer's answer to the heartbeat that was sent at `asked_at`.
+    /// Handles a peer's answer to the heartbeat that was sent at `sent_at`.
     std::function<void(const std::string& node, const wire::PeerHeartbeat&,
-                       std::chrono::steady_clock::time_point asked_at)>
+                       std::chrono::steady_clock::time_point sent_at)>
         answered;
   };
   PeerHeartbeats(asio::io_context& io, const Settings& settings, double period_s, Hooks hooks);
@@ -60,7 +60,7 @@
   Hooks hooks_;
   /// Time of a peer's last heartbeat, and whether the peer was logged as silent.
   struct Peer {
-    std::chrono::steady_clock::time_point heard;
+    std::chrono::steady_clock::time_point last_heartbeat;
     bool silent = false;
   };
   std::map<std::string, Peer> peers_;  ///< by node
@@ -71,9 +71,9 @@
   int periods_per_counts_;
   std::string leader_;
   uint64_t leader_term_ = 0;
-  std::chrono::steady_clock::time_point leader_heard_{}, served_heard_{};
+  std::chrono::steady_clock::time_point leader_heartbeat_at_{}, peer_served_at_{};
   LeaderHints leader_hints_;
-  uint64_t batches_ = 0;  ///< number of the last batch sent, which its fragments carry
+  uint64_t last_batch_ = 0;  ///< number of the last batch sent, which its fragments carry
 };
 
 }  // namespace sumacquay
