--- a/src/fleet/image_cache.h
+++ b/src/fleet/image_cache.h
@@ -3,8 +3,9 @@
 #include <string>
 #include <vector>
 
-/// Which images a machine has cached. Workers do not say so in their heartbeats, but they keep the
-/// most recently used images that fit on their disk, so the leader follows what was started where.
+/// Model of the images cached on a machine. Heartbeats do not include them, but workers keep the
+/// most recently used images that fit on their disk, so the leader infers them from the tasks that
+/// were started.
 namespace sumacquay {
 
 /// An image on a machine's disk.
@@ -13,11 +14,11 @@
   double gb = 0;
 };
 
-/// The images that a machine has cached, as far as can be inferred.
+/// The images inferred to be cached on a machine.
 class ImageCache {
  public:
-  /// A task on the machine uses the image. The least recently used ones are dropped until the
-  /// others fit on the disk of `disk_gb`; the one in use is never dropped.
+  /// Records that a task on the machine uses the image. Evicts the least recently used images until
+  /// the others fit in `disk_gb`, but never the image passed in.
   void use(const std::string& image, double gb, double disk_gb) {
     std::erase_if(kept_, [&](const CachedImage& cached) { return cached.image == image; });
     kept_.push_back({image, gb});
@@ -28,16 +29,16 @@
       kept_.erase(kept_.begin());
     }
   }
-  /// Whether the machine most likely has the image, so that a start there fetches nothing.
+  /// Whether the image is likely cached, so that a task can start without fetching it.
   bool has(const std::string& image) const {
     return std::any_of(kept_.begin(), kept_.end(),
                        [&](const CachedImage& cached) { return cached.image == image; });
   }
-  /// All of them, the most recently used last.
+  /// All cached images, most recently used last.
   const std::vector<CachedImage>& kept() const { return kept_; }
 
  private:
-  std::vector<CachedImage> kept_;  ///< the most recently used last
+  std::vector<CachedImage> kept_;  ///< most recently used last
 };
 
 }  // namespace sumacquay
--- a/src/fleet/worker_heartbeat.h
+++ b/src/fleet/worker_heartbeat.h
@@ -6,23 +6,24 @@
 
 #include "jobs/spec.h"
 
-/// What workers and the cloud say of machines, and what workers are commanded to do, as values.
-/// src/wire knows their encoding.
+/// Worker heartbeats, commands to workers and the cloud's machine list, as plain values. src/wire
+/// defines their encoding.
 namespace sumacquay {
 
-/// A task of a job.
+/// Identifies a task of a job.
 struct TaskKey {
   std::string job;
   uint32_t task = 0;
   auto operator<=>(const TaskKey&) const = default;
 };
 
-/// How far a task attempt is.
+/// State of a task attempt as reported by its worker.
 enum class TaskState { Fetching, Waiting, Running, Checkpointing, Exited };
-/// Why a task attempt has exited; `GangMemberGone`: another task of its gang has.
+/// Reason why a task attempt has exited. `GangMemberGone`: another task of its gang exited.
+/// `Alone`: the other tasks of its gang did not become ready in time.
 enum class ExitCause { None, Done, Stopped, GangMemberGone, Alone, Error, NoRoom, Busy, Unknown };
 
-/// A task attempt as its worker describes it.
+/// A task attempt as reported by its worker.
 struct TaskStatus {
   TaskKey key;
   uint64_t attempt = 0;
@@ -30,24 +31,23 @@
   ExitCause cause = ExitCause::None;
 };
 
-/// A fencing token is the term of the leader that issued it, and in its low bits a counter of the
-/// worker's own.
+/// A fencing token has the term of the leader that issued it in its high bits and a counter for
+/// each worker in its low bits. This is the number of low bits.
 inline constexpr int kFencingTokenCounterBits = 20;
-/// The first counter that no longer fits in the low bits.
+/// First counter value that does not fit in the low bits.
 inline constexpr uint64_t kFencingTokenCounterEnd = uint64_t{1} << kFencingTokenCounterBits;
 inline uint64_t term_of_fencing_token(uint64_t fencing_token) {
   return fencing_token >> kFencingTokenCounterBits;
 }
 
-/// The order of a worker's heartbeats: all those of a later agent epoch are newer than those of an
-/// earlier one.
+/// Orders the heartbeats of a worker: first by agent epoch, then by sequence number.
 struct HeartbeatSequence {
   uint64_t agent_epoch = 0;
   uint64_t number = 0;
   auto operator<=>(const HeartbeatSequence&) const = default;
 };
 
-/// What a worker says of itself, in a heartbeat of its own or in the answer to a command or a
+/// A worker's report of its state: a worker-initiated heartbeat, or the response to commands or a
 /// probe.
 struct WorkerHeartbeat {
   std::string machine, addr, type, zone;
@@ -59,21 +59,22 @@
   HeartbeatSequence sequence() const { return {agent_epoch, sequence_number}; }
 };
 
-/// `Forget`: the exit is recorded, and the worker need not mention the attempt any more.
+/// Kind of a command. `Forget`: the leader has recorded the exit, so the worker may drop the
+/// attempt from its heartbeats.
 enum class Verb { Start, Stop, Forget };
 
-/// What a worker is to do about one task attempt.
+/// A command to a worker about one task attempt.
 struct Command {
   Verb verb = Verb::Start;
   TaskKey key;
   uint64_t attempt = 0;
-  double grace_s = 0;  ///< stop: seconds to write a checkpoint in
+  double grace_s = 0;  ///< for Stop: time to write a checkpoint, in seconds
   bool operator==(const Command&) const = default;
 };
 
-/// Stop commands for all tasks of a heartbeat whose jobs are known to be cancelled or finished:
-/// `ended` says so of a job's id. They do no harm at any time, since attempts are never reused, and
-/// whoever renews a worker's lease sends them.
+/// Stop commands for all tasks in a heartbeat whose jobs are cancelled or done; `ended` is the
+/// predicate on the job id. Any node that renews a worker's lease sends them. They are always safe,
+/// because attempt numbers are never reused.
 template <class Ended>
 std::vector<Command> stops_of_ended(const WorkerHeartbeat& heartbeat, Ended&& ended) {
   std::vector<Command> commands;
@@ -83,7 +84,7 @@
   return commands;
 }
 
-/// A machine in the cloud's list.
+/// A machine in the cloud's machine list.
 struct ListedMachine {
   std::string id, addr, type, zone;
   bool spot = false;
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -98,7 +98,7 @@
   }
 }
 
-/// A job that is over no longer depends on any other.
+/// Removes the job's dependency edges, which a job in a terminal state no longer needs.
 void DependencyGraph::release_dependencies(const std::string& id) {
   const auto found = nodes_.find(id);
   if (found == nodes_.end()) return;
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -11,57 +11,59 @@
 
 namespace sumacquay {
 
-/// The dependencies between jobs, a directed acyclic graph, without I/O. A job is ready once all
-/// its dependencies are done, and cancelled if one of them is cancelled, directly or through
-/// others. The scheduler uses it to start jobs that are ready, and each node's record cache to
-/// answer users.
+/// Directed acyclic graph of the dependencies between jobs, without I/O. A job is ready once all
+/// its dependencies are done, and cancelled if a direct or transitive dependency is cancelled. The
+/// scheduler uses it to start jobs that are ready, and each node's record cache to answer user
+/// requests.
 ///
-/// Only durable states go in: a job that was once ready() or cancelled() stays so, because final
-/// states never change. Every walk is iterative, and a job's change is passed on to
-/// each of its dependents once, so long chains and wide fans cost no more than their edges.
+/// The graph holds only states that are durable in the store. Terminal states never change, so a
+/// job that was once ready() or cancelled() remains so. All traversals are iterative, and a state
+/// change is propagated to each dependent once, so the cost of long chains and of jobs with many
+/// dependents is linear in the number of edges.
 class DependencyGraph {
  public:
-  /// Enters a job that is not over, from its record. What it depends on is taken from the first
-  /// record that names any: a record that is written later may leave out dependencies that are
-  /// done.
+  /// Adds or updates a job from its live record. The dependencies are taken from the first record
+  /// that lists any, because later records may omit dependencies that are done.
   void update(const JobRecord& record);
-  /// Enters that the job is over; `ended_ms` is the time of day. Does nothing for an unknown job.
+  /// Sets the terminal state of a job that is in the graph; does nothing for other jobs. `ended_ms`
+  /// is wall-clock time.
   void finished(const std::string& id, JobState state, uint64_t ended_ms);
-  /// The job's record is gone, and how the job ended is not known here.
+  /// Handles the deletion of the job's live record: if its terminal state is not set yet, its state
+  /// becomes unknown. The job is removed unless other jobs depend on it.
   void forget(const std::string& id);
   void clear();
 
-  /// Whether all dependencies are done. True for a job that is not in the graph.
+  /// Whether all dependencies are done. True for jobs that are not in the graph.
   bool ready(const std::string& id) const;
-  /// Whether a job that it depends on, directly or through others, is cancelled.
+  /// Whether the job, or a direct or transitive dependency, is cancelled.
   bool cancelled(const std::string& id) const;
-  /// Whether cancelled() is based on the states of all jobs that it depends on, directly or through
-  /// others.
+  /// Whether the result of cancelled() is conclusive: it is true, or the states of all direct and
+  /// transitive dependencies are known.
   bool certain(const std::string& id) const;
-  /// Time of day in milliseconds at which the last dependency ended; 0: there was none, or it is
-  /// not known.
+  /// Wall-clock time in milliseconds at which the last dependency was done; 0 if there was none or
+  /// the time is not known.
   uint64_t ready_ms(const std::string& id) const;
 
-  /// How a job ended that others depend on, without its count of tasks; none: it is not known here.
+  /// Outcome of a job that other jobs depend on, without its count of done tasks; none if unknown.
   std::optional<FinishedRecord> end_of(const std::string& id) const;
 
-  /// Empty for a job that is over.
+  /// Empty for a job in a terminal state.
   const std::vector<std::string>& dependencies(const std::string& id) const;
-  /// Jobs that depend on this one and are not over.
+  /// Unfinished jobs that depend on this one.
   const std::set<std::string>& dependents(const std::string& id) const;
-  /// Jobs that others depend on and of which nothing is known.
+  /// Jobs that other jobs depend on and whose states are not known.
   const std::set<std::string>& unknown() const { return unknown_; }
   size_t size() const { return nodes_.size(); }
 
  private:
   enum class State { Unknown, Pending, Done, Cancelled };
-  /// A job with its dependencies in both directions.
+  /// A job with its edges in both directions.
   struct Node {
     State state = State::Unknown;
-    bool cancelled = false;  ///< itself or by a dependency
-    size_t open = 0;         ///< dependencies that are not done
+    bool cancelled = false;  ///< the job itself or a direct or transitive dependency
+    size_t open = 0;         ///< number of dependencies that are not done
     uint64_t ready_ms = 0;
-    uint64_t ended_ms = 0;  ///< once it is done
+    uint64_t ended_ms = 0;  ///< set with a terminal state
     std::vector<std::string> dependencies;
     std::set<std::string> dependents;
   };
@@ -70,7 +72,7 @@
   static bool over(const Node& node) {
     return node.state == State::Done || node.state == State::Cancelled;
   }
-  /// The only place that changes a node's state.
+  /// Sets a node's state and propagates it to its dependents. No other function changes a state.
   void enter(const std::string& id, State next, uint64_t ended_ms);
   void add_dependencies(const std::string& id, const std::vector<std::string>& dependencies);
   void dependency_done(Node& dependent, const Node& dependency);
--- a/src/jobs/fair_share.cpp
+++ b/src/jobs/fair_share.cpp
@@ -6,7 +6,7 @@
 namespace sumacquay {
 namespace {
 
-/// Sums of decimals are not exact.
+/// Tolerance for rounding errors in sums of floating-point amounts.
 constexpr double kSlack = 1e-6;
 
 bool covers(const TeamSettings& team, const Resources& request) {
--- a/src/jobs/ranges.h
+++ b/src/jobs/ranges.h
@@ -7,7 +7,8 @@
 
 namespace sumacquay {
 
-/// A set of task numbers kept as ranges: small for arrays that finish roughly in order.
+/// Set of task numbers stored as ranges, which is compact for arrays whose tasks finish roughly in
+/// order.
 class Ranges {
  public:
   bool contains(uint32_t number) const {
@@ -15,7 +16,7 @@
     return after != spans_.begin() && std::prev(after)->second > number;
   }
 
-  /// Adds one number; returns whether it is new.
+  /// Adds a number; returns whether it was missing.
   bool add(uint32_t number) {
     if (contains(number)) return false;
     uint32_t first = number;
@@ -35,7 +36,7 @@
     return true;
   }
 
-  /// The first number from this one on that is not in the set.
+  /// The smallest number not below `number` that is not in the set.
   uint32_t next_missing(uint32_t number) const {
     const auto after = spans_.upper_bound(number);
     if (after != spans_.begin() && std::prev(after)->second > number)
@@ -43,14 +44,15 @@
     return number;
   }
 
-  /// How many numbers are in the set.
+  /// Number of elements.
   uint32_t count() const { return count_; }
-  /// How many ranges it takes to hold them.
+  /// Number of ranges.
   size_t spans() const { return spans_.size(); }
   bool operator==(const Ranges& other) const { return spans_ == other.spans_; }
 
-  /// At most `max_spans` spans of the set: those that contain numbers of `kept` first, so that a
-  /// record of limited size loses nothing that it contains already, then the lowest of the others.
+  /// A subset of at most `max_spans` ranges. Ranges that contain numbers of `kept` come first, so
+  /// that a record of limited size loses no number that it already contains, then the lowest
+  /// others.
   Ranges first_spans(size_t max_spans, const Ranges& kept) const {
     if (spans_.size() <= max_spans) return *this;
     Ranges out;
@@ -65,8 +67,8 @@
     return out;
   }
 
-  /// The form in which records store the set: alternating lengths of gap and run from 0 on, two
-  /// small integers a span.
+  /// Run-length encoding used in stored records: alternating lengths of gaps and ranges, starting
+  /// at 0, two small integers for each range.
   std::vector<uint32_t> to_lengths() const {
     std::vector<uint32_t> out;
     uint32_t at = 0;
@@ -78,8 +80,8 @@
     return out;
   }
 
-  /// Reads that form into `out`. Returns false, and leaves `out` as it is, if the lengths are not
-  /// what to_lengths() writes for a set of numbers below `end`.
+  /// Decodes the output of to_lengths() into `out`. Returns false and leaves `out` unchanged if the
+  /// lengths are not a valid encoding of a set of numbers below `end`.
   static bool from_lengths(const std::vector<uint32_t>& lengths, uint32_t end, Ranges& out) {
     if (lengths.size() % 2) return false;
     uint64_t at = 0;
@@ -101,7 +103,7 @@
     if (spans_.insert(span).second) count_ += span.second - span.first;
   }
 
-  std::map<uint32_t, uint32_t> spans_;  ///< first -> one past last; never touching
+  std::map<uint32_t, uint32_t> spans_;  ///< first -> one past last; ranges are never adjacent
   uint32_t count_ = 0;
 };
 
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -12,7 +12,7 @@
          std::find(type.zones.begin(), type.zones.end(), *spec.zone) != type.zones.end();
 }
 
-/// Sums of decimals are not exact. A quota of 0 means that there is none.
+/// Tolerates rounding errors in sums of floating-point amounts. A quota of 0 means no limit.
 bool exceeds_quota(double amount, double quota) {
   constexpr double kSlack = 1e-6;
   return quota > 0 && amount > quota + kSlack;
@@ -32,7 +32,7 @@
            is_in_allowed_zone(spec, type);
   });
   if (!fits) return "a task fits no allowed machine type";
-  // The tasks of an array may run one after the other, the others' run at the same time.
+  // Tasks of an array may run one at a time; tasks of gangs and services all run concurrently.
   const Resources at_once = spec.request.times(spec.kind == JobKind::Array ? 1 : spec.tasks);
   if (exceeds_quota(at_once.cpus, team->cpus_max) || exceeds_quota(at_once.gpus, team->gpus_max))
     return "more than the team's limit";
--- a/src/placement/bin_packing.cpp
+++ b/src/placement/bin_packing.cpp
@@ -10,13 +10,13 @@
 namespace sumacquay {
 namespace {
 
-/// How well a machine suits a task, by the first field in which two machines differ; smaller is
-/// better. The fullest machine is the best, GPUs first. A task without GPUs keeps off machines that
-/// have some as long as others fit, since what is available beside idle GPUs is what GPU tasks
-/// need.
+/// Rank of a machine for a task, compared field by field; smaller is better. The fullest machine is
+/// the best, comparing GPUs first. A task that needs no GPUs uses a GPU machine only if it fits on
+/// no other, because GPU tasks need the CPUs and memory next to idle GPUs.
 struct CandidateRank {
-  bool wastes_gpus = false;             ///< the task needs no GPUs and the machine has some
-  bool must_fetch_large_image = false;  ///< the image is missing and costs more than packing gains
+  bool wastes_gpus = false;  ///< the task needs no GPUs and the machine has some
+  /// The image is not cached and fetching it costs more than tight packing gains.
+  bool must_fetch_large_image = false;
   double capacity_gpus = 0;
   bool must_fetch_image = false;
   double available_gpus = 0;
@@ -26,7 +26,7 @@
   auto operator<=>(const CandidateRank&) const = default;
 };
 
-/// A candidate by its index, with its rank.
+/// Index of a candidate with its rank.
 struct RankedCandidate {
   CandidateRank rank;
   size_t candidate = 0;
@@ -48,8 +48,8 @@
   return rank;
 }
 
-/// The machines that the tasks fit on, handed out best first. A heap costs no more than the
-/// machines that are used: of thousands that fit, a job needs a few.
+/// Priority queue of the machines on which the tasks fit, best rank first. A heap avoids a full
+/// sort: thousands of machines may fit, and a job usually needs a few.
 class CandidateQueue {
  public:
   CandidateQueue(const PlacementRequest& placement_request,
@@ -63,7 +63,7 @@
 
   bool empty() const { return heap_.empty(); }
 
-  /// The index of the best machine that is left.
+  /// Removes the best remaining machine and returns its index.
   size_t pop() {
     std::pop_heap(heap_.begin(), heap_.end(), std::greater<>());
     const size_t best = heap_.back().candidate;
@@ -81,7 +81,8 @@
     candidates[assignment.candidate].available += placement_request.spec->request;
 }
 
-/// A gang in one zone may fit in another zone than the one the fullest machine is in.
+/// Tries each zone, because a single-zone gang may fit in a zone other than that of the fullest
+/// machine.
 std::vector<Assignment> pack_gang_in_some_zone(const PlacementRequest& placement_request,
                                                std::vector<CandidateMachine>& candidates) {
   std::vector<std::string> zones;
@@ -107,10 +108,9 @@
   return pack_gang_in_some_zone(placement_request, candidates);
 }
 
-/// The best machine stays the best while tasks of the same job are put on it, since each makes it
-/// fuller, and one that they no longer fit on, or whose zone is full, stays so. Ranking once is
-/// therefore the same as looking for the best machine again for each task, at a fraction of the
-/// cost.
+/// Ranks the machines once per job, which gives the same result as ranking again for each task at a
+/// fraction of the cost: each task makes the best machine fuller, so it remains the best, and a
+/// machine or zone that is full remains full.
 std::vector<Assignment> pack_partially(const PlacementRequest& placement_request,
                                        std::vector<CandidateMachine>& candidates) {
   const JobSpec& spec = *placement_request.spec;
--- a/src/placement/bin_packing.h
+++ b/src/placement/bin_packing.h
@@ -6,32 +6,32 @@
 #include "placement/candidate_machine.h"
 #include "placement/placement_request.h"
 
-/// Bin packing of tasks onto machines. Decisions only: nothing here does I/O or knows of a clock.
-/// Each function takes what it places out of the candidates' `available`.
+/// Bin packing of tasks onto machines, without I/O and without a clock. Each function subtracts the
+/// resources of placed tasks from the candidates' `available`.
 namespace sumacquay {
 
-/// Places tasks on the fullest machines that they fit on, GPUs first. A gang is placed whole or not
-/// at all, and nothing is taken for one that is not; of job arrays and services as many tasks are
-/// placed as fit. The scheduler calls this in each round, and the planner of scale-outs to see what
-/// machines that are booting will hold.
+/// Places tasks on the fullest machines where they fit, comparing GPUs first. A gang is placed
+/// completely or not at all, in which case no resources are taken; of job arrays and services, as
+/// many tasks are placed as fit. The scheduler calls this in each round, and the scale-out planner
+/// to determine which tasks fit on booting machines.
 std::vector<Assignment> bin_pack(const PlacementRequest& placement_request,
                                  std::vector<CandidateMachine>& candidates);
 
-/// Places as many tasks as fit, of a gang too.
+/// Places as many tasks as fit, even if they are only part of a gang.
 std::vector<Assignment> pack_partially(const PlacementRequest& placement_request,
                                        std::vector<CandidateMachine>& candidates);
 
-/// The same on the machines of one zone.
+/// Like pack_partially, but only on machines in the given zone.
 std::vector<Assignment> pack_partially_in_zone(const std::string& zone,
                                                const PlacementRequest& placement_request,
                                                std::vector<CandidateMachine>& candidates);
 
-/// How many of the tasks fit in the zone. Nothing stays taken.
+/// Number of the tasks that fit in the zone. `candidates` is unchanged on return.
 [[nodiscard]] size_t count_fitting_in_zone(const std::string& zone,
                                            const PlacementRequest& placement_request,
                                            std::vector<CandidateMachine>& candidates);
 
-/// Adds the candidates' zones to `zones`, each once, in the order of the candidates.
+/// Appends the candidates' zones to `zones` without duplicates, in the order of the candidates.
 void append_zones(std::vector<std::string>& zones, const std::vector<CandidateMachine>& candidates);
 
 }  // namespace sumacquay
--- a/src/placement/candidate_machine.h
+++ b/src/placement/candidate_machine.h
@@ -3,25 +3,25 @@
 
 #include "jobs/spec.h"
 
-/// The view of one machine that placement decides on. It is a copy that decisions may change
-/// freely; the scheduler makes it from what it knows of the fleet.
+/// Placement's view of one machine. The scheduler copies it from its state of the fleet, so
+/// placement may modify it freely.
 namespace sumacquay {
 
 struct Machine;
 
-/// A machine that tasks may be placed on. Amounts are CPUs, GPUs and GB of memory.
+/// A machine on which tasks may be placed.
 struct CandidateMachine {
   std::string machine, type, zone;
-  const Machine* of = nullptr;  ///< for the scheduler alone; placement does not look into it
+  const Machine* of = nullptr;  ///< back-reference for the scheduler; opaque to placement
   bool spot = false;
-  Resources capacity;       ///< of the whole machine
-  Resources available;      ///< the part of the capacity that no task takes
-  Resources releasing;      ///< becomes available once the tasks that are being stopped are gone
-  Resources reserved;       ///< the part of `available` that is kept for tasks that need GPUs
-  bool schedulable = true;  ///< may be given new tasks
+  Resources capacity;       ///< total resources of the machine
+  Resources available;      ///< part of the capacity that no task takes
+  Resources releasing;      ///< becomes available once tasks that are being stopped are gone
+  Resources reserved;       ///< part of `available` that is reserved for tasks that need GPUs
+  bool schedulable = true;  ///< accepts new tasks
 
-  /// Whether one more task with this request fits now. Reserved resources are open to tasks that
-  /// need GPUs only.
+  /// Whether one more task with this request fits now. Only tasks that need GPUs may use reserved
+  /// resources.
   bool fits(const Resources& request) const {
     Resources open = available;
     if (request.gpus == 0) open -= reserved;
--- a/src/placement/eligibility.h
+++ b/src/placement/eligibility.h
@@ -7,27 +7,27 @@
 #include "placement/candidate_machine.h"
 #include "placement/placement_request.h"
 
-/// Whether a job may use a machine, whatever is available there.
+/// Constraints on the machines that a job may use, regardless of available resources.
 namespace sumacquay {
 
-/// How many tasks of one job are in each zone.
+/// Number of tasks of one job in each zone.
 using TasksPerZone = std::unordered_map<std::string, uint32_t>;
 
-/// Whether the job's own constraints admit machines of this type, zone and price class. Used for
-/// machines and for offerings of the cloud alike.
+/// Whether the job's constraints allow machines of this type and zone, and spot instances if `spot`
+/// is set. Used both for existing machines and for the cloud's offerings.
 [[nodiscard]] bool allowed(const JobSpec& spec, const std::string& type, const std::string& zone,
                            bool spot);
 
-/// Whether the job is not bound to another zone than this one.
+/// Whether the job's required zone, if any, is this zone.
 [[nodiscard]] bool allowed_zone(const JobSpec& spec, const std::string& zone);
 
-/// Whether one more task in the zone keeps the job in one zone, or spread, as it asks for. `zones`
-/// counts the tasks placed so far.
+/// Whether one more task in the zone satisfies the job's `one_zone` and `spread` constraints.
+/// `zones` counts the tasks placed so far.
 [[nodiscard]] bool zone_has_room(const JobSpec& spec, const TasksPerZone& zones,
                                  const std::string& zone);
 
-/// Whether the machine may be given a task of the job: it takes new tasks, the job admits it, and
-/// the job has not failed there.
+/// Whether a task of the job may be placed on the machine: the machine is schedulable, satisfies
+/// the job's constraints, and is not excluded by the request's `avoid`.
 [[nodiscard]] bool eligible(const CandidateMachine& candidate,
                             const PlacementRequest& placement_request, const TasksPerZone& zones);
 
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,8 +1,7 @@
 #pragma once
 
-/// All placement decisions: bin packing, reservations, tentative placement and preemption. They are
-/// functions of their arguments, without I/O and without a clock. New code includes the header of
-/// the one it needs.
+/// Umbrella header for placement: bin packing, reservations, tentative placement and preemption,
+/// which do no I/O and read no clock. New code should include only the headers that it needs.
 #include "placement/bin_packing.h"
 #include "placement/candidate_machine.h"
 #include "placement/eligibility.h"
--- a/src/placement/placement_request.h
+++ b/src/placement/placement_request.h
@@ -10,24 +10,26 @@
 #include "jobs/spec.h"
 #include "placement/candidate_machine.h"
 
-/// What is to be placed, and where it was placed: the input and the output of every placement
-/// decision.
+/// Input and output types of placement decisions.
 namespace sumacquay {
 
-/// The tasks of one job that are to be placed, and what is known of its other tasks.
+/// Request to place tasks of one job, with the zones of the job's other tasks.
 struct PlacementRequest {
-  const JobSpec* spec = nullptr;                    ///< outlives the request
-  std::vector<uint32_t> tasks;                      ///< to be placed
-  std::unordered_map<std::string, uint32_t> zones;  ///< how many tasks of the job are in each zone
-  /// The highest priority of the jobs that depend on this one, if it is above the job's own.
+  const JobSpec* spec = nullptr;                    ///< must outlive the request
+  std::vector<uint32_t> tasks;                      ///< numbers of the tasks to place
+  std::unordered_map<std::string, uint32_t> zones;  ///< number of the job's tasks in each zone
+  /// Highest priority of the jobs that depend on this one, if higher than the job's own.
   std::optional<Priority> inherited_priority;
-  bool image_first = false;  ///< to fetch the image costs more than tight packing gains
-  /// The job is within its team's fair share, so other teams' work must not delay it.
+  bool image_first = false;  ///< fetching the image costs more than tight packing gains
+  /// The job is within its team's fair share, so it may preempt tasks of other teams that are
+  /// beyond theirs.
   bool within_fair_share = false;
-  std::function<bool(const CandidateMachine&)> avoid;      ///< machines that the job failed on
-  std::function<bool(const CandidateMachine&)> has_image;  ///< machines that have the image cached
+  /// Whether to exclude a machine, such as one where the job failed.
+  std::function<bool(const CandidateMachine&)> avoid;
+  /// Whether a machine likely has the image cached.
+  std::function<bool(const CandidateMachine&)> has_image;
 
-  /// The priority that counts in decisions.
+  /// Effective priority for placement and preemption.
   Priority priority() const { return inherited_priority.value_or(spec->priority); }
 };
 
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -9,18 +9,18 @@
 namespace sumacquay {
 namespace {
 
-/// Whether the victim is work that another team runs beyond its fair share, and the request is
-/// within its own team's. Higher priority is left alone: it would be placed before the request in
-/// the next round, and stop it.
+/// Whether the request is within its team's fair share and the victim belongs to another team and
+/// is beyond that team's share. Victims of higher priority do not yield: the next round would place
+/// them before the request, and they would preempt it.
 bool yields_to_fair_share(const PlacementRequest& placement_request, const Victim& victim) {
   return placement_request.within_fair_share && victim.beyond_fair_share &&
          victim.team != placement_request.spec->team &&
          victim.priority <= placement_request.priority();
 }
 
-/// Whether the request may stop the victim: it has lower priority or is beyond its team's fair
-/// share. A gang, which stops on all its machines, is stopped only for a task that takes a good
-/// part of one of them.
+/// Whether the request may preempt the victim, which must have lower priority or be beyond its
+/// team's fair share. Preempting one task of a gang stops the whole gang, so a gang is preempted
+/// only for a task that needs a substantial fraction of the resources of one gang task.
 bool may_stop(const PlacementRequest& placement_request, const Victim& victim) {
   constexpr double kMinGangShare = 0.4;
   const JobSpec& spec = *placement_request.spec;
@@ -34,18 +34,18 @@
                  : spec.request.cpus >= kMinGangShare * victim.request.cpus;
 }
 
-/// In seconds of lost progress. One class of priority counts as much as a thousand of them.
+/// Cost of preempting the victim in seconds of lost progress. Each priority level adds 1000 s.
 double cost_of(const Victim& victim) {
   return 1 + victim.loss_s + 1000.0 * static_cast<int>(victim.priority);
 }
 
-/// What is stopped on one machine, and what that costs.
+/// Preemption on one machine, with its cost.
 struct PreemptionPlan {
   Preemption preemption;
   double cost = 0;
 };
 
-/// The search for one task, machine by machine.
+/// Evaluates the machines for one task.
 class PreemptionSearch {
  public:
   PreemptionSearch(const PlacementRequest& placement_request, const std::vector<Victim>& victims,
@@ -55,7 +55,7 @@
         victims_(victims),
         running_(running) {}
 
-  /// The victims that the request may stop, by the machine they run on.
+  /// The victims that the request may preempt, grouped by candidate.
   std::vector<std::vector<size_t>> victims_per_candidate(size_t candidates) const {
     std::vector<std::vector<size_t>> per_candidate(candidates);
     for (size_t victim = 0; victim < victims_.size(); ++victim)
@@ -64,13 +64,13 @@
     return per_candidate;
   }
 
-  /// What to stop on the machine with this index; none if that does not make the task fit.
-  /// `stoppable` are the victims there.
+  /// The victims to preempt on the machine with this index; none if the task does not fit even so.
+  /// `stoppable` lists the victims on the machine; the call may reorder it.
   std::optional<PreemptionPlan> plan(size_t index, const CandidateMachine& candidate,
                                      std::vector<size_t>& stoppable) const {
     Resources open = candidate.available;
     open += candidate.releasing;
-    // What follows costs more, and the search ends here on most machines.
+    // Cheap check first: it rules out most machines before victims are sorted.
     if (!fits_without_all(stoppable, open) ||
         !eligible(candidate, placement_request_, placement_request_.zones))
       return std::nullopt;
@@ -92,7 +92,7 @@
     });
   }
 
-  /// Adds victims, the cheapest first, until the task fits.
+  /// Adds victims, cheapest first, until the task fits.
   std::optional<PreemptionPlan> choose_victims(size_t index, const std::vector<size_t>& stoppable,
                                                Resources open) const {
     PreemptionPlan plan{{index, {}, false}, 0};
@@ -111,8 +111,8 @@
     return plan;
   }
 
-  /// Whether the victim's team keeps its fair share if it loses this one beside those chosen
-  /// already.
+  /// Whether the victim's team keeps its fair share if it loses this victim in addition to the
+  /// chosen ones.
   bool team_keeps_fair_share(const Victim& victim, const std::vector<size_t>& chosen) const {
     Resources lost = victim.stops;
     for (const size_t other : chosen)
@@ -120,8 +120,8 @@
     return running_.keeps_fair_share_without(victim.team, lost);
   }
 
-  /// Leaves out, the most costly first, victims without which the task fits all the same: a large
-  /// one that was added last may make small ones needless. Returns what they would have cost.
+  /// Removes victims without which the task still fits, most costly first: a large victim that was
+  /// added last may make smaller ones unnecessary. Returns the total cost of the removed victims.
   double drop_unneeded_victims(std::vector<size_t>& chosen, Resources open) const {
     double saved = 0;
     for (size_t i = chosen.size(); i-- > 0;) {
--- a/src/placement/reservation.cpp
+++ b/src/placement/reservation.cpp
@@ -12,8 +12,8 @@
 namespace sumacquay {
 namespace {
 
-/// The zone where the most tasks fit on both together, the first by name of equals; none if no task
-/// fits anywhere.
+/// The zone where the most tasks fit on `candidates` and `soon` combined; ties go to the first zone
+/// by name. None if no task fits anywhere.
 std::optional<std::string> best_zone(const PlacementRequest& placement_request,
                                      std::vector<CandidateMachine>& candidates,
                                      std::vector<CandidateMachine> soon) {
@@ -48,7 +48,7 @@
     const auto zone = best_zone(placement_request, candidates, soon);
     if (!zone) return;
     reserved = pack_partially_in_zone(*zone, placement_request, candidates);
-    placement_request.zones[*zone] += 1;  // binds the other tasks to it
+    placement_request.zones[*zone] += 1;  // binds the remaining tasks to this zone
   } else {
     reserved = pack_partially(placement_request, candidates);
   }
@@ -60,7 +60,7 @@
   const Resources& request = placement_request.spec->request;
   if (request.gpus <= 0) return;
   struct Reservable {
-    double minus_cpus = 0;  ///< the most available CPUs first
+    double minus_cpus = 0;  ///< negated, so that the most available CPUs come first
     size_t candidate = 0;
     auto operator<=>(const Reservable&) const = default;
   };
--- a/src/placement/reservation.h
+++ b/src/placement/reservation.h
@@ -4,20 +4,21 @@
 #include "placement/candidate_machine.h"
 #include "placement/placement_request.h"
 
-/// Reservations for tasks that found no machine, so that smaller tasks do not starve them. They
-/// last as long as the candidates that they are entered in, which is one round.
+/// Reservations for unplaced tasks, so that smaller tasks do not starve them. They exist only in
+/// the candidates, which last for one round.
 namespace sumacquay {
 
-/// For a gang that fits nowhere whole: takes what is available for as many of its tasks as fit, and
-/// leaves the others in `placement_request`. A gang that must be in one zone gets the zone where
-/// the most of it fits on `candidates` and `soon` together, and what is left of it is bound to that
-/// zone. `soon` are the machines that are booting.
+/// Reserves resources for part of a gang that does not fit completely: subtracts the requests of as
+/// many tasks as fit from `candidates` and leaves the remaining tasks in `placement_request`. A
+/// single-zone gang gets the zone where the most tasks fit on `candidates` and `soon`, the booting
+/// machines, combined; its remaining tasks are bound to that zone.
 void reserve_for_gang(PlacementRequest& placement_request,
                       std::vector<CandidateMachine>& candidates,
                       const std::vector<CandidateMachine>& soon);
 
-/// For tasks that need GPUs and found no machine: keeps tasks that need none off the CPUs and
-/// memory beside available GPUs, on the machines where the least is missing. Raises `reserved`.
+/// Reserves CPUs and memory on machines with available GPUs for unplaced tasks that need GPUs, by
+/// raising `reserved`, so that tasks without GPUs do not take them. Prefers the machines with the
+/// most available CPUs, which lack the least.
 void reserve_beside_gpus(const PlacementRequest& placement_request,
                          std::vector<CandidateMachine>& candidates);
 
--- a/src/placement/tentative_placement.h
+++ b/src/placement/tentative_placement.h
@@ -6,12 +6,12 @@
 #include "placement/candidate_machine.h"
 #include "placement/placement_request.h"
 
-/// Placement on trial. The autoscaler and the rebalancer ask with it whether tasks would fit
-/// elsewhere before they empty a machine.
+/// Tentative placement with rollback. The autoscaler and the rebalancer use it to check whether
+/// tasks fit on other machines before they release or drain a machine.
 namespace sumacquay {
 
-/// What is placed through this object is taken from the candidates for as long as it lives, and
-/// released when it ends unless keep() was called. The candidates outlive it.
+/// Subtracts the resources of placed tasks from the candidates and returns them on destruction
+/// unless keep() was called. The candidates must outlive the object.
 class TentativePlacement {
  public:
   explicit TentativePlacement(std::vector<CandidateMachine>& candidates)
@@ -20,15 +20,15 @@
   TentativePlacement& operator=(const TentativePlacement&) = delete;
   ~TentativePlacement();
 
-  /// Places what fits beside everything placed before; returns whether all tasks did.
+  /// Places as many tasks as fit in addition to earlier ones; returns whether all of them fit.
   [[nodiscard]] bool fits(const PlacementRequest& placement_request);
 
-  /// Leaves everything placed so far in place; returns the candidate of each task.
+  /// Makes all placements so far permanent; returns the candidate of each task.
   std::vector<size_t> keep();
 
  private:
   std::vector<CandidateMachine>& candidates_;
-  std::vector<std::pair<size_t, Resources>> taken_;  ///< candidate, and what one task takes there
+  std::vector<std::pair<size_t, Resources>> taken_;  ///< candidate index and resources of one task
 };
 
 }  // namespace sumacquay
--- a/src/store/dependency_reader.cpp
+++ b/src/store/dependency_reader.cpp
@@ -22,7 +22,7 @@
       retry_s_(retry_s),
       found_(std::move(found)) {}
 
-/// Reads one at a time: they are few, except on a node that has just started.
+/// Reads one record at a time: there are few to read, except on a node that has just started.
 void DependencyReader::read_unknown() {
   const auto& unknown = tables_.dependencies().unknown();
   if (reading_ || unknown.empty()) return;
--- a/src/store/dependency_reader.h
+++ b/src/store/dependency_reader.h
@@ -9,20 +9,20 @@
 
 namespace sumacquay {
 
-/// Reads how jobs ended that live jobs depend on and of which the tables know nothing: finished
-/// jobs are not part of a snapshot. RecordCache calls it. It changes no tables itself.
+/// Reads the finished records of dependencies that are missing from the tables, since snapshots do
+/// not include finished jobs. Called by RecordCache; does not modify the tables itself.
 class DependencyReader {
  public:
   using Found = std::function<void(const std::string& id, FinishedRecord record)>;
 
-  /// `found` is called with each record that was read, and has to make the job known to the tables.
+  /// `found` is called with each record that was read and must add it to the tables.
   DependencyReader(KeyValueStoreClient& store, LoadGeneration& generation,
                    const RecordTables& tables, double retry_s, Found found);
 
-  /// Reads what is unknown, one after another; one that can't be read is asked for again. Does
-  /// nothing while a read is in progress.
+  /// Reads the records of all unknown dependencies sequentially and retries failed reads. Does
+  /// nothing while a read is in flight.
   void read_unknown();
-  /// To be called when a load starts: the answer to a read in progress will be dropped.
+  /// Must be called when a load starts, because the response to a read in flight is then dropped.
   void reset() { reading_ = false; }
 
  private:
@@ -32,10 +32,10 @@
   KeyValueStoreClient& store_;
   LoadGeneration& generation_;
   const RecordTables& tables_;
-  double retry_s_;  ///< from a failed read to the next
+  double retry_s_;  ///< delay after a failed read
   Found found_;
   bool reading_ = false;
-  std::string last_read_;  ///< jobs are read in turn, by id
+  std::string last_read_;  ///< id of the last job that was read; reads go round-robin by id
 };
 
 }  // namespace sumacquay
--- a/src/store/key_value_store_client.cpp
+++ b/src/store/key_value_store_client.cpp
@@ -9,16 +9,16 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// A node's fraction of the service's rate limits. Bursts come to one node at a time, so the nodes'
-/// budgets add up to more than the limits; status 429 empties the node's bucket when they exceed
-/// them.
+/// A node's budget as a fraction of the store's rate limits. The budgets of all nodes add up to
+/// more than the limits, because bursts reach one node at a time; a response with status 429 drains
+/// the node's bucket.
 constexpr double kBudgetShare = 0.85;
 constexpr size_t kMaxQueued = 2000;
-/// How long queued requests wait until the budget is looked at again.
+/// Interval at which queued requests are checked against the budget again.
 constexpr std::chrono::milliseconds kQueueInterval{10};
-/// The time that the service has to answer, as a fraction of the workers' lease.
+/// Request deadline as a fraction of the worker lease.
 constexpr double kDeadlineLeaseShare = 0.15;
-/// The fraction of a burst that each priority leaves to the more urgent ones.
+/// Fraction of a burst that requests of each priority leave for higher priorities.
 constexpr std::array<double, kPriorities> kReserve{0.0, 0.1, 0.3};
 
 constexpr size_t kMaxUrgentQueued = 16;
@@ -89,8 +89,8 @@
                  with_status_tracking(std::move(request.done)));
 }
 
-/// A request over the rate limit was not executed. It waits for the budget instead of failing,
-/// which would cost a user a second and more.
+/// The store does not execute a request that it rejects with status 429, so the request is queued
+/// again until its deadline. Failing it instead would cost the user a second or more.
 void KeyValueStoreClient::send_until_accepted(RequestPriority priority, Request request) {
   Request attempt = request;
   attempt.done = [this, priority, request = std::move(request)](HttpResult result) {
@@ -123,11 +123,11 @@
   write_budget_.refill(elapsed_s);
 }
 
-/// Leadership never waits for the budget: a renewal that comes late costs far more than a 429.
+/// Leadership requests bypass the budget: a late lease renewal costs far more than a 429 response.
 bool KeyValueStoreClient::within_budget(RequestPriority priority, const Request& request) const {
   if (priority == RequestPriority::Leadership) return true;
   if (!request_budget_.has(1, kReserve[static_cast<size_t>(priority)])) return false;
-  // One write left in the budget is enough for a transaction of several, which overdraws it.
+  // One available write admits a transaction with several mutations, which overdraws the bucket.
   return request.writes <= 0 || write_budget_.has(std::min(request.writes, 1.0), 0);
 }
 
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -1,7 +1,8 @@
 #pragma once
 #include <string>
 
-/// Keys of the state service. Those that end in a slash are followed by the id of a job or machine.
+/// Keys of the key-value store. Keys that end in a slash are prefixes, followed by the id of a job
+/// or machine.
 namespace sumacquay::keys {
 
 inline const std::string kRoot = "sq/";
--- a/src/store/load_generation.h
+++ b/src/store/load_generation.h
@@ -7,22 +7,23 @@
 
 namespace sumacquay {
 
-/// Counts the loads of the record cache. The steps of the cache (loading, watching, reading) use it
-/// to drop answers and timers that belong to an earlier load. It knows nothing of records.
+/// Generation counter of the record cache's loads. Loading, watching and reading use it to drop
+/// responses and timers that belong to an earlier load. Independent of what is loaded.
 class LoadGeneration {
  public:
   explicit LoadGeneration(asio::io_context& io) : io_(io) {}
 
   uint64_t current() const { return current_; }
-  /// To be called by the cache alone, when a load starts.
+  /// Called only by RecordCache, when a load starts.
   void advance() { ++current_; }
 
-  /// Wraps a callback so that it is not called if a load starts between now and the answer.
+  /// Wraps a callback so that it is dropped if a load starts before the response arrives.
   HttpDone unless_reloaded(std::function<void(const HttpResult&)> done) const;
 
-  /// Runs an action later, unless a load starts before. Never from inside this call.
+  /// Runs an action after a delay unless a load starts first. Never runs it from inside this call.
   void schedule_unless_reloaded(double delay_s, std::function<void()> action);
-  /// Runs an action later, whatever is loaded in the meantime. Never from inside this call.
+  /// Runs an action after a delay, even if a load starts first. Never runs it from inside this
+  /// call.
   void schedule(double delay_s, std::function<void()> action);
 
  private:
--- a/src/store/record_cache.cpp
+++ b/src/store/record_cache.cpp
@@ -10,13 +10,14 @@
 namespace sumacquay {
 namespace {
 
-/// From the answer of a watch to the next watch.
+/// Delay between the response to a watch and the next watch.
 constexpr double kWatchIntervalSeconds = 0.004;
-/// From a failed read to the next, as a fraction of the lease.
+/// Delay after a failed read, as a fraction of the worker lease.
 constexpr double kRetryLeaseShare = 0.03;
-/// The interval between barriers, in requests that the service accepts in that time.
+/// Interval between read barriers, as the number of requests that the store's rate limit admits in
+/// that time.
 constexpr double kBarrierIntervalRequests = 8.0;
-/// The changes that were asked for are no longer kept.
+/// Status for changes since a revision whose history the store no longer keeps.
 constexpr int kStatusGone = 410;
 
 bool changes_are_gone(const HttpResult& result) {
@@ -89,7 +90,7 @@
                generation_.unless_reloaded(on_answer));
 }
 
-/// Applies the changes of a watch and schedules the next watch.
+/// Applies the changes from a watch response and schedules the next watch.
 void RecordCache::apply_watch_response(const HttpResult& result, Clock::time_point requested_at) {
   const auto page = changes_of(result);
   if (page) apply_changes(*page, requested_at);
@@ -108,7 +109,8 @@
   if (!barrier_running_) send_barrier_read();
 }
 
-/// A barrier that runs while the cache is being loaded would be answered from a part of it.
+/// Barriers are rejected when a load starts, because they would be answered from a partly loaded
+/// cache.
 void RecordCache::reject_waiting_barriers() {
   for (auto& done : std::exchange(waiting_, {}))
     asio::post(io_, [done = std::move(done)] { done(false); });
@@ -116,7 +118,7 @@
 
 void RecordCache::send_barrier_read() {
   barrier_running_ = true;
-  // Only those who asked before the request is sent are served by it.
+  // A response covers only the barriers that were requested before the read was sent.
   auto served = std::make_shared<std::vector<BarrierDone>>(std::exchange(waiting_, {}));
   store_.read(RequestPriority::Background, wire::changes_path(keys::kRoot, tables_.revision(), 0),
               [this, served, generation = generation_.current(),
@@ -139,9 +141,9 @@
   });
 }
 
-/// The changes of a long partition can be more than an answer may hold, or than arrives in time.
-/// They would be asked for in vain until the service drops them. A snapshot comes in pages, so it
-/// is loaded instead.
+/// Falls back to loading a snapshot after repeated failed reads. After a long partition the changes
+/// can exceed what a response may hold or what arrives before the deadline, and retries would fail
+/// until the store drops the changes; a snapshot is read page by page.
 void RecordCache::record_read_outcome(const HttpResult& result, bool readable) {
   constexpr int kMaxFailedReads = 3;
   if (readable) failed_reads_ = 0;
@@ -153,7 +155,8 @@
     reload_if_store_reachable();
 }
 
-/// While the service answers nothing at all, an old cache is better than none.
+/// Probes the store first, because a stale cache is better than none while the store is
+/// unreachable.
 void RecordCache::reload_if_store_reachable() {
   if (probing_) return;
   probing_ = true;
@@ -205,8 +208,8 @@
 }
 
 void RecordCache::wrote_job(const JobRecord& record, uint64_t version) {
-  // During a load the revision of the tables is an old one. The write will come with the snapshot,
-  // or with the changes that follow it.
+  // During a load the tables still have the revision of before the load. The snapshot, or the watch
+  // that follows it, will include the write.
   if (!loaded() || !tables_.wrote_job(record, version)) return;
   notify({ChangeEffect::JobUpdated, record.spec.id});
 }
--- a/src/store/record_cache.h
+++ b/src/store/record_cache.h
@@ -17,74 +17,74 @@
 #include "wire/records.h"
 #include "wire/store_messages.h"
 
-/// A node's copy of the records in the state service.
+/// A node's in-memory copy of the records in the key-value store.
 namespace sumacquay {
 
-/// A watch cache: loads a snapshot of the records and follows their changes. Frontend answers users
-/// from it, and a node that becomes leader restores the scheduler's state from it. What it holds
-/// may be old, except right after a read barrier has succeeded. It writes nothing and knows nothing
-/// of scheduling. Not thread-safe: everything happens on the io_context.
+/// Watch cache: loads a snapshot of the records and then watches for changes. Frontend serves user
+/// requests from it, and a new leader restores the scheduler's state from it. Its contents may be
+/// stale, except right after a successful read barrier. It is read-only and independent of
+/// scheduling. Not thread-safe: all calls and callbacks run on the io_context.
 class RecordCache {
  public:
   using Clock = std::chrono::steady_clock;
   using BarrierDone = std::function<void(bool fresh)>;
 
-  /// Who is notified of changed records.
+  /// Callbacks for changed records.
   struct Listener {
     std::function<void(const std::string& id)> job_changed;  ///< empty id: any job may have changed
     std::function<void()> leader_changed;
   };
 
-  /// Finished jobs that are kept in memory; older ones are read again when asked for.
+  /// Number of finished jobs kept in memory; older ones are read from the store on demand.
   static constexpr size_t kFinishedKept = 20000;
 
   RecordCache(asio::io_context& io, const Settings& settings, KeyValueStoreClient& store,
               size_t finished_kept = kFinishedKept);
-  /// Starts to load the snapshot, and after that to follow the changes. To be called once.
+  /// Starts loading the snapshot, followed by the watch. Must be called once.
   void start();
   void set_listener(Listener listener) { listener_ = std::move(listener); }
 
-  /// Whether a whole snapshot has been loaded.
+  /// Whether a complete snapshot has been loaded.
   bool loaded() const { return state_ == State::Following; }
-  /// The cache holds everything that was written before this time.
+  /// The cache includes all writes that were committed before this time.
   Clock::time_point known_at() const { return known_at_; }
-  /// Linearizable read: calls back with true once the cache holds everything that was written
-  /// before this call, or with false if that can't be had now. Calls back once, never from inside
-  /// the call. One request to the service serves all barriers that wait.
+  /// Read barrier for linearizable reads: calls `done` with true once the cache includes all writes
+  /// committed before this call, or with false if that can't be ensured now. Calls `done` once,
+  /// never from inside this call. One request to the store completes all waiting barriers.
   void read_barrier(BarrierDone done);
 
-  /// Jobs with a live record, by id: those that have not finished, or not been cleaned up.
+  /// Jobs with a live record, by id: jobs that are not finished or not cleaned up yet.
   const std::unordered_map<std::string, Versioned<JobRecord>>& live() const {
     return tables_.live();
   }
   const Versioned<JobRecord>* live(const std::string& id) const { return tables_.live(id); }
-  /// A finished job, or null if it is not kept in memory.
+  /// The record of a finished job; null if it is not in memory.
   const FinishedRecord* finished(const std::string& id) const { return tables_.finished(id); }
-  /// Whether the job is known to be cancelled or done.
+  /// Whether a record in memory shows the job as cancelled or done.
   bool ended(const std::string& id) const { return tables_.ended(id); }
-  /// Machines that may run something, by name.
+  /// Machines that may run tasks, by id.
   const std::map<std::string, Versioned<HostRecord>>& hosts() const { return tables_.hosts(); }
-  /// The node that holds the leader's lease; version 0: none.
+  /// Record of the node that holds the leader lease; version 0: none.
   const Versioned<wire::LeaderRecord>& leader() const { return tables_.leader(); }
-  /// The node that was elected last, whether or not it still holds the lease.
+  /// Record of the most recently elected leader, whether or not it still holds the lease.
   const Versioned<wire::LeaderRecord>& term() const { return tables_.term(); }
 
-  /// How the live jobs depend on one another and on finished ones.
+  /// Dependencies between live jobs, and of live jobs on finished ones.
   const DependencyGraph& dependencies() const { return tables_.dependencies(); }
 
-  /// How a job ended, as long as it is kept in memory or others wait for it; its count of done
-  /// tasks may be missing.
+  /// Outcome of a finished job that is in memory or that other jobs depend on; none otherwise. The
+  /// count of done tasks is 0 if it is unknown.
   std::optional<FinishedRecord> dependency_end(const std::string& id) const {
     return tables_.dependency_end(id);
   }
 
-  // What this node itself has written, which is thus known before the watch brings it. A host
-  // without a record was deleted.
+  // Apply writes committed by this node before the watch delivers them. A null host record means
+  // that the host was deleted.
   void wrote_job(const JobRecord& record, uint64_t version);
   void wrote_finished(const std::string& id, FinishedRecord record, uint64_t version);
   void wrote_host(const std::string& id, const HostRecord* record, uint64_t version);
   void wrote_leader(const wire::LeaderRecord& record, uint64_t version);
-  /// Keeps what this node has read of a finished job that was not in memory.
+  /// Caches the record of a finished job that was read from the store on demand.
   void cache_finished(const std::string& id, FinishedRecord record) {
     tables_.add_finished(id, record);
   }
@@ -98,7 +98,7 @@
   void load();
   void on_snapshot_loaded(uint64_t first_revision);
 
-  // Following.
+  // Watching.
   void follow();
   void apply_watch_response(const HttpResult& result, Clock::time_point requested_at);
   void apply_changes(const wire::StorePage& page, Clock::time_point requested_at);
@@ -117,9 +117,9 @@
 
   asio::io_context& io_;
   KeyValueStoreClient& store_;
-  double watch_wait_s_;        ///< how long a watch waits for a change
-  double retry_s_;             ///< from a failed read to the next
-  double barrier_interval_s_;  ///< from one barrier's answer to the next barrier
+  double watch_wait_s_;        ///< maximum time for which a watch waits for a change
+  double retry_s_;             ///< delay after a failed read
+  double barrier_interval_s_;  ///< delay between a barrier's response and the next barrier
   Listener listener_;
 
   State state_ = State::Loading;
@@ -133,8 +133,8 @@
 
   std::vector<BarrierDone> waiting_;
   bool barrier_running_ = false;
-  int failed_reads_ = 0;  ///< reads of changes in a row that brought nothing
-  bool probing_ = false;  ///< whether the service answers at all
+  int failed_reads_ = 0;  ///< consecutive reads of changes without a usable response
+  bool probing_ = false;  ///< a probe of whether the store is reachable is in flight
 };
 
 }  // namespace sumacquay
--- a/src/store/record_tables.cpp
+++ b/src/store/record_tables.cpp
@@ -12,7 +12,7 @@
   return key.substr(prefix.size());
 }
 
-/// The leader in a change of a key; none if the key was deleted or can't be read.
+/// Decodes a leader record; none if the key was deleted or the record is invalid.
 std::optional<wire::LeaderRecord> decode_leader_item(const wire::StoreItem& item) {
   return item.value.missing() ? std::nullopt : wire::decode_leader(item.value);
 }
@@ -42,7 +42,7 @@
 AppliedChange RecordTables::apply_live(const std::string& id, const wire::StoreItem& item) {
   const auto known = live_.find(id);
   if (known != live_.end() && known->second.version >= item.version) return {};
-  // A finished job never becomes live again, whatever an older change says.
+  // A finished job never becomes live again, even if an older change of its live record arrives.
   if (item.value.missing() || finished_.contains(id)) {
     live_.erase(id);
     dependencies_.forget(id);
@@ -90,8 +90,9 @@
   return {ChangeEffect::LeaderChanged};
 }
 
-/// A job may depend on one that has finished already, which is then known from memory or has to be
-/// read. A finished job stays live until no task of it is left anywhere.
+/// Adds a job's dependencies and the states of those that are in the tables; records of other
+/// dependencies must be read from the store. A job that is done or cancelled keeps its live record
+/// until none of its tasks is left on any machine.
 void RecordTables::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
@@ -101,7 +102,8 @@
 }
 
 std::vector<const wire::StoreItem*> RecordTables::newer_changes(const wire::StorePage& page) const {
-  // The protocol does not promise changes in order: without sorting, a deleted key could come back.
+  // The protocol does not guarantee the order of changes; without sorting, a deletion could be
+  // followed by an older write of the same key.
   std::vector<const wire::StoreItem*> newer;
   for (const auto& item : page.items)
     if (item.version > revision_) newer.push_back(&item);
@@ -113,8 +115,8 @@
   revision_ = std::max(revision_, revision);
 }
 
-/// The answer to a write may be delayed, and its record be changed or deleted since. The tables
-/// hold that later change already: those that are not newer than the revision are ignored.
+/// Ignores writes that are not newer than the revision of the tables: the response to a write may
+/// be delayed until the tables include a later change or deletion of the same record.
 bool RecordTables::wrote_job(const JobRecord& record, uint64_t version) {
   const std::string& id = record.spec.id;
   if (version <= revision_ || finished_.contains(id)) return false;
--- a/src/store/snapshot_loader.cpp
+++ b/src/store/snapshot_loader.cpp
@@ -10,8 +10,7 @@
 
 constexpr int kPageItems = 200;
 
-/// The prefixes that are loaded, in this order. Finished jobs are not: they are read when asked
-/// for.
+/// The key prefixes that are loaded, in this order. Finished jobs are read on demand instead.
 const std::vector<std::string>& load_order() {
   static const std::vector<std::string> prefixes{keys::kLeader, keys::kTerm, keys::kHost,
                                                  keys::kLive};
@@ -36,7 +35,7 @@
 }
 
 void SnapshotLoader::on_page(Position position, const wire::StorePage& page) {
-  // Changes are followed from the first page's revision on, so none between pages is missed.
+  // The watch starts at the first page's revision, so that no change between pages is missed.
   if (!position.first_revision) position.first_revision = page.revision;
   for (const auto& item : page.items) callbacks_.item(item);
   if (page.more && !page.items.empty()) {
--- a/src/store/snapshot_loader.h
+++ b/src/store/snapshot_loader.h
@@ -10,30 +10,30 @@
 
 namespace sumacquay {
 
-/// Loads a snapshot of the records from the state service, page by page. RecordCache calls it. It
-/// does not know what the records mean.
+/// Loads a snapshot of the records from the key-value store, page by page. Called by RecordCache.
+/// Record contents are opaque to it.
 class SnapshotLoader {
  public:
-  /// Who is told of loaded items and of the end of the snapshot.
+  /// Callbacks for loaded items and for the end of the snapshot.
   struct Callbacks {
-    std::function<void(const wire::StoreItem& item)> item;  ///< for each item, in order
-    /// Once, at the end. Changes have to be followed from this revision on.
+    std::function<void(const wire::StoreItem& item)> item;  ///< called for each item, in order
+    /// Called once, at the end. The watch must start at this revision.
     std::function<void(uint64_t first_revision)> loaded;
   };
 
   SnapshotLoader(KeyValueStoreClient& store, LoadGeneration& generation, double retry_s,
                  Callbacks callbacks);
 
-  /// Loads all pages; one that can't be read is asked for again. A load that is in progress has to
-  /// be abandoned before, by advancing the generation.
+  /// Loads all pages and retries failed reads. The caller must first abandon any load in progress
+  /// by advancing the generation.
   void load() { load_page({}); }
 
  private:
-  /// How far the load has come.
+  /// Progress of the load.
   struct Position {
-    size_t prefix = 0;  ///< index into the prefixes that are loaded
-    std::string after;  ///< the last key that was loaded; empty: none
-    /// Of the first page, which is 0 in a service where nothing was ever written.
+    size_t prefix = 0;  ///< index into load_order()
+    std::string after;  ///< last loaded key of the prefix; empty: none
+    /// Revision of the first page; 0 if nothing was ever written to the store.
     std::optional<uint64_t> first_revision;
   };
 
@@ -42,7 +42,7 @@
 
   KeyValueStoreClient& store_;
   LoadGeneration& generation_;
-  double retry_s_;  ///< from a failed read to the next
+  double retry_s_;  ///< delay after a failed read
   Callbacks callbacks_;
 };
 
