--- a/src/fleet/image_cache.h
+++ b/src/fleet/image_cache.h
@@ -20,25 +20,25 @@
   /// Records that a task on the machine uses the image. Evicts the least recently used images until
   /// the others fit in `disk_gb`, but never the image passed in.
   void use(const std::string& image, double gb, double disk_gb) {
-    std::erase_if(kept_, [&](const CachedImage& cached) { return cached.image == image; });
-    kept_.push_back({image, gb});
+    std::erase_if(images_, [&](const CachedImage& cached) { return cached.image == image; });
+    images_.push_back({image, gb});
     double total_gb = 0;
-    for (const CachedImage& cached : kept_) total_gb += cached.gb;
-    while (kept_.size() > 1 && total_gb > disk_gb) {
-      total_gb -= kept_.front().gb;
-      kept_.erase(kept_.begin());
+    for (const CachedImage& cached : images_) total_gb += cached.gb;
+    while (images_.size() > 1 && total_gb > disk_gb) {
+      total_gb -= images_.front().gb;
+      images_.erase(images_.begin());
     }
   }
   /// Whether the image is likely cached, so that a task can start without fetching it.
   bool has(const std::string& image) const {
-    return std::any_of(kept_.begin(), kept_.end(),
+    return std::any_of(images_.begin(), images_.end(),
                        [&](const CachedImage& cached) { return cached.image == image; });
   }
   /// All cached images, most recently used last.
-  const std::vector<CachedImage>& kept() const { return kept_; }
+  const std::vector<CachedImage>& kept() const { return images_; }
 
  private:
-  std::vector<CachedImage> kept_;  ///< most recently used last
+  std::vector<CachedImage> images_;  ///< most recently used last
 };
 
 }  // namespace sumacquay
--- a/src/fleet/worker_heartbeat.h
+++ b/src/fleet/worker_heartbeat.h
@@ -72,14 +72,14 @@
   bool operator==(const Command&) const = default;
 };
 
-/// Stop commands for all tasks in a heartbeat whose jobs are cancelled or done; `ended` is the
+/// Stop commands for all tasks in a heartbeat whose jobs are cancelled or done; `job_ended` is the
 /// predicate on the job id. Any node that renews a worker's lease sends them. They are always safe,
 /// because attempt numbers are never reused.
-template <class Ended>
-std::vector<Command> stops_of_ended(const WorkerHeartbeat& heartbeat, Ended&& ended) {
+template <class JobEnded>
+std::vector<Command> stops_of_ended(const WorkerHeartbeat& heartbeat, JobEnded&& job_ended) {
   std::vector<Command> commands;
   for (const auto& status : heartbeat.tasks)
-    if (status.state != TaskState::Exited && ended(status.key.job))
+    if (status.state != TaskState::Exited && job_ended(status.key.job))
       commands.push_back({Verb::Stop, status.key, status.attempt, 0});
   return commands;
 }
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -14,7 +14,7 @@
 void DependencyGraph::update(const JobRecord& record) {
   const std::string& id = record.spec.id;
   if (record.state == JobState::Pending) {
-    enter(id, State::Pending, 0);
+    set_state(id, State::Pending, 0);
     const Node& node = nodes_.at(id);
     if (node.state == State::Pending && node.dependencies.empty())
       add_dependencies(id, record.spec.dependencies);
@@ -25,15 +25,15 @@
 
 void DependencyGraph::finished(const std::string& id, JobState state, uint64_t ended_ms) {
   if (!nodes_.contains(id)) return;
-  enter(id, state == JobState::Done ? State::Done : State::Cancelled, ended_ms);
+  set_state(id, state == JobState::Done ? State::Done : State::Cancelled, ended_ms);
 }
 
 void DependencyGraph::forget(const std::string& id) {
   const auto found = nodes_.find(id);
   if (found == nodes_.end()) return;
-  if (!over(found->second)) enter(id, State::Unknown, 0);
-  release_dependencies(id);
-  drop_if_unneeded(id);
+  if (!is_terminal(found->second)) set_state(id, State::Unknown, 0);
+  remove_dependency_edges(id);
+  erase_if_unreferenced(id);
 }
 
 void DependencyGraph::clear() {
@@ -41,45 +41,45 @@
   unknown_.clear();
 }
 
-void DependencyGraph::enter(const std::string& id, State next, uint64_t ended_ms) {
+void DependencyGraph::set_state(const std::string& id, State next, uint64_t ended_ms) {
   Node& node = nodes_[id];
-  if (node.state == next || over(node)) return;
+  if (node.state == next || is_terminal(node)) return;
   node.state = next;
   if (next == State::Unknown)
     unknown_.insert(id);
   else
     unknown_.erase(id);
-  if (!over(node)) return;
+  if (!is_terminal(node)) return;
   node.ended_ms = ended_ms;
   if (next == State::Done) {
-    for (const auto& dependent : node.dependents) dependency_done(nodes_.at(dependent), node);
+    for (const auto& dependent : node.dependents) on_dependency_done(nodes_.at(dependent), node);
   } else {
     cancel_dependents(id);
   }
-  release_dependencies(id);
-  drop_if_unneeded(id);
+  remove_dependency_edges(id);
+  erase_if_unreferenced(id);
 }
 
 void DependencyGraph::add_dependencies(const std::string& id,
                                        const std::vector<std::string>& dependencies) {
-  bool doomed = false;
+  bool has_cancelled_dependency = false;
   for (const auto& dependency_id : dependencies) {
     Node& dependency = nodes_[dependency_id];
     if (!dependency.dependents.insert(id).second) continue;
     Node& node = nodes_.at(id);
     node.dependencies.push_back(dependency_id);
-    ++node.open;
-    if (dependency.state == State::Done) dependency_done(node, dependency);
+    ++node.unfinished_dependencies;
+    if (dependency.state == State::Done) on_dependency_done(node, dependency);
     if (dependency.state == State::Unknown) unknown_.insert(dependency_id);
-    doomed = doomed || dependency.cancelled;
+    has_cancelled_dependency = has_cancelled_dependency || dependency.cancelled;
   }
-  if (!doomed) return;
+  if (!has_cancelled_dependency) return;
   nodes_.at(id).cancelled = true;
   cancel_dependents(id);
 }
 
-void DependencyGraph::dependency_done(Node& dependent, const Node& dependency) {
-  --dependent.open;
+void DependencyGraph::on_dependency_done(Node& dependent, const Node& dependency) {
+  --dependent.unfinished_dependencies;
   dependent.ready_ms = std::max(dependent.ready_ms, dependency.ended_ms);
 }
 
@@ -99,16 +99,16 @@
 }
 
 /// Removes the job's dependency edges, which a job in a terminal state no longer needs.
-void DependencyGraph::release_dependencies(const std::string& id) {
+void DependencyGraph::remove_dependency_edges(const std::string& id) {
   const auto found = nodes_.find(id);
   if (found == nodes_.end()) return;
   for (const auto& dependency : std::exchange(found->second.dependencies, {})) {
     nodes_.at(dependency).dependents.erase(id);
-    drop_if_unneeded(dependency);
+    erase_if_unreferenced(dependency);
   }
 }
 
-void DependencyGraph::drop_if_unneeded(const std::string& id) {
+void DependencyGraph::erase_if_unreferenced(const std::string& id) {
   const auto found = nodes_.find(id);
   if (found == nodes_.end()) return;
   const Node& node = found->second;
@@ -119,7 +119,7 @@
 
 bool DependencyGraph::ready(const std::string& id) const {
   const Node* node = find(id);
-  return !node || node->open == 0;
+  return !node || node->unfinished_dependencies == 0;
 }
 
 bool DependencyGraph::cancelled(const std::string& id) const {
@@ -130,14 +130,14 @@
 bool DependencyGraph::certain(const std::string& id) const {
   if (unknown_.empty() || cancelled(id)) return true;
   std::unordered_set<std::string_view> seen{id};
-  std::vector<std::string_view> open{id};
-  while (!open.empty()) {
-    const Node* node = find(std::string(open.back()));
-    open.pop_back();
+  std::vector<std::string_view> to_visit{id};
+  while (!to_visit.empty()) {
+    const Node* node = find(std::string(to_visit.back()));
+    to_visit.pop_back();
     if (!node) continue;
     if (node->state == State::Unknown) return false;
     for (const auto& dependency : node->dependencies)
-      if (seen.insert(dependency).second) open.push_back(dependency);
+      if (seen.insert(dependency).second) to_visit.push_back(dependency);
   }
   return true;
 }
@@ -149,7 +149,7 @@
 
 std::optional<FinishedRecord> DependencyGraph::end_of(const std::string& id) const {
   const Node* node = find(id);
-  if (!node || !over(*node)) return std::nullopt;
+  if (!node || !is_terminal(*node)) return std::nullopt;
   FinishedRecord record;
   record.state = node->state == State::Done ? JobState::Done : JobState::Cancelled;
   record.ended_ms = node->ended_ms;
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -61,7 +61,7 @@
   struct Node {
     State state = State::Unknown;
     bool cancelled = false;  ///< the job itself or a direct or transitive dependency
-    size_t open = 0;         ///< number of dependencies that are not done
+    size_t unfinished_dependencies = 0;
     uint64_t ready_ms = 0;
     uint64_t ended_ms = 0;  ///< set with a terminal state
     std::vector<std::string> dependencies;
@@ -69,16 +69,16 @@
   };
 
   const Node* find(const std::string& id) const;
-  static bool over(const Node& node) {
+  static bool is_terminal(const Node& node) {
     return node.state == State::Done || node.state == State::Cancelled;
   }
   /// Sets a node's state and propagates it to its dependents. No other function changes a state.
-  void enter(const std::string& id, State next, uint64_t ended_ms);
+  void set_state(const std::string& id, State next, uint64_t ended_ms);
   void add_dependencies(const std::string& id, const std::vector<std::string>& dependencies);
-  void dependency_done(Node& dependent, const Node& dependency);
+  void on_dependency_done(Node& dependent, const Node& dependency);
   void cancel_dependents(const std::string& id);
-  void release_dependencies(const std::string& id);
-  void drop_if_unneeded(const std::string& id);
+  void remove_dependency_edges(const std::string& id);
+  void erase_if_unreferenced(const std::string& id);
 
   std::unordered_map<std::string, Node> nodes_;
   std::set<std::string> unknown_;
--- a/src/jobs/fair_share.cpp
+++ b/src/jobs/fair_share.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 /// Tolerance for rounding errors in sums of floating-point amounts.
-constexpr double kSlack = 1e-6;
+constexpr double kRoundingTolerance = 1e-6;
 
-bool covers(const TeamSettings& team, const Resources& request) {
+bool has_required_share(const TeamSettings& team, const Resources& request) {
   return request.gpus > 0 ? team.gpus > 0 : team.cpus > 0;
 }
 
-bool exceeds(double used, double fair_share) {
-  return fair_share > 0 && used > fair_share + kSlack;
+bool exceeds_share(double used, double fair_share) {
+  return fair_share > 0 && used > fair_share + kRoundingTolerance;
 }
 
-bool falls_short(double running, double lost, double fair_share) {
-  return fair_share > 0 && lost > 0 && running - lost < fair_share - kSlack;
+bool falls_below_share(double running, double lost, double fair_share) {
+  return fair_share > 0 && lost > 0 && running - lost < fair_share - kRoundingTolerance;
 }
 
 bool submitted_earlier(const UnfinishedJob& left, const UnfinishedJob& right) {
@@ -46,9 +46,9 @@
   for (const auto& job : jobs) {
     Claim& claim = claims.at(job.spec->team);
     claim.claimed += job.spec->request.times(job.tasks_left);
-    if (exceeds(claim.claimed.cpus, claim.team->cpus)) continue;
-    if (exceeds(claim.claimed.gpus, claim.team->gpus)) continue;
-    if (covers(*claim.team, job.spec->request)) within.insert(job.spec->id);
+    if (exceeds_share(claim.claimed.cpus, claim.team->cpus)) continue;
+    if (exceeds_share(claim.claimed.gpus, claim.team->gpus)) continue;
+    if (has_required_share(*claim.team, job.spec->request)) within.insert(job.spec->id);
   }
   return within;
 }
@@ -72,8 +72,8 @@
   const auto found = teams_.find(team);
   if (found == teams_.end()) return false;
   const auto& [settings, running] = found->second;
-  return !falls_short(running.cpus, amounts.cpus, settings->cpus) &&
-         !falls_short(running.gpus, amounts.gpus, settings->gpus);
+  return !falls_below_share(running.cpus, amounts.cpus, settings->cpus) &&
+         !falls_below_share(running.gpus, amounts.gpus, settings->gpus);
 }
 
 }  // namespace sumacquay
--- a/src/jobs/ranges.h
+++ b/src/jobs/ranges.h
@@ -50,13 +50,13 @@
   size_t spans() const { return spans_.size(); }
   bool operator==(const Ranges& other) const { return spans_ == other.spans_; }
 
-  /// A subset of at most `max_spans` ranges. Ranges that contain numbers of `kept` come first, so
-  /// that a record of limited size loses no number that it already contains, then the lowest
+  /// A subset of at most `max_spans` ranges. Ranges that contain numbers of `preferred` come first,
+  /// so that a record of limited size loses no number that it already contains, then the lowest
   /// others.
-  Ranges first_spans(size_t max_spans, const Ranges& kept) const {
+  Ranges first_spans(size_t max_spans, const Ranges& preferred) const {
     if (spans_.size() <= max_spans) return *this;
     Ranges out;
-    for (const auto& [first, last] : kept.spans_) {
+    for (const auto& [first, last] : preferred.spans_) {
       if (out.spans_.size() >= max_spans) return out;
       if (contains(first)) out.insert_span(*std::prev(spans_.upper_bound(first)));
     }
@@ -71,11 +71,11 @@
   /// at 0, two small integers for each range.
   std::vector<uint32_t> to_lengths() const {
     std::vector<uint32_t> out;
-    uint32_t at = 0;
+    uint32_t previous_end = 0;
     for (const auto& [first, last] : spans_) {
-      out.push_back(first - at);
+      out.push_back(first - previous_end);
       out.push_back(last - first);
-      at = last;
+      previous_end = last;
     }
     return out;
   }
@@ -84,15 +84,15 @@
   /// lengths are not a valid encoding of a set of numbers below `end`.
   static bool from_lengths(const std::vector<uint32_t>& lengths, uint32_t end, Ranges& out) {
     if (lengths.size() % 2) return false;
-    uint64_t at = 0;
+    uint64_t previous_end = 0;
     Ranges ranges;
     for (size_t i = 0; i < lengths.size(); i += 2) {
-      const uint64_t first = at + lengths[i];
+      const uint64_t first = previous_end + lengths[i];
       const uint64_t last = first + lengths[i + 1];
       if (last > end || lengths[i + 1] == 0 || (i > 0 && lengths[i] == 0)) return false;
       ranges.spans_[static_cast<uint32_t>(first)] = static_cast<uint32_t>(last);
       ranges.count_ += lengths[i + 1];
-      at = last;
+      previous_end = last;
     }
     out = std::move(ranges);
     return true;
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -14,8 +14,8 @@
 
 /// Tolerates rounding errors in sums of floating-point amounts. A quota of 0 means no limit.
 bool exceeds_quota(double amount, double quota) {
-  constexpr double kSlack = 1e-6;
-  return quota > 0 && amount > quota + kSlack;
+  constexpr double kRoundingTolerance = 1e-6;
+  return quota > 0 && amount > quota + kRoundingTolerance;
 }
 
 }  // namespace
@@ -33,8 +33,10 @@
   });
   if (!fits) return "a task fits no allowed machine type";
   // Tasks of an array may run one at a time; tasks of gangs and services all run concurrently.
-  const Resources at_once = spec.request.times(spec.kind == JobKind::Array ? 1 : spec.tasks);
-  if (exceeds_quota(at_once.cpus, team->cpus_max) || exceeds_quota(at_once.gpus, team->gpus_max))
+  const Resources concurrent_request =
+      spec.request.times(spec.kind == JobKind::Array ? 1 : spec.tasks);
+  if (exceeds_quota(concurrent_request.cpus, team->cpus_max) ||
+      exceeds_quota(concurrent_request.gpus, team->gpus_max))
     return "more than the team's limit";
   return {};
 }
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -36,9 +36,10 @@
   }
   /// Tolerates rounding errors in sums of floating-point amounts.
   bool fits_in(const Resources& capacity) const {
-    constexpr double kSlack = 1e-6;
-    return cpus <= capacity.cpus + kSlack && gpus <= capacity.gpus + kSlack &&
-           memory_gb <= capacity.memory_gb + kSlack;
+    constexpr double kRoundingTolerance = 1e-6;
+    return cpus <= capacity.cpus + kRoundingTolerance &&
+           gpus <= capacity.gpus + kRoundingTolerance &&
+           memory_gb <= capacity.memory_gb + kRoundingTolerance;
   }
   bool operator==(const Resources&) const = default;
 };
--- a/src/placement/bin_packing.cpp
+++ b/src/placement/bin_packing.cpp
@@ -83,8 +83,8 @@
 
 /// Tries each zone, because a single-zone gang may fit in a zone other than that of the fullest
 /// machine.
-std::vector<Assignment> pack_gang_in_some_zone(const PlacementRequest& placement_request,
-                                               std::vector<CandidateMachine>& candidates) {
+std::vector<Assignment> pack_gang_in_any_zone(const PlacementRequest& placement_request,
+                                              std::vector<CandidateMachine>& candidates) {
   std::vector<std::string> zones;
   append_zones(zones, candidates);
   for (const auto& zone : zones) {
@@ -101,11 +101,11 @@
 std::vector<Assignment> bin_pack(const PlacementRequest& placement_request,
                                  std::vector<CandidateMachine>& candidates) {
   auto assignments = pack_partially(placement_request, candidates);
-  const bool whole = assignments.size() == placement_request.tasks.size();
-  if (placement_request.spec->kind != JobKind::Gang || whole) return assignments;
+  const bool complete = assignments.size() == placement_request.tasks.size();
+  if (placement_request.spec->kind != JobKind::Gang || complete) return assignments;
   release(placement_request, candidates, assignments);
   if (!placement_request.spec->one_zone) return {};
-  return pack_gang_in_some_zone(placement_request, candidates);
+  return pack_gang_in_any_zone(placement_request, candidates);
 }
 
 /// Ranks the machines once per job, which gives the same result as ranking again for each task at a
--- a/src/placement/candidate_machine.h
+++ b/src/placement/candidate_machine.h
@@ -23,9 +23,9 @@
   /// Whether one more task with this request fits now. Only tasks that need GPUs may use reserved
   /// resources.
   bool fits(const Resources& request) const {
-    Resources open = available;
-    if (request.gpus == 0) open -= reserved;
-    return request.fits_in(open);
+    Resources usable = available;
+    if (request.gpus == 0) usable -= reserved;
+    return request.fits_in(usable);
   }
 };
 
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -14,10 +14,10 @@
 
 bool zone_has_room(const JobSpec& spec, const TasksPerZone& zones, const std::string& zone) {
   if (spec.one_zone) {
-    const bool elsewhere = std::any_of(zones.begin(), zones.end(), [&](const auto& used) {
-      return used.second > 0 && used.first != zone;
-    });
-    if (elsewhere) return false;
+    const bool has_tasks_in_other_zone =
+        std::any_of(zones.begin(), zones.end(),
+                    [&](const auto& entry) { return entry.second > 0 && entry.first != zone; });
+    if (has_tasks_in_other_zone) return false;
   }
   if (!spec.spread) return true;
   const auto found = zones.find(zone);
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -21,8 +21,8 @@
 /// Whether the request may preempt the victim, which must have lower priority or be beyond its
 /// team's fair share. Preempting one task of a gang stops the whole gang, so a gang is preempted
 /// only for a task that needs a substantial fraction of the resources of one gang task.
-bool may_stop(const PlacementRequest& placement_request, const Victim& victim) {
-  constexpr double kMinGangShare = 0.4;
+bool may_preempt(const PlacementRequest& placement_request, const Victim& victim) {
+  constexpr double kMinGangRequestFraction = 0.4;
   const JobSpec& spec = *placement_request.spec;
   if (victim.stopped) return false;
   if (victim.priority >= placement_request.priority() &&
@@ -30,13 +30,14 @@
     return false;
   if (!victim.gang) return true;
   const bool by_gpus = victim.request.gpus > 0;
-  return by_gpus ? spec.request.gpus >= kMinGangShare * victim.request.gpus
-                 : spec.request.cpus >= kMinGangShare * victim.request.cpus;
+  return by_gpus ? spec.request.gpus >= kMinGangRequestFraction * victim.request.gpus
+                 : spec.request.cpus >= kMinGangRequestFraction * victim.request.cpus;
 }
 
-/// Cost of preempting the victim in seconds of lost progress. Each priority level adds 1000 s.
+/// Cost of preempting the victim in seconds of lost progress.
 double cost_of(const Victim& victim) {
-  return 1 + victim.loss_s + 1000.0 * static_cast<int>(victim.priority);
+  constexpr double kSecondsPerPriorityLevel = 1000.0;
+  return 1 + victim.loss_s + kSecondsPerPriorityLevel * static_cast<int>(victim.priority);
 }
 
 /// Preemption on one machine, with its cost.
@@ -59,55 +60,57 @@
   std::vector<std::vector<size_t>> victims_per_candidate(size_t candidates) const {
     std::vector<std::vector<size_t>> per_candidate(candidates);
     for (size_t victim = 0; victim < victims_.size(); ++victim)
-      if (may_stop(placement_request_, victims_[victim]))
+      if (may_preempt(placement_request_, victims_[victim]))
         per_candidate[victims_[victim].candidate].push_back(victim);
     return per_candidate;
   }
 
   /// The victims to preempt on the machine with this index; none if the task does not fit even so.
-  /// `stoppable` lists the victims on the machine; the call may reorder it.
+  /// `preemptible` lists the victims on the machine; the call may reorder it.
   std::optional<PreemptionPlan> plan(size_t index, const CandidateMachine& candidate,
-                                     std::vector<size_t>& stoppable) const {
-    Resources open = candidate.available;
-    open += candidate.releasing;
+                                     std::vector<size_t>& preemptible) const {
+    Resources free_resources = candidate.available;
+    free_resources += candidate.releasing;
     // Cheap check first: it rules out most machines before victims are sorted.
-    if (!fits_without_all(stoppable, open) ||
+    if (!fits_without_all_victims(preemptible, free_resources) ||
         !eligible(candidate, placement_request_, placement_request_.zones))
       return std::nullopt;
-    if (request_.fits_in(open)) return PreemptionPlan{{index, {}, true}, 0};
-    sort_by_cost(stoppable);
-    return choose_victims(index, stoppable, open);
+    if (request_.fits_in(free_resources)) return PreemptionPlan{{index, {}, true}, 0};
+    sort_by_cost(preemptible);
+    return choose_victims(index, preemptible, free_resources);
   }
 
  private:
-  bool fits_without_all(const std::vector<size_t>& stoppable, Resources open) const {
-    for (const size_t victim : stoppable) open += victims_[victim].request;
-    return request_.fits_in(open);
+  bool fits_without_all_victims(const std::vector<size_t>& preemptible,
+                                Resources free_resources) const {
+    for (const size_t victim : preemptible) free_resources += victims_[victim].request;
+    return request_.fits_in(free_resources);
   }
 
-  void sort_by_cost(std::vector<size_t>& stoppable) const {
-    std::sort(stoppable.begin(), stoppable.end(), [&](size_t left, size_t right) {
+  void sort_by_cost(std::vector<size_t>& preemptible) const {
+    std::sort(preemptible.begin(), preemptible.end(), [&](size_t left, size_t right) {
       return std::tie(victims_[left].priority, victims_[left].loss_s) <
              std::tie(victims_[right].priority, victims_[right].loss_s);
     });
   }
 
   /// Adds victims, cheapest first, until the task fits.
-  std::optional<PreemptionPlan> choose_victims(size_t index, const std::vector<size_t>& stoppable,
-                                               Resources open) const {
+  std::optional<PreemptionPlan> choose_victims(size_t index, const std::vector<size_t>& preemptible,
+                                               Resources free_resources) const {
     PreemptionPlan plan{{index, {}, false}, 0};
     std::vector<size_t>& chosen = plan.preemption.victims;
-    for (const size_t victim : stoppable) {
-      if (request_.fits_in(open)) break;
+    for (const size_t victim : preemptible) {
+      if (request_.fits_in(free_resources)) break;
       if (victims_[victim].priority >= placement_request_.priority() &&
           !team_keeps_fair_share(victims_[victim], chosen))
         continue;
-      open += victims_[victim].request;
+      free_resources += victims_[victim].request;
       plan.cost += cost_of(victims_[victim]);
       chosen.push_back(victim);
     }
-    if (!request_.fits_in(open)) return std::nullopt;
-    if (placement_request_.within_fair_share) plan.cost -= drop_unneeded_victims(chosen, open);
+    if (!request_.fits_in(free_resources)) return std::nullopt;
+    if (placement_request_.within_fair_share)
+      plan.cost -= remove_redundant_victims(chosen, free_resources);
     return plan;
   }
 
@@ -122,18 +125,18 @@
 
   /// Removes victims without which the task still fits, most costly first: a large victim that was
   /// added last may make smaller ones unnecessary. Returns the total cost of the removed victims.
-  double drop_unneeded_victims(std::vector<size_t>& chosen, Resources open) const {
-    double saved = 0;
+  double remove_redundant_victims(std::vector<size_t>& chosen, Resources free_resources) const {
+    double saved_cost = 0;
     for (size_t i = chosen.size(); i-- > 0;) {
       const Victim& victim = victims_[chosen[i]];
-      Resources without = open;
-      without -= victim.request;
-      if (!request_.fits_in(without)) continue;
-      open = without;
-      saved += cost_of(victim);
+      Resources remaining = free_resources;
+      remaining -= victim.request;
+      if (!request_.fits_in(remaining)) continue;
+      free_resources = remaining;
+      saved_cost += cost_of(victim);
       chosen.erase(chosen.begin() + static_cast<std::ptrdiff_t>(i));
     }
-    return saved;
+    return saved_cost;
   }
 
   const PlacementRequest& placement_request_;
@@ -149,10 +152,10 @@
                                   const std::vector<Victim>& victims,
                                   const RunningResources& running) {
   const PreemptionSearch search(placement_request, victims, running);
-  auto stoppable = search.victims_per_candidate(candidates.size());
+  auto preemptible = search.victims_per_candidate(candidates.size());
   std::optional<PreemptionPlan> best;
   for (size_t i = 0; i < candidates.size(); ++i) {
-    auto plan = search.plan(i, candidates[i], stoppable[i]);
+    auto plan = search.plan(i, candidates[i], preemptible[i]);
     if (!plan) continue;
     if (plan->preemption.already_releasing) return std::move(plan->preemption);
     if (!best || plan->cost < best->cost) best = std::move(plan);
--- a/src/placement/reservation.cpp
+++ b/src/placement/reservation.cpp
@@ -12,21 +12,21 @@
 namespace sumacquay {
 namespace {
 
-/// The zone where the most tasks fit on `candidates` and `soon` combined; ties go to the first zone
-/// by name. None if no task fits anywhere.
+/// The zone where the most tasks fit on `candidates` and `booting` combined; ties go to the first
+/// zone by name. None if no task fits anywhere.
 std::optional<std::string> best_zone(const PlacementRequest& placement_request,
                                      std::vector<CandidateMachine>& candidates,
-                                     std::vector<CandidateMachine> soon) {
+                                     std::vector<CandidateMachine> booting) {
   std::vector<std::string> zones;
   append_zones(zones, candidates);
-  append_zones(zones, soon);
+  append_zones(zones, booting);
   std::sort(zones.begin(), zones.end());
   std::optional<std::string> best;
   size_t best_count = 0;
   for (const auto& zone : zones) {
     if (!allowed_zone(*placement_request.spec, zone)) continue;
     const size_t count = count_fitting_in_zone(zone, placement_request, candidates) +
-                         count_fitting_in_zone(zone, placement_request, soon);
+                         count_fitting_in_zone(zone, placement_request, booting);
     if (count <= best_count) continue;
     best = zone;
     best_count = count;
@@ -42,10 +42,10 @@
 
 void reserve_for_gang(PlacementRequest& placement_request,
                       std::vector<CandidateMachine>& candidates,
-                      const std::vector<CandidateMachine>& soon) {
+                      const std::vector<CandidateMachine>& booting) {
   std::vector<Assignment> reserved;
   if (placement_request.spec->one_zone) {
-    const auto zone = best_zone(placement_request, candidates, soon);
+    const auto zone = best_zone(placement_request, candidates, booting);
     if (!zone) return;
     reserved = pack_partially_in_zone(*zone, placement_request, candidates);
     placement_request.zones[*zone] += 1;  // binds the remaining tasks to this zone
@@ -60,7 +60,7 @@
   const Resources& request = placement_request.spec->request;
   if (request.gpus <= 0) return;
   struct Reservable {
-    double minus_cpus = 0;  ///< negated, so that the most available CPUs come first
+    double negated_available_cpus = 0;  ///< negated, so that the most available CPUs come first
     size_t candidate = 0;
     auto operator<=>(const Reservable&) const = default;
   };
--- a/src/store/dependency_reader.h
+++ b/src/store/dependency_reader.h
@@ -13,29 +13,30 @@
 /// not include finished jobs. Called by RecordCache; does not modify the tables itself.
 class DependencyReader {
  public:
-  using Found = std::function<void(const std::string& id, FinishedRecord record)>;
+  using RecordReadCallback = std::function<void(const std::string& id, FinishedRecord record)>;
 
-  /// `found` is called with each record that was read and must add it to the tables.
+  /// `on_record_read` is called with each record that was read and must add it to the tables.
   DependencyReader(KeyValueStoreClient& store, LoadGeneration& generation,
-                   const RecordTables& tables, double retry_s, Found found);
+                   const RecordTables& tables, double retry_delay_s,
+                   RecordReadCallback on_record_read);
 
   /// Reads the records of all unknown dependencies sequentially and retries failed reads. Does
   /// nothing while a read is in flight.
   void read_unknown();
   /// Must be called when a load starts, because the response to a read in flight is then dropped.
-  void reset() { reading_ = false; }
+  void reset() { read_in_flight_ = false; }
 
  private:
   void read(const std::string& id);
-  void on_answer(const std::string& id, const HttpResult& result);
+  void on_response(const std::string& id, const HttpResult& result);
 
   KeyValueStoreClient& store_;
   LoadGeneration& generation_;
   const RecordTables& tables_;
-  double retry_s_;  ///< delay after a failed read
-  Found found_;
-  bool reading_ = false;
-  std::string last_read_;  ///< id of the last job that was read; reads go round-robin by id
+  double retry_delay_s_;  ///< delay after a failed read
+  RecordReadCallback on_record_read_;
+  bool read_in_flight_ = false;
+  std::string last_read_id_;  ///< id of the last job that was read; reads go round-robin by id
 };
 
 }  // namespace sumacquay
--- a/src/store/key_value_store_client.cpp
+++ b/src/store/key_value_store_client.cpp
@@ -12,17 +12,17 @@
 /// A node's budget as a fraction of the store's rate limits. The budgets of all nodes add up to
 /// more than the limits, because bursts reach one node at a time; a response with status 429 drains
 /// the node's bucket.
-constexpr double kBudgetShare = 0.85;
-constexpr size_t kMaxQueued = 2000;
+constexpr double kBudgetFraction = 0.85;
+constexpr size_t kMaxQueuedRequests = 2000;
 /// Interval at which queued requests are checked against the budget again.
-constexpr std::chrono::milliseconds kQueueInterval{10};
-/// Request deadline as a fraction of the worker lease.
-constexpr double kDeadlineLeaseShare = 0.15;
+constexpr std::chrono::milliseconds kQueueCheckInterval{10};
+/// Request timeout as a fraction of the worker lease.
+constexpr double kTimeoutLeaseFraction = 0.15;
 /// Fraction of a burst that requests of each priority leave for higher priorities.
-constexpr std::array<double, kPriorities> kReserve{0.0, 0.1, 0.3};
+constexpr std::array<double, kPriorities> kReservedBurstFraction{0.0, 0.1, 0.3};
 
-constexpr size_t kMaxUrgentQueued = 16;
-constexpr size_t kMaxWatchesQueued = 4;
+constexpr size_t kMaxQueuedUrgentRequests = 16;
+constexpr size_t kMaxQueuedWatches = 4;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusBadRequest = 400;
@@ -39,18 +39,18 @@
   return result.answered && result.status == kStatusUnavailable;
 }
 
-TransactionResult parse_transaction_answer(const HttpResult& answer, bool with_lease) {
+TransactionResult parse_transaction_response(const HttpResult& response, bool with_lease) {
   TransactionResult result;
-  if (!answer.answered) return result;
-  const auto revision = wire::parse_revision(answer.body);
-  switch (answer.status) {
+  if (!response.answered) return result;
+  const auto revision = wire::parse_revision(response.body);
+  switch (response.status) {
     case kStatusOk:
       result.outcome = revision ? TransactionOutcome::Committed : TransactionOutcome::Unknown;
       result.revision = revision.value_or(0);
       break;
     case kStatusConflict:
       result.outcome = TransactionOutcome::PreconditionFailed;
-      result.failed = wire::parse_failed(answer.body);
+      result.failed = wire::parse_failed(response.body);
       break;
     case kStatusBadRequest:
       result.outcome = with_lease ? TransactionOutcome::NoLease : TransactionOutcome::TooLarge;
@@ -65,12 +65,13 @@
 
 KeyValueStoreClient::KeyValueStoreClient(asio::io_context& io, const Settings& settings)
     : io_(io),
-      deadline_s_(settings.lease_s * kDeadlineLeaseShare),
-      urgent_(io, settings.state, fixed_sockets::kUrgentStateConnections, kMaxUrgentQueued),
-      normal_(io, settings.state, fixed_sockets::kStateConnections, kMaxQueued),
-      watches_(io, settings.state, fixed_sockets::kWatchConnections, kMaxWatchesQueued),
-      request_budget_(settings.state_rps * kBudgetShare),
-      write_budget_(settings.state_write_rps * kBudgetShare),
+      request_timeout_s_(settings.lease_s * kTimeoutLeaseFraction),
+      urgent_client_(io, settings.state, fixed_sockets::kUrgentStateConnections,
+                     kMaxQueuedUrgentRequests),
+      normal_client_(io, settings.state, fixed_sockets::kStateConnections, kMaxQueuedRequests),
+      watch_client_(io, settings.state, fixed_sockets::kWatchConnections, kMaxQueuedWatches),
+      request_budget_(settings.state_rps * kBudgetFraction),
+      write_budget_(settings.state_write_rps * kBudgetFraction),
       queue_timer_(io),
       refilled_at_(Clock::now()),
       last_served_(Clock::now()) {}
@@ -85,29 +86,30 @@
 }
 
 void KeyValueStoreClient::send(HttpClient& client, Request request) {
-  client.request(request.method, request.target, request.body, deadline_s_,
+  client.request(request.method, request.target, request.body, request_timeout_s_,
                  with_status_tracking(std::move(request.done)));
 }
 
 /// The store does not execute a request that it rejects with status 429, so the request is queued
 /// again until its deadline. Failing it instead would cost the user a second or more.
-void KeyValueStoreClient::send_until_accepted(RequestPriority priority, Request request) {
+void KeyValueStoreClient::send_with_rate_limit_retries(RequestPriority priority, Request request) {
   Request attempt = request;
   attempt.done = [this, priority, request = std::move(request)](HttpResult result) {
     const std::chrono::duration<double> age = Clock::now() - request.submitted_at;
-    if (!rate_limited(result) || age.count() > deadline_s_) return request.done(std::move(result));
+    if (!rate_limited(result) || age.count() > request_timeout_s_)
+      return request.done(std::move(result));
     queue(priority).push_front(request);
-    send_queued_later();
+    schedule_send_queued();
   };
-  send(normal_, std::move(attempt));
+  send(normal_client_, std::move(attempt));
 }
 
 void KeyValueStoreClient::submit(RequestPriority priority, Request request) {
-  if (queue(priority).size() >= kMaxQueued) {
-    HttpResult refused;
-    refused.answered = true;
-    refused.status = kStatusTooManyRequests;
-    asio::post(io_, [done = std::move(request.done), refused] { done(refused); });
+  if (queue(priority).size() >= kMaxQueuedRequests) {
+    HttpResult rejected;
+    rejected.answered = true;
+    rejected.status = kStatusTooManyRequests;
+    asio::post(io_, [done = std::move(request.done), rejected] { done(rejected); });
     return;
   }
   request.submitted_at = Clock::now();
@@ -126,20 +128,21 @@
 /// Leadership requests bypass the budget: a late lease renewal costs far more than a 429 response.
 bool KeyValueStoreClient::within_budget(RequestPriority priority, const Request& request) const {
   if (priority == RequestPriority::Leadership) return true;
-  if (!request_budget_.has(1, kReserve[static_cast<size_t>(priority)])) return false;
+  if (!request_budget_.has_tokens(1, kReservedBurstFraction[static_cast<size_t>(priority)]))
+    return false;
   // One available write admits a transaction with several mutations, which overdraws the bucket.
-  return request.writes <= 0 || write_budget_.has(std::min(request.writes, 1.0), 0);
+  return request.writes <= 0 || write_budget_.has_tokens(std::min(request.writes, 1.0), 0);
 }
 
-void KeyValueStoreClient::send_first(RequestPriority priority) {
+void KeyValueStoreClient::send_next(RequestPriority priority) {
   Request request = std::move(queue(priority).front());
   queue(priority).pop_front();
   request_budget_.take(1);
   write_budget_.take(request.writes);
   if (priority == RequestPriority::Leadership)
-    send(urgent_, std::move(request));
+    send(urgent_client_, std::move(request));
   else
-    send_until_accepted(priority, std::move(request));
+    send_with_rate_limit_retries(priority, std::move(request));
 }
 
 void KeyValueStoreClient::send_queued() {
@@ -147,15 +150,15 @@
   for (const RequestPriority priority :
        {RequestPriority::Leadership, RequestPriority::Record, RequestPriority::Background})
     while (!queue(priority).empty() && within_budget(priority, queue(priority).front()))
-      send_first(priority);
+      send_next(priority);
   if (!queue(RequestPriority::Record).empty() || !queue(RequestPriority::Background).empty())
-    send_queued_later();
+    schedule_send_queued();
 }
 
-void KeyValueStoreClient::send_queued_later() {
+void KeyValueStoreClient::schedule_send_queued() {
   if (queue_timer_armed_) return;
   queue_timer_armed_ = true;
-  queue_timer_.expires_after(kQueueInterval);
+  queue_timer_.expires_after(kQueueCheckInterval);
   queue_timer_.async_wait([this](auto error) {
     queue_timer_armed_ = false;
     if (!error) send_queued();
@@ -172,7 +175,7 @@
   const bool with_lease = std::ranges::any_of(
       mutations, [](const wire::Mutation& mutation) { return mutation.lease != 0; });
   request.done = [done = std::move(done), with_lease](const HttpResult& result) {
-    done(parse_transaction_answer(result, with_lease));
+    done(parse_transaction_response(result, with_lease));
   };
   submit(priority, std::move(request));
 }
@@ -183,7 +186,8 @@
 
 void KeyValueStoreClient::watch(const std::string& target, double wait_s, HttpDone done) {
   request_budget_.take(1);
-  watches_.request("GET", target, {}, wait_s + deadline_s_, with_status_tracking(std::move(done)));
+  watch_client_.request("GET", target, {}, wait_s + request_timeout_s_,
+                        with_status_tracking(std::move(done)));
 }
 
 void KeyValueStoreClient::grant(double ttl_s, std::function<void(std::optional<uint64_t>)> done) {
@@ -194,15 +198,16 @@
                  }});
 }
 
-void KeyValueStoreClient::renew(uint64_t lease, double deadline_s,
+void KeyValueStoreClient::renew(uint64_t lease, double timeout_s,
                                 std::function<void(Renewal)> done) {
   request_budget_.take(1);
-  urgent_.request("POST", wire::renew_path(lease), {}, deadline_s,
-                  with_status_tracking([done = std::move(done)](const HttpResult& result) {
-                    if (result.ok()) return done(Renewal::Renewed);
-                    done(result.answered && result.status == kStatusNotFound ? Renewal::Ended
-                                                                             : Renewal::Failed);
-                  }));
+  urgent_client_.request("POST", wire::renew_path(lease), {}, timeout_s,
+                         with_status_tracking([done = std::move(done)](const HttpResult& result) {
+                           if (result.ok()) return done(Renewal::Renewed);
+                           done(result.answered && result.status == kStatusNotFound
+                                    ? Renewal::Ended
+                                    : Renewal::Failed);
+                         }));
 }
 
 void KeyValueStoreClient::revoke(uint64_t lease, HttpDone done) {
--- a/src/store/key_value_store_client.h
+++ b/src/store/key_value_store_client.h
@@ -81,7 +81,7 @@
     Failed,  ///< no usable response: the lease may or may not have been renewed
   };
   /// Renews a lease. Bypasses the budget and the request queues.
-  void renew(uint64_t lease, double deadline_s, std::function<void(Renewal)> done);
+  void renew(uint64_t lease, double timeout_s, std::function<void(Renewal)> done);
 
   /// Revokes a lease before it expires.
   void revoke(uint64_t lease, HttpDone done);
@@ -103,16 +103,18 @@
   /// leadership requests, watches and large transactions overdraw it.
   class TokenBucket {
    public:
-    explicit TokenBucket(double rate) : rate_(rate), burst_(rate), level_(rate) {}
-    void refill(double elapsed_s) { level_ = std::min(burst_, level_ + rate_ * elapsed_s); }
+    explicit TokenBucket(double rate) : rate_(rate), burst_(rate), tokens_(rate) {}
+    void refill(double elapsed_s) { tokens_ = std::min(burst_, tokens_ + rate_ * elapsed_s); }
     /// Whether `count` tokens are available on top of `reserve`, a fraction of the burst.
-    bool has(double count, double reserve) const { return level_ >= count + reserve * burst_; }
-    void take(double count) { level_ -= count; }
+    bool has_tokens(double count, double reserve) const {
+      return tokens_ >= count + reserve * burst_;
+    }
+    void take(double count) { tokens_ -= count; }
     /// Empties the bucket after a 429 response, which shows that the budget was too large.
-    void drain() { level_ = std::min(level_, 0.0); }
+    void drain() { tokens_ = std::min(tokens_, 0.0); }
 
    private:
-    double rate_, burst_, level_;
+    double rate_, burst_, tokens_;
   };
 
   /// Queues a request and sends as many queued requests as the budget allows.
@@ -120,10 +122,10 @@
   void refill_buckets();
   void send_queued();
   bool within_budget(RequestPriority priority, const Request& request) const;
-  void send_first(RequestPriority priority);
-  void send_queued_later();
+  void send_next(RequestPriority priority);
+  void schedule_send_queued();
   void send(HttpClient& client, Request request);
-  void send_until_accepted(RequestPriority priority, Request request);
+  void send_with_rate_limit_retries(RequestPriority priority, Request request);
   std::deque<Request>& queue(RequestPriority priority) {
     return queues_[static_cast<size_t>(priority)];
   }
@@ -131,8 +133,9 @@
   HttpDone with_status_tracking(HttpDone done);
 
   asio::io_context& io_;
-  double deadline_s_;
-  HttpClient urgent_, normal_, watches_;  ///< separate pools, so none delays another
+  double request_timeout_s_;
+  /// Separate connection pools, so that none delays another.
+  HttpClient urgent_client_, normal_client_, watch_client_;
   std::array<std::deque<Request>, kPriorities> queues_;
   TokenBucket request_budget_, write_budget_;
   asio::steady_timer queue_timer_;
--- a/src/store/record_cache.h
+++ b/src/store/record_cache.h
@@ -39,7 +39,7 @@
   static constexpr size_t kFinishedKept = 20000;
 
   RecordCache(asio::io_context& io, const Settings& settings, KeyValueStoreClient& store,
-              size_t finished_kept = kFinishedKept);
+              size_t max_finished = kFinishedKept);
   /// Starts loading the snapshot, followed by the watch. Must be called once.
   void start();
   void set_listener(Listener listener) { listener_ = std::move(listener); }
@@ -47,7 +47,7 @@
   /// Whether a complete snapshot has been loaded.
   bool loaded() const { return state_ == State::Following; }
   /// The cache includes all writes that were committed before this time.
-  Clock::time_point known_at() const { return known_at_; }
+  Clock::time_point known_at() const { return fresh_as_of_; }
   /// Read barrier for linearizable reads: calls `done` with true once the cache includes all writes
   /// committed before this call, or with false if that can't be ensured now. Calls `done` once,
   /// never from inside this call. One request to the store completes all waiting barriers.
@@ -92,22 +92,22 @@
  private:
   enum class State { Loading, Following };
 
-  void enter(State next);
+  void set_state(State next);
 
   // Loading.
   void load();
   void on_snapshot_loaded(uint64_t first_revision);
 
   // Watching.
-  void follow();
+  void send_watch();
   void apply_watch_response(const HttpResult& result, Clock::time_point requested_at);
   void apply_changes(const wire::StorePage& page, Clock::time_point requested_at);
-  void record_read_outcome(const HttpResult& result, bool readable);
+  void track_read_outcome(const HttpResult& result, bool succeeded);
   void reload_if_store_reachable();
 
   // Read barriers.
   void send_barrier_read();
-  void barrier_answered(const std::vector<BarrierDone>& served, bool fresh);
+  void complete_barriers(const std::vector<BarrierDone>& barriers, bool fresh);
   void reject_waiting_barriers();
 
   void apply_item(const wire::StoreItem& item);
@@ -117,24 +117,24 @@
 
   asio::io_context& io_;
   KeyValueStoreClient& store_;
-  double watch_wait_s_;        ///< maximum time for which a watch waits for a change
-  double retry_s_;             ///< delay after a failed read
+  double watch_timeout_s_;     ///< maximum time for which a watch waits for a change
+  double retry_delay_s_;       ///< delay after a failed read
   double barrier_interval_s_;  ///< delay between a barrier's response and the next barrier
   Listener listener_;
 
   State state_ = State::Loading;
-  Clock::time_point known_at_{};
-  Clock::time_point loading_since_{};
+  Clock::time_point fresh_as_of_{};
+  Clock::time_point load_started_at_{};
 
   RecordTables tables_;
   LoadGeneration generation_;
   SnapshotLoader snapshot_loader_;
   DependencyReader dependency_reader_;
 
-  std::vector<BarrierDone> waiting_;
+  std::vector<BarrierDone> waiting_barriers_;
   bool barrier_running_ = false;
-  int failed_reads_ = 0;  ///< consecutive reads of changes without a usable response
-  bool probing_ = false;  ///< a probe of whether the store is reachable is in flight
+  int failed_reads_ = 0;          ///< consecutive reads of changes without a usable response
+  bool probe_in_flight_ = false;  ///< a probe of whether the store is reachable is in flight
 };
 
 }  // namespace sumacquay
--- a/src/store/record_tables.cpp
+++ b/src/store/record_tables.cpp
@@ -8,7 +8,7 @@
 namespace sumacquay {
 namespace {
 
-std::string id_after(const std::string& prefix, const std::string& key) {
+std::string strip_prefix(const std::string& prefix, const std::string& key) {
   return key.substr(prefix.size());
 }
 
@@ -23,7 +23,7 @@
   live_.clear();
   dependencies_.clear();
   hosts_.clear();
-  host_deleted_.clear();
+  host_deletion_versions_.clear();
   leader_ = {};
   term_ = {};
   leader_version_ = 0;
@@ -31,17 +31,18 @@
 
 AppliedChange RecordTables::apply(const wire::StoreItem& item) {
   const std::string& key = item.key;
-  if (key.starts_with(keys::kLive)) return apply_live(id_after(keys::kLive, key), item);
-  if (key.starts_with(keys::kFinished)) return apply_finished(id_after(keys::kFinished, key), item);
-  if (key.starts_with(keys::kHost)) return apply_host(id_after(keys::kHost, key), item);
+  if (key.starts_with(keys::kLive)) return apply_live(strip_prefix(keys::kLive, key), item);
+  if (key.starts_with(keys::kFinished))
+    return apply_finished(strip_prefix(keys::kFinished, key), item);
+  if (key.starts_with(keys::kHost)) return apply_host(strip_prefix(keys::kHost, key), item);
   if (key == keys::kLeader) return apply_leader(item);
   if (key == keys::kTerm) return apply_term(item);
   return {};
 }
 
 AppliedChange RecordTables::apply_live(const std::string& id, const wire::StoreItem& item) {
-  const auto known = live_.find(id);
-  if (known != live_.end() && known->second.version >= item.version) return {};
+  const auto existing = live_.find(id);
+  if (existing != live_.end() && existing->second.version >= item.version) return {};
   // A finished job never becomes live again, even if an older change of its live record arrives.
   if (item.value.missing() || finished_.contains(id)) {
     live_.erase(id);
@@ -63,10 +64,10 @@
 }
 
 AppliedChange RecordTables::apply_host(const std::string& id, const wire::StoreItem& item) {
-  const auto known = hosts_.find(id);
-  if (known != hosts_.end() && known->second.version >= item.version) return {};
-  const auto deleted = host_deleted_.find(id);
-  if (deleted != host_deleted_.end() && deleted->second >= item.version) return {};
+  const auto existing = hosts_.find(id);
+  if (existing != hosts_.end() && existing->second.version >= item.version) return {};
+  const auto deletion = host_deletion_versions_.find(id);
+  if (deletion != host_deletion_versions_.end() && deletion->second >= item.version) return {};
   const auto record = item.value.missing() ? std::nullopt : wire::decode_host(item.value);
   if (record)
     hosts_[id] = {*record, item.version};
@@ -96,8 +97,9 @@
 void RecordTables::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
-    if (const auto* known = finished(id)) dependencies_.finished(id, known->state, known->ended_ms);
-    if (const auto* known = live(id)) dependencies_.update(known->value);
+    if (const auto* existing = finished(id))
+      dependencies_.finished(id, existing->state, existing->ended_ms);
+    if (const auto* existing = live(id)) dependencies_.update(existing->value);
   }
 }
 
@@ -120,9 +122,9 @@
 bool RecordTables::wrote_job(const JobRecord& record, uint64_t version) {
   const std::string& id = record.spec.id;
   if (version <= revision_ || finished_.contains(id)) return false;
-  auto& known = live_[id];
-  if (known.version >= version) return false;
-  known = {record, version};
+  auto& existing = live_[id];
+  if (existing.version >= version) return false;
+  existing = {record, version};
   track_dependencies(record);
   return true;
 }
@@ -134,7 +136,7 @@
     return;
   }
   hosts_.erase(id);
-  host_deleted_[id] = version;
+  host_deletion_versions_[id] = version;
 }
 
 void RecordTables::wrote_leader(const wire::LeaderRecord& record, uint64_t version) {
--- a/src/store/record_tables.h
+++ b/src/store/record_tables.h
@@ -106,7 +106,8 @@
   std::deque<std::string> finished_order_;  ///< oldest first
   DependencyGraph dependencies_;
   std::map<std::string, Versioned<HostRecord>> hosts_;
-  std::map<std::string, uint64_t> host_deleted_;  ///< versions at which this node deleted hosts
+  /// Versions at which this node deleted hosts, by id.
+  std::map<std::string, uint64_t> host_deletion_versions_;
   Versioned<wire::LeaderRecord> leader_;
   Versioned<wire::LeaderRecord> term_;
   uint64_t leader_version_ = 0;  ///< newest version of the leader key, including deletions
--- a/src/store/snapshot_loader.cpp
+++ b/src/store/snapshot_loader.cpp
@@ -8,7 +8,7 @@
 namespace sumacquay {
 namespace {
 
-constexpr int kPageItems = 200;
+constexpr int kMaxItemsPerPage = 200;
 
 /// The key prefixes that are loaded, in this order. Finished jobs are read on demand instead.
 const std::vector<std::string>& load_order() {
@@ -20,18 +20,21 @@
 }  // namespace
 
 SnapshotLoader::SnapshotLoader(KeyValueStoreClient& store, LoadGeneration& generation,
-                               double retry_s, Callbacks callbacks)
-    : store_(store), generation_(generation), retry_s_(retry_s), callbacks_(std::move(callbacks)) {}
+                               double retry_delay_s, Callbacks callbacks)
+    : store_(store),
+      generation_(generation),
+      retry_delay_s_(retry_delay_s),
+      callbacks_(std::move(callbacks)) {}
 
 void SnapshotLoader::load_page(const Position& position) {
   const std::string target =
-      wire::page_path(load_order()[position.prefix], position.after, kPageItems);
-  const auto on_answer = [this, position](const HttpResult& result) {
+      wire::page_path(load_order()[position.prefix], position.after, kMaxItemsPerPage);
+  const auto on_response = [this, position](const HttpResult& result) {
     const auto page = result.ok() ? wire::parse_page(result.body) : std::nullopt;
     if (page) return on_page(position, *page);
-    generation_.schedule_unless_reloaded(retry_s_, [this, position] { load_page(position); });
+    generation_.schedule_unless_reloaded(retry_delay_s_, [this, position] { load_page(position); });
   };
-  store_.read(RequestPriority::Record, target, generation_.unless_reloaded(on_answer));
+  store_.read(RequestPriority::Record, target, generation_.unless_reloaded(on_response));
 }
 
 void SnapshotLoader::on_page(Position position, const wire::StorePage& page) {
--- a/src/store/snapshot_loader.h
+++ b/src/store/snapshot_loader.h
@@ -21,7 +21,7 @@
     std::function<void(uint64_t first_revision)> loaded;
   };
 
-  SnapshotLoader(KeyValueStoreClient& store, LoadGeneration& generation, double retry_s,
+  SnapshotLoader(KeyValueStoreClient& store, LoadGeneration& generation, double retry_delay_s,
                  Callbacks callbacks);
 
   /// Loads all pages and retries failed reads. The caller must first abandon any load in progress
@@ -42,7 +42,7 @@
 
   KeyValueStoreClient& store_;
   LoadGeneration& generation_;
-  double retry_s_;  ///< delay after a failed read
+  double retry_delay_s_;  ///< delay after a failed read
   Callbacks callbacks_;
 };
 
