--- a/src/fleet/worker_heartbeat.h
+++ b/src/fleet/worker_heartbeat.h
@@ -20,7 +20,8 @@
 /// State of a task attempt as reported by its worker.
 enum class TaskState { Fetching, Waiting, Running, Checkpointing, Exited };
 /// Reason why a task attempt has exited. `GangMemberGone`: another task of its gang exited.
-/// `Alone`: the other tasks of its gang did not become ready in time.
+/// `Alone`: its gang was not complete within `gang_wait_s`. `Busy`: the worker refused the start
+/// because another attempt of the same task is on the machine.
 enum class ExitCause { None, Done, Stopped, GangMemberGone, Alone, Error, NoRoom, Busy, Unknown };
 
 /// A task attempt as reported by its worker.
--- a/src/store/key_value_store_client.h
+++ b/src/store/key_value_store_client.h
@@ -13,9 +13,9 @@
 #include "net/http_client.h"
 #include "wire/store_messages.h"
 
-/// Client of the consensus-backed key-value store (also called the state service). This module owns
-/// the connections to the store, the request queues and the node's share of the rate limits. Keys
-/// and values are opaque to it (see wire/records.h for their encoding, record_cache.h for caching).
+/// Client of the consensus-backed key-value store. This module owns the connections to the store,
+/// the request queues and the node's share of the rate limits. Keys and values are opaque to it
+/// (see wire/records.h for their encoding, record_cache.h for caching).
 namespace sumacquay {
 
 /// Outcome of a transaction.
@@ -23,7 +23,8 @@
   Committed,
   PreconditionFailed,  ///< not committed
   NoLease,             ///< not committed: the lease of a value has expired
-  /// Not committed, without a lease in it: exceeds the store's limits, which have been lowered.
+  /// Not committed: exceeds a limit of the store. Transactions keep to the limits in the settings,
+  /// so the store's limits have been lowered. Only for transactions without a lease.
   TooLarge,
   Refused,  ///< not executed: rate limited, or the store is unavailable
   Unknown,  ///< no conclusive response: may have been committed, or may be committed later
