--- a/src/frontend/cancellation_handler.cpp
+++ b/src/frontend/cancellation_handler.cpp
@@ -43,7 +43,7 @@
     record_cache_.wrote_job(cancelled, result.revision);
     return respond(final_state_reply(id, JobState::Cancelled));
   }
-  // The leader has written the record in between: its new version has to be looked up.
+  // The leader changed the record after the look-up: look up the new version and retry.
   if (result.outcome == TransactionOutcome::PreconditionFailed && retries < kMaxRetries)
     return attempt_cancel(id, retries + 1, respond);
   respond(unavailable_reply());
--- a/src/frontend/cancellation_handler.h
+++ b/src/frontend/cancellation_handler.h
@@ -9,21 +9,22 @@
 
 namespace sumacquay {
 
-/// Carries out users' cancellations by writing them into the job's record; the leader stops the
-/// tasks. The front end calls it.
+/// Handles cancellation requests: marks the job's record as cancelled, and the leader then stops
+/// the job's tasks. Called by `Frontend`.
 class CancellationHandler {
  public:
-  /// Refers to its arguments, which outlive it.
+  /// Keeps references to its arguments, which must outlive it.
   CancellationHandler(const Settings& settings, KeyValueStoreClient& store,
                       RecordCache& record_cache, JobLookup& lookup)
       : settings_(settings), store_(store), record_cache_(record_cache), lookup_(lookup) {}
 
-  /// Responds 200 with the state in which the job stays: cancelled, or done if it ended before.
-  /// 404: there is no such job; 503: whether it was cancelled is open.
+  /// Responds 200 with the job's final state: cancelled, or done if it finished first. Responds 404
+  /// if the job does not exist, and 503 if it is not known whether the job was cancelled.
   void cancel(const std::string& id, const Respond& respond) { attempt_cancel(id, 0, respond); }
 
  private:
-  /// `retries`: how often the record changed between its look-up and the write.
+  /// `retries` is the number of attempts that failed because the record changed between the look-up
+  /// and the write.
   void attempt_cancel(const std::string& id, int retries, const Respond& respond);
   void write_cancelled(const Versioned<JobRecord>& record, int retries, const Respond& respond);
   void on_written(const JobRecord& cancelled, const TransactionResult& result, int retries,
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -10,7 +10,7 @@
 namespace sumacquay {
 namespace {
 
-/// The limit on requests in progress at its lowest / at its highest.
+/// Lowest value of the adaptive limit on requests in progress, as a fraction of its maximum.
 constexpr double kMinLimitShare = 1.0 / 14;
 
 constexpr std::string_view kJobsPath = wire::path::kJobs;
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -14,31 +14,32 @@
 
 namespace sumacquay {
 
-/// The users' side of a node, whether or not it leads: routes submissions, queries and
-/// cancellations to their handlers and limits how many are in progress. It owns the handlers. The
-/// node calls it; it must not know of the leader's decisions.
+/// The user-facing HTTP API of a node, on the leader and on followers. Routes submissions, queries
+/// and cancellations to its handlers, which it owns, and limits the number of requests in progress.
+/// Called by the node; must not depend on the leader's scheduling decisions.
 class Frontend {
  public:
   using Sources = FrontendSources;
 
-  /// Refers to the settings, the store and the cache, which outlive it. `max_in_progress`: users'
-  /// requests that may be handled at once.
+  /// Keeps references to the settings, the store and the cache, which must outlive it.
+  /// `max_in_progress` is the maximum number of user requests handled concurrently.
   Frontend(const Settings& settings, size_t max_in_progress, KeyValueStoreClient& store,
            RecordCache& record_cache, Sources sources);
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
 
-  /// Handles a request to one of the users' paths and responds to it, at once or later. False: it
-  /// is not one of the users' paths, and there is no response.
+  /// Handles a request whose path belongs to the user API and responds to it, synchronously or
+  /// later. Returns false, without a response, for any other path.
   bool handle(const HttpRequest& request, Respond respond);
 
-  /// Requests that are not answered yet.
+  /// Number of requests that have not been answered yet.
   int in_progress() const { return limit_.in_progress(); }
 
  private:
   void route(const HttpRequest& request, const Respond& respond);
   void route_to_job(const HttpRequest& request, const Respond& respond);
-  /// The same response, which also leaves the limit and tells it how long the request took.
+  /// Wraps `respond` so that it also frees the request's slot in the concurrency limit and reports
+  /// the request's latency to the limit.
   Respond leaving_limit(Respond respond);
 
   Sources sources_;
--- a/src/frontend/frontend_sources.h
+++ b/src/frontend/frontend_sources.h
@@ -9,13 +9,14 @@
 
 namespace sumacquay {
 
-/// What the front end asks of the node that it belongs to. All of it may be called at any time.
+/// Callbacks through which the front end reads the state of the node that owns it. Each may be
+/// called at any time.
 struct FrontendSources {
-  /// The machine types that can be rented; empty while they are not known yet.
+  /// Machine types that can be rented; empty until the list has been read from the cloud.
   std::function<const std::vector<MachineType>&()> types;
-  /// Tasks of a job that run, as the leader last said; for display only.
+  /// Progress of a job as last reported by the leader; for display only.
   std::function<wire::JobProgress(const std::string& id)> counts;
-  /// Milliseconds since 1970.
+  /// Wall-clock time in milliseconds since the Unix epoch.
   std::function<uint64_t()> time_of_day_ms;
 };
 
--- a/src/frontend/job_lookup.cpp
+++ b/src/frontend/job_lookup.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 void JobLookup::look_up(const std::string& id, const Callback& callback) {
-  // The end of a job is final: no read can find it changed.
+  // The state of a finished job is final, so a cached result needs no read barrier.
   if (const auto* finished = record_cache_.finished(id))
     return callback(finished_result(*finished));
   record_cache_.read_barrier([this, id, callback](bool fresh) {
@@ -28,8 +28,8 @@
   if (const auto* live = record_cache_.live(id)) return callback(live_result(*live));
   if (const auto* finished = record_cache_.finished(id))
     return callback(finished_result(*finished));
-  // Jobs leave the live records only for the finished ones, so reading these last finds a job that
-  // moves in between.
+  // A job moves from the live records to the finished ones and never back, so reading the finished
+  // records last finds a job that moves during the look-up.
   store_.read(RequestPriority::Background, wire::item_path(keys::kFinished + id),
               [this, id, callback](const HttpResult& response) {
                 on_finished_record_read(id, response, callback);
@@ -38,7 +38,7 @@
 
 void JobLookup::on_finished_record_read(const std::string& id, const HttpResult& response,
                                         const Callback& callback) {
-  // This node may have accepted the job, and answered so, since the look-up began.
+  // This node may have accepted and acknowledged the job since the look-up began.
   if (const auto* live = record_cache_.live(id)) return callback(live_result(*live));
   if (response.answered && response.status == 404)
     return callback({Outcome::Unknown, JobState::Pending, 0, nullptr});
@@ -57,7 +57,7 @@
 
 JobLookupResult JobLookup::live_result(const Versioned<JobRecord>& record) const {
   const JobRecord& job = record.value;
-  // The end of a job that it depends on may not have been read yet: until then its state is open.
+  // The state is undetermined while the outcome of a dependency has not been read yet.
   if (!record_cache_.dependencies().certain(job.spec.id)) return {};
   return {Outcome::Live, current_state(job), job.done.count(), &record};
 }
--- a/src/frontend/job_lookup.h
+++ b/src/frontend/job_lookup.h
@@ -9,25 +9,25 @@
 #include "store/key_value_store_client.h"
 #include "store/record_cache.h"
 
-/// Linearizable look-ups of one job: what a look-up finds is at least as new as anything that any
-/// node has answered before the look-up began. The handlers of users' requests call it. It reads
-/// records and writes none, and knows nothing of HTTP replies.
+/// Linearizable look-ups of single jobs: a result is at least as recent as every answer that any
+/// node gave before the look-up began. Called by the handlers of user requests. Reads records,
+/// never writes them, and does not depend on HTTP replies.
 namespace sumacquay {
 
-/// What a look-up found out about a job.
+/// Result of looking up a job.
 struct JobLookupResult {
   enum class Outcome {
-    Live,        ///< it has a live record
-    Finished,    ///< it is over, and its live record is gone
+    Live,        ///< the job has a live record
+    Finished,    ///< the job has ended, and its live record is deleted
     Unknown,     ///< no job with this id was ever accepted
-    Unavailable  ///< nothing new enough could be read now; the user has to ask again
+    Unavailable  ///< no sufficiently recent data can be read now; the user has to retry
   };
 
   Outcome outcome = Outcome::Unavailable;
-  /// Set if the job was found. A pending job that depends on a cancelled one counts as cancelled,
-  /// also before the leader has written that down.
+  /// Set if the job was found. A pending job with a cancelled dependency reads as cancelled even
+  /// before the leader has recorded that.
   JobState state = JobState::Pending;
-  uint32_t done_tasks = 0;  ///< set if the job was found
+  uint32_t done_tasks = 0;  ///< number of done tasks; set if the job was found
   /// Set for a live job; valid only until the callback returns.
   const Versioned<JobRecord>* live_record = nullptr;
 
@@ -36,7 +36,7 @@
   }
 };
 
-/// Looks up jobs for the front end, linearizably. Does not answer users itself.
+/// Looks up jobs for the front end with linearizable reads. Does not answer users itself.
 class JobLookup {
  public:
   using Callback = std::function<void(const JobLookupResult&)>;
@@ -44,12 +44,12 @@
   JobLookup(KeyValueStoreClient& store, RecordCache& record_cache)
       : store_(store), record_cache_(record_cache) {}
 
-  /// Calls back once: at once if the job is known to be over, which no later read can change, else
-  /// after a read barrier and, for a job that the cache doesn't hold, one read of the store.
+  /// Calls back exactly once: synchronously if the cache holds the job as finished, which is final;
+  /// otherwise after a read barrier and, for a job that is not in the cache, one read of the store.
   void look_up(const std::string& id, const Callback& callback);
 
-  /// The state of a job as this node's cache has it, which may be old; none if the cache doesn't
-  /// hold the job. A job that the cache holds was certainly accepted.
+  /// State of a job in this node's cache, which may be stale; none if the cache does not hold the
+  /// job. A job in the cache is known to have been accepted.
   [[nodiscard]] std::optional<JobState> cached_state(const std::string& id) const;
 
  private:
--- a/src/frontend/query_handler.h
+++ b/src/frontend/query_handler.h
@@ -7,14 +7,15 @@
 
 namespace sumacquay {
 
-/// Answers users' queries of one job's state. The front end calls it. It writes nothing.
+/// Answers user queries for the state of a job. Called by `Frontend`. Writes nothing.
 class QueryHandler {
  public:
-  /// Refers to its arguments, which outlive it.
+  /// Keeps references to its arguments, which must outlive it.
   QueryHandler(JobLookup& lookup, const FrontendSources& sources)
       : lookup_(lookup), sources_(sources) {}
 
-  /// Responds 200 with the job's state, 404 if there is no such job, or 503.
+  /// Responds 200 with the job's state, 404 if the job does not exist, or 503 if its state cannot
+  /// be read now.
   void query(const std::string& id, const Respond& respond);
 
  private:
--- a/src/frontend/submission_handler.cpp
+++ b/src/frontend/submission_handler.cpp
@@ -11,8 +11,8 @@
 
 using Outcome = JobLookupResult::Outcome;
 
-/// The part of a record's value that a job's description may take, and what it may take together
-/// with the names of the jobs that it depends on.
+/// Maximum size of a job's description as a fraction of the key-value store's limit on a value: for
+/// a job without dependencies, and for one with dependencies, including their ids.
 constexpr double kMaxDescriptionShare = 0.5;
 constexpr double kMaxDescriptionAndDependenciesShare = 0.9;
 
@@ -24,7 +24,7 @@
 
 void SubmissionHandler::submit(std::string_view body, const Respond& respond) {
   const auto parsed = wire::parse_job(body);
-  // Without an id it can't repeat an earlier submission.
+  // Without a valid id, this cannot be a repeated submission of an existing job.
   if (parsed.id.empty()) return respond(refusal_reply(400, parsed.error));
   if (!parsed.spec)
     return respond_existing_job(parsed.id, refusal_reply(400, parsed.error), respond);
@@ -45,8 +45,8 @@
 void SubmissionHandler::check_dependencies(const std::shared_ptr<Submission>& submission,
                                            const Respond& respond) {
   while (!submission->unchecked_dependencies.empty()) {
-    // A job in the cache was certainly accepted. What has happened to it since the cache was
-    // brought up to date follows from both jobs' records later.
+    // A job in the cache is known to have been accepted. Its cached state may be stale; the effect
+    // of later changes is derived from the records of both jobs.
     const auto state = lookup_.cached_state(submission->unchecked_dependencies.back());
     if (!state) return look_up_dependency(submission, respond);
     submission->apply_dependency(*state);
@@ -91,7 +91,8 @@
 }
 
 bool SubmissionHandler::too_large(const JobSpec& spec, std::string_view encoded_record) const {
-  // Done numbers and hosts come into a record only once its dependencies have left it.
+  // Done tasks and hosts are added to a record only after its dependencies have been removed, so
+  // dependencies may take up the space that is kept for them.
   const double share =
       spec.dependencies.empty() ? kMaxDescriptionShare : kMaxDescriptionAndDependenciesShare;
   const size_t size = wire::json_size(wire::Document::parse(encoded_record)->root());
@@ -115,8 +116,8 @@
   const std::string& id = record.spec.id;
   const bool depends = record.state == JobState::Pending && !record.spec.dependencies.empty();
   if (!depends) return respond(accepted_reply(id, record.state));
-  // The dependencies were checked against a cache that may be old: one of them may be cancelled
-  // since, and some node may have answered so.
+  // The dependencies were checked against a cache that may be stale: a dependency may have been
+  // cancelled since, and a node may already have reported this job as cancelled.
   lookup_.look_up(id, [id, respond](const JobLookupResult& job) {
     respond(job.found() ? accepted_reply(id, job.state) : unavailable_reply());
   });
--- a/src/frontend/submission_handler.h
+++ b/src/frontend/submission_handler.h
@@ -13,12 +13,12 @@
 
 namespace sumacquay {
 
-/// Accepts users' jobs: reads a submission, checks what it depends on and writes its record. The
-/// front end calls it. When and where a job runs is not decided here.
+/// Accepts job submissions: parses a submission, checks its dependencies and writes the job's
+/// record. Called by `Frontend`. Does not decide when or where a job runs.
 ///
-/// Submissions are idempotent: whatever is wrong with one, a job of its id that was accepted before
-/// is answered as such. Another node may have known other machine types, or may have received the
-/// whole of a submission that lacks a field here.
+/// Submissions are idempotent: if a job with the same id was accepted before, the answer is the
+/// state of that job, even if this submission is invalid. Another node may have known other machine
+/// types, or may have received the complete submission where this one lacks a field.
 class SubmissionHandler {
  public:
   /// Refers to its arguments, which outlive it.
@@ -30,18 +30,19 @@
         lookup_(lookup),
         sources_(sources) {}
 
-  /// Responds 201 to a job that is accepted, 200 to one that was accepted before, 400 to one that
-  /// is malformed or too large, 422 to one that can never run, or 503.
+  /// Responds 201 if the job is accepted, 200 if it was accepted before, 400 if the submission is
+  /// malformed or too large, 422 if the job can never run or depends on a job that was never
+  /// accepted, or 503 if the user has to retry.
   void submit(std::string_view body, const Respond& respond);
 
  private:
-  /// A submission while the jobs that it depends on are looked up.
+  /// A submission whose dependencies are being checked.
   struct Submission {
     JobRecord record;
     std::vector<std::string> unchecked_dependencies;
 
-    /// The dependency that was checked last leaves the unchecked ones. One that is done needs no
-    /// place in the record, and with one that is cancelled the job is cancelled.
+    /// Removes the last unchecked dependency and applies its state: a pending dependency is kept in
+    /// the record, a done one is dropped, and a cancelled one cancels the job.
     void apply_dependency(JobState state);
   };
 
@@ -50,7 +51,8 @@
   void accept(const JobRecord& record, const Respond& respond);
   void on_written(const JobRecord& record, const TransactionResult& result, const Respond& respond);
   void respond_accepted(const JobRecord& record, const Respond& respond);
-  /// Answers a job that was accepted before; `if_unknown` is the reply if none was.
+  /// Responds with the state of the job if it was accepted before, and with `if_unknown` if it was
+  /// not.
   void respond_existing_job(const std::string& id, const HttpReply& if_unknown,
                             const Respond& respond);
   [[nodiscard]] bool too_large(const JobSpec& spec, std::string_view encoded_record) const;
--- a/src/frontend/user_replies.h
+++ b/src/frontend/user_replies.h
@@ -7,20 +7,22 @@
 #include "net/http_message.h"
 #include "wire/user_messages.h"
 
-/// The replies that several handlers of users' requests give. They decide nothing.
+/// Replies shared by the handlers of user requests. Deciding which reply to give is up to the
+/// handlers.
 namespace sumacquay {
 
-/// A refusal of the request, which is final: the same request has no chance later.
+/// A permanent rejection: the same request would be rejected again later.
 HttpReply refusal_reply(int status, const std::string& reason);
 
-/// Asks the user to send the same request again in a second. 503: something that it takes can't be
-/// had now; 429: there are too many requests.
+/// Reply that requests a retry in one second. Status 503: a resource needed for the request is
+/// unavailable; 429: too many requests are in progress.
 HttpReply unavailable_reply(int status = 503);
 
-/// The reply to a query or a cancellation of a job that was not found.
+/// Reply to a request for a job that the look-up did not find: 404 if the job does not exist, 503
+/// if the look-up failed.
 HttpReply not_found_reply(const JobLookupResult& job);
 
-/// A job's state as users see it. `running`: how many of its tasks run, as far as is known.
+/// State of a job as shown to users. `running` is the last known number of its running tasks.
 wire::UserVisibleState user_visible_state(JobState state, uint32_t running);
 
 }  // namespace sumacquay
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -7,8 +7,8 @@
 #include "fleet/worker_heartbeat.h"
 #include "jobs/spec.h"
 
-/// Requests to the cloud that rents out machines, and its answers: which types there are, which
-/// machines are rented, scale out and scale in. The node calls it; when to rent is not known here.
+/// Requests to the cloud provider and its responses: the available machine types, the rented
+/// machines, scale out and scale in. Called by the node. Scaling decisions are made elsewhere.
 namespace sumacquay::wire {
 
 namespace path {
@@ -20,26 +20,28 @@
 /// One page of the list of rented machines, in the order of their names.
 struct MachinePage {
   std::vector<ListedMachine> machines;
-  bool more = false;  ///< the next page starts after this one's last machine
+  bool more = false;  ///< another page starts after the last machine of this one
 };
 
-/// Reads the list of types that can be rented; none if any of them is invalid.
+/// Parses the list of machine types that can be rented; none if any type is invalid.
 std::optional<std::vector<MachineType>> parse_types(std::string_view body);
 
-/// Asks for a page of at most `limit` machines after the named one; from the first if it is empty.
+/// Path of a request for at most `limit` machines after the machine `after`; if `after` is empty,
+/// the page starts with the first machine.
 std::string machines_path(const std::string& after, int limit);
 
-/// Reads such a page; none if any machine on it is invalid.
+/// Parses a page of machines; none if any machine is invalid.
 std::optional<MachinePage> parse_machines(std::string_view body);
 
-/// Asks for `count` machines. The same `request` sent again rents nothing more.
+/// Encodes a request to rent `count` machines. `request` is an idempotency key: repeating it rents
+/// no further machines.
 std::string rent_body(const std::string& request, const std::string& type, const std::string& zone,
                       bool spot, int count);
 
-/// Reads which machines were rented.
+/// Parses the names of the machines that were rented; none if the response has no list of machines.
 std::optional<std::vector<std::string>> parse_rented(std::string_view body);
 
-/// Asks the cloud to take machines back.
+/// Encodes a request to return machines to the cloud.
 std::string release_body(const std::vector<std::string>& machines);
 
 }  // namespace sumacquay::wire
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -12,15 +12,15 @@
 
 #include "wire/view.h"
 
-/// Helpers that the message modules of this directory share: packing MessagePack maps and lists,
-/// mapping enumerators to their names on the wire, and reading required fields and lists. They know
-/// no message. Private to src/wire and to the simulators of src/simulators.
+/// Helpers shared by the message modules of this directory: packing MessagePack maps and lists,
+/// mapping enumerators to their names on the wire, and reading required fields and lists.
+/// Independent of any particular message. Private to src/wire and src/simulators.
 namespace sumacquay::wire::codec {
 
 using Buffer = msgpack::sbuffer;
 using Packer = msgpack::packer<Buffer>;
 
-/// The bytes of what `fill` packs.
+/// Returns the bytes that `fill` packs.
 template <class Fill>
 std::string build(Fill&& fill) {
   Buffer buffer;
@@ -42,12 +42,12 @@
     packer.pack_false();
 }
 
-/// Starts a list; its `size` members follow.
+/// Packs the header of a list; the caller packs its `size` members next.
 inline void pack_list(Packer& packer, size_t size) {
   packer.pack_array(static_cast<uint32_t>(size));
 }
 
-/// Packs a whole list; `pack_member(packer, member)` packs one member.
+/// Packs a list; `pack_member(packer, member)` packs one member.
 template <class List, class PackMember>
 void pack_list(Packer& packer, const List& members, PackMember&& pack_member) {
   pack_list(packer, members.size());
@@ -59,7 +59,7 @@
   pack_list(packer, texts, pack_text);
 }
 
-// One field of a map: its name and its value.
+// Each overload packs one field of a map: its name, then its value.
 
 inline void pack_field(Packer& packer, std::string_view name, std::string_view value) {
   pack_text(packer, name);
@@ -78,7 +78,7 @@
   pack_flag(packer, value);
 }
 
-/// The name of one enumerator on the wire.
+/// Name of one enumerator on the wire.
 template <class Enum>
 struct EnumName {
   Enum value;
@@ -88,7 +88,7 @@
 template <class Enum, size_t N>
 using EnumNames = std::array<EnumName<Enum>, N>;
 
-/// The name of a value; empty if it has none.
+/// Name of an enumerator on the wire; empty if it has none.
 template <class Enum, size_t N>
 std::string_view name_of(const EnumNames<Enum, N>& names, Enum value) {
   for (const auto& name : names)
@@ -96,7 +96,7 @@
   return {};
 }
 
-/// The value with this name; none if the name is missing or not known.
+/// Enumerator with this name on the wire; none if the name is missing or unknown.
 template <class Enum, size_t N>
 std::optional<Enum> value_of(const EnumNames<Enum, N>& names, View name_on_wire) {
   const auto text = name_on_wire.text_view();
@@ -105,8 +105,8 @@
   return std::nullopt;
 }
 
-/// Reads a list with `read_member`, which returns an optional member for a View; none if any member
-/// is invalid. What isn't a list reads as an empty one.
+/// Reads a list. `read_member` takes the View of a member and returns an optional; the result is
+/// none if any member is invalid. A value that is not a list reads as an empty list.
 template <class ReadMember>
 auto read_list(View list, ReadMember&& read_member) {
   using Member = typename decltype(read_member(list))::value_type;
@@ -119,19 +119,19 @@
   return members;
 }
 
-/// Reads a list of texts; members that are no texts read as empty ones.
+/// Reads a list of strings; members of other types read as empty strings.
 inline std::vector<std::string> read_texts(View list) {
   std::vector<std::string> texts;
   for (size_t i = 0; i < list.size(); ++i) texts.push_back(list.at(i).text_or(""));
   return texts;
 }
 
-/// Reads the required fields of a map and remembers the first that is missing or invalid.
+/// Reads the required fields of a map and records the first one that is missing or invalid.
 class Fields {
  public:
   explicit Fields(View map) : map_(map) {}
 
-  /// A text of so many bytes.
+  /// A string of `min_bytes` to `max_bytes` bytes.
   std::string text(const char* name, size_t min_bytes = 0, size_t max_bytes = SIZE_MAX) {
     auto value = map_[name].text();
     if (value && value->size() >= min_bytes && value->size() <= max_bytes) return std::move(*value);
@@ -139,7 +139,7 @@
     return {};
   }
 
-  /// A quantity: not negative, and finite.
+  /// A number from 0 to `kMaxAmount`.
   double amount(const char* name) {
     const auto value = map_[name].number();
     if (value && *value >= 0 && *value <= kMaxAmount) return *value;
@@ -167,18 +167,18 @@
     return value.value_or(names[0].value);
   }
 
-  /// A field that may be missing, as it is.
+  /// An optional field, not validated.
   View operator[](const char* name) const { return map_[name]; }
 
   void record_invalid(const char* name) {
     if (error_.empty()) error_ = std::string("missing or invalid field: ") + name;
   }
 
-  /// Names the first invalid field; empty: there is none.
+  /// Error text that names the first missing or invalid field; empty if there is none.
   const std::string& error() const { return error_; }
   [[nodiscard]] bool ok() const { return error_.empty(); }
 
-  /// The message that was read from the fields; none if any of them is invalid.
+  /// Returns `message` if all required fields were valid, otherwise none.
   template <class Message>
   std::optional<Message> if_ok(Message message) const {
     if (!ok()) return std::nullopt;
@@ -191,7 +191,8 @@
   std::string error_;
 };
 
-/// Decodes a body and reads its root; none if it isn't MessagePack or `read` finds it invalid.
+/// Parses a body and reads its root value with `read`; none if the body is not valid MessagePack or
+/// `read` rejects it.
 template <class Message, class Read>
 std::optional<Message> read_root(std::string_view body, Read&& read) {
   const auto document = Document::parse(body);
--- a/src/wire/enum_names.h
+++ b/src/wire/enum_names.h
@@ -3,9 +3,9 @@
 #include "wire/codec.h"
 #include "wire/user_messages.h"
 
-/// The protocol's names of enumerators that both sides of a message need: src/wire, and the
-/// simulators of src/simulators, which stand for workers, users, the cloud and the key-value store.
-/// Each entry maps an enumerator, by the code's term, to the protocol's word.
+/// Names of enumerators in the protocol, for messages that src/wire and src/simulators both encode
+/// or decode (the simulators implement workers, users, the cloud and the key-value store). Each
+/// entry maps an enumerator to its name on the wire.
 namespace sumacquay::wire::enum_names {
 
 using codec::EnumNames;
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/// The protocol's names of fields that several messages use: each line maps the protocol's word, on
-/// the right, to the term that the code uses, on the left. Those that one message alone has stand
-/// in its module (a job's in job_spec_codec.cpp), enumerators in enum_names.h, and the names in our
-/// own records in records.cpp and peer_heartbeat.cpp. No module but these knows the protocol's
-/// words. Private to src/wire and the simulators.
+/// Names of the fields that several messages share: each constant maps a term of this code to the
+/// name that the protocol uses. Fields of a single message are named in its module (for example
+/// those of a job in job_spec_codec.cpp), enumerators in enum_names.h, and the fields of records
+/// and peer heartbeats in records.cpp and peer_heartbeat.cpp. No other module refers to the names
+/// of the protocol. Private to src/wire and src/simulators.
 namespace sumacquay::wire::field {
 
 // Jobs and tasks.
@@ -39,7 +39,7 @@
 inline constexpr const char* kSet = "set";
 inline constexpr const char* kDelete = "delete";
 
-// Pages of lists.
+// Paged lists.
 inline constexpr const char* kMore = "more";
 
 }  // namespace sumacquay::wire::field
--- a/src/wire/job_spec_codec.cpp
+++ b/src/wire/job_spec_codec.cpp
@@ -14,7 +14,7 @@
 constexpr uint64_t kMaxTasks = 100000;
 constexpr uint32_t kRequiredFields = 17;
 
-// The protocol's words for fields that a job's description alone has.
+// Names in the protocol of the fields that occur only in job descriptions.
 constexpr const char* kJobClass = "pattern";
 constexpr const char* kTeam = "guild";
 constexpr const char* kKind = "weave";
@@ -36,7 +36,7 @@
                                               {Priority::Normal, "normal"},
                                               {Priority::Low, "best_effort"}}};
 
-/// The machine types that the job may run on; where the field is missing, any.
+/// Reads the machine types that the job may run on; a missing field allows any type.
 void read_types(Fields& fields, JobSpec& spec) {
   const View types = fields[field::kTypes];
   if (types.missing()) return;
@@ -51,7 +51,7 @@
   }
 }
 
-/// The jobs that it depends on, each once; where the field is missing, none.
+/// Reads the dependencies of the job, without duplicates; a missing field means none.
 void read_dependencies(Fields& fields, JobSpec& spec) {
   const View dependencies = fields[kDependencies];
   if (dependencies.missing()) return;
--- a/src/wire/json_size.cpp
+++ b/src/wire/json_size.cpp
@@ -8,16 +8,18 @@
 namespace sumacquay::wire {
 namespace {
 
+// Sizes of JSON tokens in bytes.
 constexpr size_t kQuotes = 2;
 constexpr size_t kBrackets = 2;
-constexpr size_t kShortEscape = 2;    // \n and its like
-constexpr size_t kUnicodeEscape = 6;  // \u0000
+constexpr size_t kShortEscape = 2;    // e.g. \n
+constexpr size_t kUnicodeEscape = 6;  // e.g. \u0000
 constexpr size_t kNull = 4;
 constexpr size_t kTrue = 4;
 constexpr size_t kFalse = 5;
 
 using Pending = std::vector<const msgpack::object*>;
 
+// Lowest values of the kinds of bytes in UTF-8 sequences.
 constexpr unsigned char kFirstContinuation = 0x80;
 constexpr unsigned char kFirstLead = 0xc0;
 constexpr unsigned char kFirstLeadOfThree = 0xe0;
@@ -30,7 +32,7 @@
   return byte < kFirstPrintable || byte == kDelete ? kUnicodeEscape : 1;
 }
 
-/// How many bytes follow the first of a UTF-8 character outside ASCII.
+/// Number of continuation bytes after the lead byte of a multi-byte UTF-8 sequence.
 int continuations_after(unsigned char lead) {
   if (lead >= kFirstLeadOfFour) return 3;
   return lead >= kFirstLeadOfThree ? 2 : 1;
@@ -62,7 +64,7 @@
   return std::trunc(number) == number ? size + kPointZero : size;
 }
 
-/// Commas between members, and the brackets around them.
+/// Size of the brackets of a list or map and of the commas between its members.
 size_t frame_size(uint32_t members) {
   return kBrackets + (members > 0 ? members - 1 : 0);
 }
@@ -72,7 +74,7 @@
   return frame_size(list.size);
 }
 
-/// Names of other types than text are written as texts.
+/// JSON keys are strings, so keys of other types are counted with quotes.
 size_t map_size(const msgpack::object_map& map, Pending& pending) {
   size_t size = frame_size(map.size);
   for (uint32_t i = 0; i < map.size; ++i) {
@@ -84,7 +86,7 @@
   return size;
 }
 
-/// The bytes of a value without its members, which become pending.
+/// Size of a value without its members, which are added to `pending`.
 size_t own_size(const msgpack::object& value, Pending& pending) {
   switch (value.type) {
     case msgpack::type::BOOLEAN:
@@ -103,7 +105,7 @@
     case msgpack::type::MAP:
       return map_size(value.via.map, pending);
     default:
-      return kNull;  // bodies hold no other types
+      return kNull;  // nil; bodies contain no other types
   }
 }
 
@@ -111,7 +113,7 @@
 
 size_t json_size(std::string_view text) {
   size_t size = kQuotes;
-  int continuations = 0;  // bytes that belong to the character before
+  int continuations = 0;  // continuation bytes still expected for the current character
   for (const char letter : text) {
     const auto byte = static_cast<unsigned char>(letter);
     if (byte >= kFirstContinuation && byte < kFirstLead && continuations > 0) {
@@ -121,7 +123,7 @@
     continuations = byte >= kFirstLead ? continuations_after(byte) : 0;
     if (byte < kFirstContinuation)
       size += ascii_size(byte);
-    else  // four bytes are written as a surrogate pair
+    else  // a four-byte sequence is escaped as a surrogate pair
       size += byte >= kFirstLeadOfFour ? 2 * kUnicodeEscape : kUnicodeEscape;
   }
   return size;
--- a/src/wire/json_size.h
+++ b/src/wire/json_size.h
@@ -4,18 +4,20 @@
 
 #include "wire/view.h"
 
-/// How large values are in compact JSON form, in which the platform counts the limits on sizes
-/// although bodies are MessagePack. The frontend and whatever decides on records call it.
+/// Sizes of values in compact JSON form. The platform's size limits apply to that form, although
+/// bodies are encoded as MessagePack. Called by the front end and by the code that limits the size
+/// of records.
 ///
-/// Serializers differ; each size here is that of the longest usual form, so that what fits by it
-/// fits by any of them: characters outside ASCII are escaped, and whole floating-point numbers end
-/// in ".0".
+/// Serializers differ. Each size is that of the longest common form, so a value that fits by this
+/// measure fits with any serializer: characters outside ASCII are escaped, and whole floating-point
+/// numbers end in ".0".
 namespace sumacquay::wire {
 
-/// The bytes of a value in JSON form; 0 if there is none. Takes no more stack for a nested value.
+/// Size of a value in bytes; 0 if the value is missing. Iterative: stack use does not grow with the
+/// depth of nesting.
 size_t json_size(View value);
 
-/// The bytes of a text in JSON form, with its quotes.
+/// Size of a string in bytes, including its quotes.
 size_t json_size(std::string_view text);
 
 }  // namespace sumacquay::wire
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// All messages at once. New code includes the header of the counterpart it talks to.
+/// Includes the headers of all messages. New code includes only the header for the counterpart that
+/// it communicates with.
 #include "wire/cloud_messages.h"
 #include "wire/peer_heartbeat.h"
 #include "wire/records.h"
--- a/src/wire/peer_heartbeat.cpp
+++ b/src/wire/peer_heartbeat.cpp
@@ -28,11 +28,11 @@
 constexpr const char* kBooting = "booting";
 constexpr const char* kFragment = "piece";
 
-// Lists within a heartbeat hold their fields by position.
-constexpr size_t kStatusFields = 3;  ///< one more if it has answered under a delegation
+// Lists within a heartbeat identify their fields by position. Numbers of fields:
+constexpr size_t kStatusFields = 3;  ///< plus one after answers given under a delegation
 constexpr size_t kDelegationFields = 3;
 constexpr size_t kFragmentFields = 4;
-constexpr size_t kPeerHeartbeatFields = 10;  ///< one more for a delegation, and for a fragment
+constexpr size_t kPeerHeartbeatFields = 10;  ///< plus one each for a delegation and a fragment
 constexpr size_t kCountFields = 3;
 constexpr size_t kImageFields = 2;
 constexpr size_t kBootingFields = 5;
@@ -67,14 +67,14 @@
   packer.pack_uint32(count.running);
 }
 
-/// An image with its size; the same name with another size is another image.
+/// An image with its size; the same name with a different size is a different image.
 struct Image {
   std::string_view name;
   double gb = 0;
   auto operator<=>(const Image&) const = default;
 };
 
-/// The images of a heartbeat, each one once, and which of them each machine caches.
+/// The distinct images of a heartbeat, and the images that each machine caches.
 class ImageTable {
  public:
   explicit ImageTable(const std::vector<CachedImageHint>& cached) {
@@ -92,7 +92,7 @@
     });
   }
 
-  /// A machine's line: its name, then the numbers of its images.
+  /// Packs one list per machine: its name, then the indices of its images.
   void pack_cached_images(Packer& packer) const {
     pack_list(packer, images_by_machine_.size());
     for (const auto& [machine, images] : images_by_machine_) {
@@ -110,7 +110,7 @@
 
   std::map<std::string_view, std::vector<Image>> images_by_machine_;
   std::map<Image, uint32_t> numbers_;
-  std::vector<Image> images_;  ///< by number
+  std::vector<Image> images_;  ///< by index
 };
 
 void pack_booting_machine(Packer& packer, const ListedMachine& machine) {
@@ -150,7 +150,7 @@
   return JobProgress{*job, static_cast<uint32_t>(*done), static_cast<uint32_t>(*running)};
 }
 
-/// One image of a machine, by its number in the list of images.
+/// Reads one cached image of a machine from its index in the list of images.
 std::optional<CachedImageHint> read_image(const std::string& machine, View number, View images) {
   const auto index = number.count();
   if (!index || *index >= images.size()) return std::nullopt;
@@ -162,7 +162,7 @@
   return CachedImageHint{machine, *name, *gb};
 }
 
-/// The images of one machine: its name, then their numbers.
+/// Reads the cached images of one machine: its name, then the indices of its images.
 bool read_machine_images(View line, View images, std::vector<CachedImageHint>& cached) {
   const auto machine = line.size() > 0 ? line.at(0).text() : std::nullopt;
   if (!machine) return false;
@@ -231,7 +231,7 @@
   return heartbeat;
 }
 
-/// The members of a list that belong to a fragment.
+/// The members of a list that a fragment carries.
 template <class Member>
 std::vector<Member> share_of(const std::vector<Member>& list,
                              const PeerHeartbeatFragment& fragment) {
@@ -249,7 +249,7 @@
   return head;
 }
 
-/// `head`: the whole without its lists.
+/// `head` is `whole` without its lists.
 std::string encode_fragment(const PeerHeartbeat& whole, PeerHeartbeat head,
                             const PeerHeartbeatFragment& fragment) {
   head.fragment = fragment;
@@ -260,7 +260,7 @@
   return encode_peer_heartbeat(head);
 }
 
-/// None if any fragment is longer than `limit`.
+/// Returns none if any fragment is larger than `limit` bytes.
 std::optional<std::vector<std::string>> encode_in_fragments(const PeerHeartbeat& whole,
                                                             const PeerHeartbeat& head,
                                                             uint64_t batch, size_t fragments,
@@ -313,7 +313,7 @@
 
 std::vector<std::string> encode_peer_heartbeat_fragments(const PeerHeartbeat& heartbeat,
                                                          uint64_t batch, size_t limit) {
-  // Members differ in size, and each fragment has a head of its own.
+  // Leaves space for members of unequal size and for the fields that each fragment repeats.
   constexpr double kMargin = 0.9;
   std::string whole = encode_peer_heartbeat(heartbeat);
   if (whole.size() <= limit) return {std::move(whole)};
@@ -322,7 +322,8 @@
   const double usable = kMargin * static_cast<double>(limit);
   auto fragments = static_cast<size_t>(static_cast<double>(whole.size()) / usable) + 1;
   for (;; ++fragments) {
-    // With one member in each, more fragments would not be smaller.
+    // With at most one member per list in each fragment, more fragments would not be smaller, so
+    // the limit is not enforced.
     const size_t fragment_limit = fragments < max_fragments ? limit : SIZE_MAX;
     auto bodies = encode_in_fragments(heartbeat, head, batch, fragments, fragment_limit);
     if (bodies) return std::move(*bodies);
--- a/src/wire/peer_heartbeat.h
+++ b/src/wire/peer_heartbeat.h
@@ -9,66 +9,67 @@
 #include "fleet/worker_heartbeat.h"
 #include "leadership/lease_delegation.h"
 
-/// The heartbeats that controllers send one another periodically: who leads, and what a successor
-/// could use. Safety rests on terms and delegations alone; the rest are hints. Controllers of two
-/// versions exchange them during an upgrade: fields may be added, and none may change its meaning.
-/// The peer module calls it.
+/// Heartbeats that controllers exchange periodically: who leads, and hints for a successor. Safety
+/// depends only on terms and delegations; everything else is a hint. During an upgrade, controllers
+/// of different versions exchange heartbeats: fields may be added, but must not change their
+/// meaning. Called by the peer module.
 namespace sumacquay::wire {
 
 namespace path {
 inline constexpr const char* kPeerHeartbeat = "/heartbeat";
 }  // namespace path
 
-/// A job's progress as users see it: how many of its tasks are done, and how many run.
+/// Progress of a job as shown to users: the numbers of its done and running tasks.
 struct JobProgress {
   std::string job;
   uint32_t done = 0, running = 0;
 };
 
-/// An image that a machine has in its cache, as far as the leader knows.
+/// An image in a machine's cache, as last known to the leader.
 struct CachedImageHint {
   std::string machine, image;
   double gb = 0;
 };
 
-/// What a heartbeat carries besides the status about terms. Together the parts of a large fleet
-/// would exceed the limit on a body.
+/// Content of a heartbeat in addition to the term and the delegation status. For a large fleet, all
+/// parts together would exceed the limit on the size of a body.
 enum class PeerHeartbeatPart { StatusOnly, Counts, Hints };
 
-/// The place of a heartbeat in a batch, which carries what is too long for one body.
+/// Position of a heartbeat in a batch. A batch carries content that is too large for one body.
 struct PeerHeartbeatFragment {
-  uint64_t batch = 0;      ///< increases with each batch of the sender's process
-  uint64_t index = 0;      ///< from 0
-  uint64_t fragments = 1;  ///< of the batch
-  PeerHeartbeatPart part = PeerHeartbeatPart::StatusOnly;  ///< what the batch carries
+  uint64_t batch = 0;      ///< number of the batch; increases within the sender's process
+  uint64_t index = 0;      ///< zero-based
+  uint64_t fragments = 1;  ///< number of fragments in the batch
+  PeerHeartbeatPart part = PeerHeartbeatPart::StatusOnly;  ///< content of the batch
 };
 
-/// What one controller says to another: its term, and hints for a successor.
+/// Heartbeat from one controller to another: its term, and hints for a successor.
 struct PeerHeartbeat {
-  /// Of the fragments of a batch the first alone has the batch's part, and the others are
-  /// StatusOnly: a version that knows no fragments reads the first one as if it were the whole.
+  /// In a batch, only the first fragment has the batch's part; the others are StatusOnly. A version
+  /// without support for fragments thus reads the first fragment as a complete heartbeat.
   PeerHeartbeatPart part = PeerHeartbeatPart::StatusOnly;
   std::optional<PeerHeartbeatFragment> fragment;
   std::string node;
   uint64_t term = 0;
   bool leading = false;
-  bool served = false;  ///< the key-value store answered the sender not long ago
+  bool served = false;  ///< the key-value store answered the sender recently
   DelegationStatus status;
-  std::optional<Delegation> delegation;  ///< for whom this answers
+  std::optional<Delegation> delegation;  ///< for the receiver; set only in responses
   std::vector<JobProgress> counts;
-  std::vector<CachedImageHint> images;  ///< by machine, each machine's most recently used last
-  std::vector<ListedMachine> booting;   ///< rented, and without a heartbeat so far
+  std::vector<CachedImageHint> images;  ///< grouped by machine; most recently used last
+  std::vector<ListedMachine> booting;   ///< rented machines without a heartbeat so far
 };
 
 std::string encode_peer_heartbeat(const PeerHeartbeat& heartbeat);
 
-/// The same within a body's limit: in one fragment if it fits, else in as many as it takes. Each
-/// has the status about terms; the lists are split in their order. `batch`: see
-/// PeerHeartbeatFragment.
+/// Encodes a heartbeat within the limit on the size of a body: in one body if it fits, otherwise in
+/// as many fragments as needed. Each fragment carries the term and the delegation status; the lists
+/// are split in order. `batch` is the number of the batch, see PeerHeartbeatFragment.
 std::vector<std::string> encode_peer_heartbeat_fragments(const PeerHeartbeat& heartbeat,
                                                          uint64_t batch, size_t limit);
 
-/// None if any part of it is invalid, except the delegation and its status: they read as missing.
+/// Returns none if any part is invalid, except for `served`, the status, the delegation and the
+/// fragment, which read as missing then.
 std::optional<PeerHeartbeat> decode_peer_heartbeat(std::string_view body);
 
 }  // namespace sumacquay::wire
--- a/src/wire/record_capacity.cpp
+++ b/src/wire/record_capacity.cpp
@@ -9,26 +9,27 @@
 namespace sumacquay::wire {
 namespace {
 
-/// The part of the limit on a value that is left free.
+/// Fraction of the limit on a value that is kept free.
 constexpr double kReserveShare = 1.0 / 32;
-/// Of what the description leaves, the part that done numbers may take. Hosts get the rest.
+/// Fraction of the space left by the description that done tasks may take; hosts get the rest.
 constexpr double kDoneShare = 2.0 / 3;
 constexpr size_t kComma = 1;
-/// A time of day in milliseconds that has as many digits as any for centuries.
+/// A Unix time in milliseconds with 13 digits, the most that any time before the year 2286 has.
 constexpr uint64_t kLongestTime = 9999999999999;
 
 size_t json_size_of(const JobRecord& record) {
   return json_size(Document::parse(encode_job(record))->root());
 }
 
-/// The bytes of a record without hosts and done numbers, in whichever state takes the most.
+/// Size of a record without hosts and done tasks, in the state that takes the most bytes.
 size_t described_size(const JobRecord& record) {
   JobRecord described = record;
   described.state = JobState::Cancelled;
   described.started = false;
   described.hosts.emplace();
   described.done = {};
-  // Hosts and done numbers come with the start, and the dependencies leave the record then.
+  // Dependencies are removed from the record when the job starts; hosts and done tasks are added
+  // only from then on.
   described.spec.dependencies.clear();
   described.ready_ms = kLongestTime;
   described.ended_ms = kLongestTime;
@@ -41,8 +42,9 @@
   return size;
 }
 
-/// The most bytes that so many spans take, wherever they lie. Their lengths and those of the gaps
-/// before them add up to the number of tasks at most, and take the most digits if all are equal.
+/// Upper bound on the encoded size of `spans` ranges, whatever their positions. The lengths of the
+/// ranges and of the gaps before them add up to at most the number of tasks, and take the most
+/// digits if all are equal.
 double spans_size(size_t spans, uint32_t tasks) {
   constexpr double kFirstDigitAndComma = 2;
   constexpr double kEmptyFirstGap = 2;
@@ -51,10 +53,10 @@
   return lengths * (std::log10(tasks / lengths) + kFirstDigitAndComma) + kEmptyFirstGap;
 }
 
-/// How many spans of done numbers fit in so many bytes.
+/// Maximum number of ranges of done tasks that fit in this many bytes.
 size_t spans_within(double bytes, uint32_t tasks) {
   size_t fit = 0;
-  size_t too_many = (size_t{tasks} + 1) / 2 + 1;  // between two spans is a task that isn't done
+  size_t too_many = (size_t{tasks} + 1) / 2 + 1;  // ranges are separated by a task that is not done
   while (too_many - fit > 1) {
     const size_t middle = fit + (too_many - fit) / 2;
     if (spans_size(middle, tasks) <= bytes)
--- a/src/wire/record_capacity.h
+++ b/src/wire/record_capacity.h
@@ -6,30 +6,30 @@
 #include "jobs/record.h"
 
 /// How much of a job's progress and hosts its record can hold: the key-value store limits the size
-/// of a value in JSON form. The leader and the front end, who write the records, call it.
+/// of a value in JSON form. Called by the leader and the front end, which write the records.
 namespace sumacquay::wire {
 
-/// What a job's record may hold beside its description. It depends on the description alone, so it
-/// is worked out once for each job.
+/// Space in a job's record besides the job's description. Depends on the description alone, so it
+/// is computed once per job.
 struct RecordCapacity {
-  size_t described = 0;  ///< bytes of the record without hosts and done numbers
-  size_t hosts = 0;      ///< bytes for the names of its hosts
-  size_t spans = 0;      ///< spans of done numbers, wherever they lie
+  size_t described = 0;  ///< bytes of the record without hosts and done tasks
+  size_t hosts = 0;      ///< bytes available for the names of hosts
+  size_t spans = 0;      ///< maximum number of ranges of done tasks, whatever their positions
 
-  /// Whether there is any: without, the record can't be written.
+  /// Whether there is any space. Without it, the record can't be written.
   bool any() const { return spans > 0; }
   /// Whether a record with these hosts fits.
   bool holds(const std::vector<std::string>& names) const;
-  /// The bytes of a record that fits, or a little more.
+  /// Upper bound on the size in bytes of a record that fits, close to its actual size.
   size_t taken_by(const JobRecord& record) const;
 };
 
-/// `max_bytes`: the limit on a value.
+/// `max_bytes` is the key-value store's limit on the size of a value.
 RecordCapacity record_capacity(const JobRecord& record, size_t max_bytes);
 
-/// The same record, or as much of it as fits: without its hosts, which means that its tasks may be
-/// anywhere, and with the first spans of its done numbers. One whose description leaves no room is
-/// as small as it can be.
+/// Returns the record reduced to what fits: hosts that do not fit are omitted, which means that the
+/// tasks may be on any machine, and only the first ranges of done tasks are kept. If the
+/// description leaves no space, the result is as small as possible and may exceed the limit.
 JobRecord fitting_record(JobRecord record, size_t max_bytes);
 
 }  // namespace sumacquay::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -21,7 +21,8 @@
 constexpr const char* kHosts = "hosts";
 constexpr const char* kSubmittedAt = "at_ms";
 constexpr const char* kDone = "done";
-// Since jobs may depend on others. Earlier versions ignore these and write records without them.
+// Added together with job dependencies. Earlier versions ignore these fields and write records
+// without them.
 constexpr const char* kReadyAt = "ready_ms";
 constexpr const char* kEndedAt = "ended_ms";
 
@@ -48,7 +49,8 @@
 bool read_ranges(View value, uint32_t tasks, Ranges& ranges) {
   std::vector<uint32_t> lengths;
   for (size_t i = 0; i < value.size(); ++i) {
-    // A number that can't be read is past any limit, and so makes the whole invalid.
+    // An unreadable length becomes UINT32_MAX, which exceeds any number of tasks and makes the
+    // whole list invalid.
     const uint64_t length = value.at(i).count().value_or(UINT32_MAX);
     lengths.push_back(static_cast<uint32_t>(length));
   }
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -31,7 +31,7 @@
 
 using ReadItem = std::optional<StoreItem> (*)(View);
 
-/// Reads an answer that holds a list under this name.
+/// Parses a response with a list in the field `list_name`.
 std::optional<StorePage> parse_list(std::string_view body, const char* list_name, ReadItem read) {
   StorePage page;
   page.document = Document::parse(body);
@@ -54,7 +54,7 @@
   pack_field(packer, field::kVersion, precondition.version);
 }
 
-/// `buffer` is the one that the packer packs into.
+/// `buffer` is the buffer that `packer` writes to.
 void pack_mutation(codec::Buffer& buffer, Packer& packer, const Mutation& mutation) {
   if (mutation.value.empty()) {
     packer.pack_map(1);
@@ -64,7 +64,7 @@
   packer.pack_map(mutation.lease ? 3 : 2);
   pack_field(packer, field::kSet, mutation.key);
   pack_text(packer, field::kValue);
-  buffer.write(mutation.value.data(), mutation.value.size());  // it is encoded already
+  buffer.write(mutation.value.data(), mutation.value.size());  // already encoded
   if (mutation.lease) pack_field(packer, field::kLease, mutation.lease);
 }
 
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -8,9 +8,9 @@
 
 #include "wire/view.h"
 
-/// Requests to the key-value store and its answers: items, pages, changes, compare-and-swap
-/// transactions and leases. What the values hold is not known here (see records.h). The store
-/// client, the record cache and the front end call it.
+/// Requests to the key-value store and its responses: items, pages, changes, compare-and-swap
+/// transactions and leases. Values are opaque to this module (see records.h). Called by the store
+/// client, the record cache and the front end.
 namespace sumacquay::wire {
 
 namespace path {
@@ -20,73 +20,74 @@
 inline constexpr const char* kChanges = "/changes";
 }  // namespace path
 
-/// One key with its value, or one change of a key.
+/// A key with its value, or a change of a key.
 struct StoreItem {
   std::string key;
-  View value;  ///< missing: deleted
+  View value;  ///< missing if the key was deleted
   uint64_t version = 0;
 };
 
-/// Items or changes of one answer. Copies share the document.
+/// Items or changes in one response. Copies share the document.
 struct StorePage {
-  std::shared_ptr<Document> document;  ///< owns what the items look at
+  std::shared_ptr<Document> document;  ///< owns the memory that the items refer to
   std::vector<StoreItem> items;
   bool more = false;
   uint64_t revision = 0;
 };
 
-/// What a key must be for a transaction to be carried out.
+/// Condition on a key for a transaction to be committed.
 struct Precondition {
   std::string key;
   uint64_t version = 0;  ///< 0: the key does not exist
 };
 
-/// What a transaction does to a key.
+/// Change that a transaction makes to a key.
 struct Mutation {
   std::string key;
-  std::string value;   ///< encoded; empty: delete
-  uint64_t lease = 0;  ///< the value lasts as long as this lease; 0: until it is changed
+  std::string value;   ///< encoded; empty: delete the key
+  uint64_t lease = 0;  ///< lease that the value expires with; 0: it does not expire
 };
 
-/// Asks for one key.
+/// Path of a request for one key.
 std::string item_path(const std::string& key);
 
-/// Reads the answer as a page of one item; its revision and `more` are not set.
+/// Parses the response as a page of one item; `revision` and `more` are not set.
 std::optional<StorePage> parse_item(std::string_view body);
 
-/// Asks for at most `limit` keys with the prefix, after the named key; from the first if it is
-/// empty.
+/// Path of a request for at most `limit` keys with the prefix, after the key `after`; if `after` is
+/// empty, the page starts with the first key.
 std::string page_path(const std::string& prefix, const std::string& after, int limit);
 
-/// Reads such a page; none if any item on it is invalid.
+/// Parses a page of keys; none if any item is invalid.
 std::optional<StorePage> parse_page(std::string_view body);
 
-/// Asks for the changes of keys with the prefix since a revision, and to wait for one that long.
+/// Path of a request for the changes of keys with the prefix since the revision `after`. The store
+/// waits up to `wait_ms` for a change.
 std::string changes_path(const std::string& prefix, uint64_t after, uint64_t wait_ms);
 
-/// Reads such changes; none if any of them is invalid. They may be in any order.
+/// Parses changes, which may be in any order; none if any change is invalid.
 std::optional<StorePage> parse_changes(std::string_view body);
 
-/// A transaction: all mutations are made if every precondition holds, else none.
+/// Encodes a transaction: all mutations are applied if every precondition holds, otherwise none.
 std::string transaction_body(const std::vector<Precondition>& preconditions,
                              const std::vector<Mutation>& mutations);
 
-/// Reads the revision at which a transaction was carried out.
+/// Parses the revision at which a transaction was committed.
 std::optional<uint64_t> parse_revision(std::string_view body);
 
-/// Reads the keys whose preconditions failed; empty if they can't be read.
+/// Parses the keys whose preconditions failed; empty if the body is invalid.
 std::vector<std::string> parse_failed(std::string_view body);
 
-/// Asks for a lease of this length.
+/// Encodes a request for a lease with this time to live.
 std::string grant_body(uint64_t ttl_ms);
 
-/// Reads the lease that was granted.
+/// Parses the id of a granted lease.
 std::optional<uint64_t> parse_lease(std::string_view body);
 
-/// The path of a lease, which a DELETE there ends.
+/// Path of a lease; a DELETE request revokes the lease.
 std::string grant_path(uint64_t lease);
 
-/// The path that renews a lease.
+/// Path of a request to renew a lease.
 std::string renew_path(uint64_t lease);
 
 }  // namespace sumacquay::wire
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -6,41 +6,42 @@
 
 #include "jobs/spec.h"
 
-/// What users send to any controller and get back: submissions, queries and cancellations. The
-/// front end calls it. Reading takes hostile bytes: whatever a body holds, it is either a valid job
-/// or an error that names the first invalid field.
+/// Messages between users and controllers: submissions, queries and cancellations. Called by the
+/// front end. Parsing accepts untrusted input: the result is either a valid job or an error, which
+/// names the first invalid field if the body is a map.
 namespace sumacquay::wire {
 
 namespace path {
 inline constexpr const char* kJobs = "/work";
-inline constexpr const char* kCancel = "/cancel";  ///< follows the path of a job
+inline constexpr const char* kCancel = "/cancel";  ///< appended to the path of a job
 inline constexpr const char* kReady = "/ready";
 }  // namespace path
 
-/// A submission as it was read.
+/// Result of parsing a submission.
 struct ParsedJob {
   std::optional<JobSpec> spec;
-  std::string error;  ///< why there is none
-  std::string id;     ///< also of a malformed job, where it can be read and is valid
+  std::string error;  ///< why `spec` is not set
+  std::string id;     ///< also set for a malformed job if the id is valid; otherwise empty
 };
 
-/// A job's state as users see it.
+/// State of a job as shown to users.
 enum class UserVisibleState { Pending, Running, Done, Cancelled };
 
-/// Whether this can be a job's id: a fixed prefix and digits, so it is safe in keys and paths.
+/// Whether a job id is valid: a fixed prefix and digits, which makes it safe in keys and paths.
 bool valid_job_id(std::string_view id);
 
-/// Reads a submission.
+/// Parses a submission.
 ParsedJob parse_job(std::string_view body);
 
-/// Answers an acceptance or a cancellation.
+/// Response to a submission or a cancellation.
 std::string job_answer(const std::string& id, UserVisibleState state);
 
-/// Answers a query: how many tasks are done, and how many run.
+/// Response to a query, with the numbers of done and running tasks.
 std::string job_status(const std::string& id, UserVisibleState state, uint32_t done,
                        uint32_t running);
 
-/// The reason why a request was not carried out. Workers and the platform's probes get it as well.
+/// Response with the reason why a request was rejected. Also sent to workers and to the platform's
+/// health probes.
 std::string error_body(const std::string& error);
 
 }  // namespace sumacquay::wire
--- a/src/wire/view.cpp
+++ b/src/wire/view.cpp
@@ -8,10 +8,11 @@
   constexpr size_t kMaxDepth = 16;
   auto document = std::make_shared<Document>();
   document->bytes_ = std::string(bytes);
-  // A list's or map's header may claim 2^32 members: none can have more than there are bytes.
+  // The header of a list, map or string may claim a size of up to 2^32, but no value can have more
+  // members or bytes than the body has bytes.
   const size_t max_members = bytes.size();
   const msgpack::unpack_limit limit(max_members, max_members, max_members, 0, 0, kMaxDepth);
-  // Texts stay in `bytes_` instead of being copied.
+  // Strings refer to `bytes_` instead of being copied.
   const auto refer_to_bytes = [](msgpack::type::object_type, std::size_t, void*) { return true; };
   try {
     size_t used = 0;
--- a/src/wire/view.h
+++ b/src/wire/view.h
@@ -8,7 +8,8 @@
 
 namespace sumacquay::wire {
 
-/// Read-only look at a decoded value; anything missing or of another type reads as "nothing".
+/// Read-only accessor of a decoded MessagePack value. Reading a value that is missing or has
+/// another type returns none, an empty View or the given fallback.
 class View {
  public:
   View() = default;
@@ -26,14 +27,13 @@
     return {};
   }
 
-  /// The number of a list's members; 0 if it isn't a list.
+  /// Number of members of a list; 0 if the value is not a list.
   size_t size() const { return is_list() ? object_->via.array.size : 0; }
 
-  /// The member with this number, which has to be below `size()`.
+  /// The list member at index `i`, which must be less than `size()`.
   View at(size_t i) const { return View(&object_->via.array.ptr[i]); }
 
-  /// The decoded value itself, for what looks at all of it whatever it holds; null if there is
-  /// none.
+  /// The decoded value itself, for traversals that accept any type; null if the value is missing.
   const msgpack::object* object() const { return object_; }
 
   std::optional<std::string_view> text_view() const {
@@ -76,16 +76,18 @@
   const msgpack::object* object_ = nullptr;
 };
 
-/// A decoded body. Hostile bytes are bounded by the size of the body and by the depth limit.
+/// A decoded body. The memory and stack that a malicious body can claim are bounded by the body's
+/// size and by a limit on the depth of nesting.
 class Document {
  public:
-  /// Null if the bytes are not one whole MessagePack value or are nested too deep.
+  /// Returns null if the bytes are not exactly one complete MessagePack value or if the value is
+  /// nested too deeply.
   [[nodiscard]] static std::shared_ptr<Document> parse(std::string_view bytes);
   View root() const { return View(&handle_.get()); }
 
  private:
   msgpack::object_handle handle_;
-  std::string bytes_;  ///< texts of the decoded value point into it
+  std::string bytes_;  ///< strings of the decoded value point into this buffer
 };
 
 }  // namespace sumacquay::wire
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -19,13 +19,13 @@
 
 constexpr size_t kMaxNameBytes = 150;
 
-/// Whether a name can stand in a key of the store: printable and without spaces.
+/// Whether a name can be part of a key in the store: printable ASCII without spaces.
 bool safe_in_keys(std::string_view name) {
   return std::all_of(name.begin(), name.end(),
                      [](unsigned char byte) { return byte > 32 && byte < 127; });
 }
 
-/// A task is named by its job and its number, with a slash between.
+/// Encodes a task as `job/task`.
 std::string task_name(const TaskKey& key) {
   return key.job + "/" + std::to_string(key.task);
 }
@@ -42,7 +42,7 @@
   return key;
 }
 
-/// A cause that is missing or unknown counts as an error of a task that has exited.
+/// If a task has exited, a missing or unknown cause reads as an error.
 ExitCause read_exit_cause(View task, TaskState state) {
   const auto cause = value_of(enum_names::kExitCauses, task["cause"]);
   if (cause) return *cause;
