--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 /// Lowest value of the adaptive limit on requests in progress, as a fraction of its maximum.
-constexpr double kMinLimitShare = 1.0 / 14;
+constexpr double kMinLimitFraction = 1.0 / 14;
 
 constexpr std::string_view kJobsPath = wire::path::kJobs;
 constexpr std::string_view kCancelSuffix = wire::path::kCancel;
 
-bool is_users_path(std::string_view path) {
+bool is_user_path(std::string_view path) {
   if (!path.starts_with(kJobsPath)) return false;
   return path.size() == kJobsPath.size() || path[kJobsPath.size()] == '/';
 }
@@ -30,13 +30,13 @@
       submissions_(settings, store, record_cache, lookup_, sources_),
       queries_(lookup_, sources_),
       cancellations_(settings, store, record_cache, lookup_),
-      limit_(kMinLimitShare * static_cast<double>(max_in_progress),
+      limit_(kMinLimitFraction * static_cast<double>(max_in_progress),
              static_cast<double>(max_in_progress)) {}
 
 bool Frontend::handle(const HttpRequest& request, Respond respond) {
-  if (!is_users_path(request.path)) return false;
+  if (!is_user_path(request.path)) return false;
   if (limit_.enter())
-    route(request, leaving_limit(std::move(respond)));
+    route(request, release_limit_on_response(std::move(respond)));
   else
     respond(unavailable_reply(429));
   return true;
@@ -50,23 +50,23 @@
 
 void Frontend::route_to_job(const HttpRequest& request, const Respond& respond) {
   std::string id = request.path.substr(kJobsPath.size() + 1);
-  const bool cancels = id.ends_with(kCancelSuffix);
-  if (cancels) id.resize(id.size() - kCancelSuffix.size());
+  const bool is_cancel = id.ends_with(kCancelSuffix);
+  if (is_cancel) id.resize(id.size() - kCancelSuffix.size());
   if (!wire::valid_job_id(id))
     respond(refusal_reply(404, "no such job"));
-  else if (cancels && request.method == "POST")
+  else if (is_cancel && request.method == "POST")
     cancellations_.cancel(id, respond);
-  else if (!cancels && request.method == "GET")
+  else if (!is_cancel && request.method == "GET")
     queries_.query(id, respond);
   else
     respond(refusal_reply(405, "no such method here"));
 }
 
-Respond Frontend::leaving_limit(Respond respond) {
-  const auto began = std::chrono::steady_clock::now();
-  return [this, began, respond = std::move(respond)](HttpReply reply) {
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
-    limit_.leave(took.count());
+Respond Frontend::release_limit_on_response(Respond respond) {
+  const auto started_at = std::chrono::steady_clock::now();
+  return [this, started_at, respond = std::move(respond)](HttpReply reply) {
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - started_at;
+    limit_.leave(elapsed.count());
     respond(std::move(reply));
   };
 }
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -40,7 +40,7 @@
   void route_to_job(const HttpRequest& request, const Respond& respond);
   /// Wraps `respond` so that it also frees the request's slot in the concurrency limit and reports
   /// the request's latency to the limit.
-  Respond leaving_limit(Respond respond);
+  Respond release_limit_on_response(Respond respond);
 
   Sources sources_;
   JobLookup lookup_;
--- a/src/frontend/job_lookup.cpp
+++ b/src/frontend/job_lookup.cpp
@@ -50,7 +50,7 @@
 }
 
 std::optional<JobState> JobLookup::cached_state(const std::string& id) const {
-  if (const auto* live = record_cache_.live(id)) return current_state(live->value);
+  if (const auto* live = record_cache_.live(id)) return effective_state(live->value);
   if (const auto* finished = record_cache_.finished(id)) return finished->state;
   return std::nullopt;
 }
@@ -59,10 +59,10 @@
   const JobRecord& job = record.value;
   // The state is undetermined while the outcome of a dependency has not been read yet.
   if (!record_cache_.dependencies().certain(job.spec.id)) return {};
-  return {Outcome::Live, current_state(job), job.done.count(), &record};
+  return {Outcome::Live, effective_state(job), job.done.count(), &record};
 }
 
-JobState JobLookup::current_state(const JobRecord& record) const {
+JobState JobLookup::effective_state(const JobRecord& record) const {
   const bool cancelled = record_cache_.dependencies().cancelled(record.spec.id);
   return record.state == JobState::Pending && cancelled ? JobState::Cancelled : record.state;
 }
--- a/src/frontend/job_lookup.h
+++ b/src/frontend/job_lookup.h
@@ -57,7 +57,7 @@
   void on_finished_record_read(const std::string& id, const HttpResult& response,
                                const Callback& callback);
   [[nodiscard]] JobLookupResult live_result(const Versioned<JobRecord>& record) const;
-  [[nodiscard]] JobState current_state(const JobRecord& record) const;
+  [[nodiscard]] JobState effective_state(const JobRecord& record) const;
 
   KeyValueStoreClient& store_;
   RecordCache& record_cache_;
--- a/src/frontend/submission_handler.cpp
+++ b/src/frontend/submission_handler.cpp
@@ -13,8 +13,8 @@
 
 /// Maximum size of a job's description as a fraction of the key-value store's limit on a value: for
 /// a job without dependencies, and for one with dependencies, including their ids.
-constexpr double kMaxDescriptionShare = 0.5;
-constexpr double kMaxDescriptionAndDependenciesShare = 0.9;
+constexpr double kMaxDescriptionFraction = 0.5;
+constexpr double kMaxDescriptionAndDependenciesFraction = 0.9;
 
 HttpReply accepted_reply(const std::string& id, JobState state) {
   return {201, wire::job_answer(id, user_visible_state(state, 0)), 0};
@@ -82,9 +82,10 @@
   if (too_large(record.spec, value))
     return respond_existing_job(id, refusal_reply(400, "the job's description is too large"),
                                 respond);
-  const std::string live = keys::kLive + id;
-  const std::string finished = keys::kFinished + id;
-  store_.compare_and_swap(RequestPriority::Record, {{live, 0}, {finished, 0}}, {{live, value, 0}},
+  const std::string live_key = keys::kLive + id;
+  const std::string finished_key = keys::kFinished + id;
+  store_.compare_and_swap(RequestPriority::Record, {{live_key, 0}, {finished_key, 0}},
+                          {{live_key, value, 0}},
                           [this, record, respond](const TransactionResult& result) {
                             on_written(record, result, respond);
                           });
@@ -93,10 +94,11 @@
 bool SubmissionHandler::too_large(const JobSpec& spec, std::string_view encoded_record) const {
   // Done tasks and hosts are added to a record only after its dependencies have been removed, so
   // dependencies may take up the space that is kept for them.
-  const double share =
-      spec.dependencies.empty() ? kMaxDescriptionShare : kMaxDescriptionAndDependenciesShare;
+  const double max_fraction =
+      spec.dependencies.empty() ? kMaxDescriptionFraction : kMaxDescriptionAndDependenciesFraction;
   const size_t size = wire::json_size(wire::Document::parse(encoded_record)->root());
-  return static_cast<double>(size) > static_cast<double>(settings_.state_value_bytes()) * share;
+  return static_cast<double>(size) >
+         static_cast<double>(settings_.state_value_bytes()) * max_fraction;
 }
 
 void SubmissionHandler::on_written(const JobRecord& record, const TransactionResult& result,
@@ -114,8 +116,9 @@
 
 void SubmissionHandler::respond_accepted(const JobRecord& record, const Respond& respond) {
   const std::string& id = record.spec.id;
-  const bool depends = record.state == JobState::Pending && !record.spec.dependencies.empty();
-  if (!depends) return respond(accepted_reply(id, record.state));
+  const bool has_pending_dependencies =
+      record.state == JobState::Pending && !record.spec.dependencies.empty();
+  if (!has_pending_dependencies) return respond(accepted_reply(id, record.state));
   // The dependencies were checked against a cache that may be stale: a dependency may have been
   // cancelled since, and a node may already have reported this job as cancelled.
   lookup_.look_up(id, [id, respond](const JobLookupResult& job) {
@@ -123,11 +126,11 @@
   });
 }
 
-void SubmissionHandler::respond_existing_job(const std::string& id, const HttpReply& if_unknown,
+void SubmissionHandler::respond_existing_job(const std::string& id, const HttpReply& if_not_found,
                                              const Respond& respond) {
-  lookup_.look_up(id, [this, id, if_unknown, respond](const JobLookupResult& job) {
+  lookup_.look_up(id, [this, id, if_not_found, respond](const JobLookupResult& job) {
     if (job.outcome == Outcome::Unavailable) return respond(unavailable_reply());
-    if (job.outcome == Outcome::Unknown) return respond(if_unknown);
+    if (job.outcome == Outcome::Unknown) return respond(if_not_found);
     const uint32_t running = job.outcome == Outcome::Live ? sources_.counts(id).running : 0;
     respond({200, wire::job_answer(id, user_visible_state(job.state, running)), 0});
   });
--- a/src/frontend/submission_handler.h
+++ b/src/frontend/submission_handler.h
@@ -51,9 +51,9 @@
   void accept(const JobRecord& record, const Respond& respond);
   void on_written(const JobRecord& record, const TransactionResult& result, const Respond& respond);
   void respond_accepted(const JobRecord& record, const Respond& respond);
-  /// Responds with the state of the job if it was accepted before, and with `if_unknown` if it was
-  /// not.
-  void respond_existing_job(const std::string& id, const HttpReply& if_unknown,
+  /// Responds with the state of the job if it was accepted before, and with `if_not_found` if it
+  /// was not.
+  void respond_existing_job(const std::string& id, const HttpReply& if_not_found,
                             const Respond& respond);
   [[nodiscard]] bool too_large(const JobSpec& spec, std::string_view encoded_record) const;
 
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -87,11 +87,11 @@
   return codec::read_root<MachinePage>(body, read_machines);
 }
 
-std::string rent_body(const std::string& request, const std::string& type, const std::string& zone,
-                      bool spot, int count) {
+std::string rent_body(const std::string& request_id, const std::string& type,
+                      const std::string& zone, bool spot, int count) {
   return build([&](Packer& packer) {
     packer.pack_map(5);
-    pack_field(packer, "hire", request);
+    pack_field(packer, "hire", request_id);
     pack_field(packer, field::kType, type);
     pack_field(packer, field::kZone, zone);
     pack_field(packer, field::kSpot, spot);
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -33,10 +33,10 @@
 /// Parses a page of machines; none if any machine is invalid.
 std::optional<MachinePage> parse_machines(std::string_view body);
 
-/// Encodes a request to rent `count` machines. `request` is an idempotency key: repeating it rents
-/// no further machines.
-std::string rent_body(const std::string& request, const std::string& type, const std::string& zone,
-                      bool spot, int count);
+/// Encodes a request to rent `count` machines. `request_id` is an idempotency key: repeating it
+/// rents no further machines.
+std::string rent_body(const std::string& request_id, const std::string& type,
+                      const std::string& zone, bool spot, int count);
 
 /// Parses the names of the machines that were rented; none if the response has no list of machines.
 std::optional<std::vector<std::string>> parse_rented(std::string_view body);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -20,12 +20,12 @@
 using Buffer = msgpack::sbuffer;
 using Packer = msgpack::packer<Buffer>;
 
-/// Returns the bytes that `fill` packs.
-template <class Fill>
-std::string build(Fill&& fill) {
+/// Returns the bytes that `pack` writes to a packer.
+template <class Pack>
+std::string build(Pack&& pack) {
   Buffer buffer;
   Packer packer(buffer);
-  fill(packer);
+  pack(packer);
   return {buffer.data(), buffer.size()};
 }
 
--- a/src/wire/json_size.cpp
+++ b/src/wire/json_size.cpp
@@ -17,13 +17,13 @@
 constexpr size_t kTrue = 4;
 constexpr size_t kFalse = 5;
 
-using Pending = std::vector<const msgpack::object*>;
+using PendingValues = std::vector<const msgpack::object*>;
 
 // Lowest values of the kinds of bytes in UTF-8 sequences.
-constexpr unsigned char kFirstContinuation = 0x80;
-constexpr unsigned char kFirstLead = 0xc0;
-constexpr unsigned char kFirstLeadOfThree = 0xe0;
-constexpr unsigned char kFirstLeadOfFour = 0xf0;
+constexpr unsigned char kMinContinuationByte = 0x80;
+constexpr unsigned char kMinLeadByte = 0xc0;
+constexpr unsigned char kMinLeadByteOfThree = 0xe0;
+constexpr unsigned char kMinLeadByteOfFour = 0xf0;
 
 size_t ascii_size(unsigned char byte) {
   constexpr unsigned char kFirstPrintable = 0x20;
@@ -33,9 +33,9 @@
 }
 
 /// Number of continuation bytes after the lead byte of a multi-byte UTF-8 sequence.
-int continuations_after(unsigned char lead) {
-  if (lead >= kFirstLeadOfFour) return 3;
-  return lead >= kFirstLeadOfThree ? 2 : 1;
+int continuation_bytes_after(unsigned char lead) {
+  if (lead >= kMinLeadByteOfFour) return 3;
+  return lead >= kMinLeadByteOfThree ? 2 : 1;
 }
 
 size_t decimal_size(uint64_t number) {
@@ -48,7 +48,7 @@
   return 1 + decimal_size(uint64_t{0} - static_cast<uint64_t>(number));
 }
 
-size_t real_size(double number) {
+size_t floating_point_size(double number) {
   constexpr double kMinFixed = 1e-6;
   constexpr double kMaxFixed = 1e21;
   constexpr size_t kMaxBytes = 64;
@@ -65,18 +65,18 @@
 }
 
 /// Size of the brackets of a list or map and of the commas between its members.
-size_t frame_size(uint32_t members) {
+size_t brackets_and_commas_size(uint32_t members) {
   return kBrackets + (members > 0 ? members - 1 : 0);
 }
 
-size_t list_size(const msgpack::object_array& list, Pending& pending) {
+size_t list_size(const msgpack::object_array& list, PendingValues& pending) {
   for (uint32_t i = 0; i < list.size; ++i) pending.push_back(&list.ptr[i]);
-  return frame_size(list.size);
+  return brackets_and_commas_size(list.size);
 }
 
 /// JSON keys are strings, so keys of other types are counted with quotes.
-size_t map_size(const msgpack::object_map& map, Pending& pending) {
-  size_t size = frame_size(map.size);
+size_t map_size(const msgpack::object_map& map, PendingValues& pending) {
+  size_t size = brackets_and_commas_size(map.size);
   for (uint32_t i = 0; i < map.size; ++i) {
     pending.push_back(&map.ptr[i].key);
     pending.push_back(&map.ptr[i].val);
@@ -87,7 +87,7 @@
 }
 
 /// Size of a value without its members, which are added to `pending`.
-size_t own_size(const msgpack::object& value, Pending& pending) {
+size_t shallow_size(const msgpack::object& value, PendingValues& pending) {
   switch (value.type) {
     case msgpack::type::BOOLEAN:
       return value.via.boolean ? kTrue : kFalse;
@@ -97,7 +97,7 @@
       return negative_size(value.via.i64);
     case msgpack::type::FLOAT32:
     case msgpack::type::FLOAT64:
-      return real_size(value.via.f64);
+      return floating_point_size(value.via.f64);
     case msgpack::type::STR:
       return json_size(std::string_view(value.via.str.ptr, value.via.str.size));
     case msgpack::type::ARRAY:
@@ -113,30 +113,30 @@
 
 size_t json_size(std::string_view text) {
   size_t size = kQuotes;
-  int continuations = 0;  // continuation bytes still expected for the current character
-  for (const char letter : text) {
-    const auto byte = static_cast<unsigned char>(letter);
-    if (byte >= kFirstContinuation && byte < kFirstLead && continuations > 0) {
-      --continuations;
+  int missing_bytes = 0;  // continuation bytes still expected for the current character
+  for (const char character : text) {
+    const auto byte = static_cast<unsigned char>(character);
+    if (byte >= kMinContinuationByte && byte < kMinLeadByte && missing_bytes > 0) {
+      --missing_bytes;
       continue;
     }
-    continuations = byte >= kFirstLead ? continuations_after(byte) : 0;
-    if (byte < kFirstContinuation)
+    missing_bytes = byte >= kMinLeadByte ? continuation_bytes_after(byte) : 0;
+    if (byte < kMinContinuationByte)
       size += ascii_size(byte);
     else  // a four-byte sequence is escaped as a surrogate pair
-      size += byte >= kFirstLeadOfFour ? 2 * kUnicodeEscape : kUnicodeEscape;
+      size += byte >= kMinLeadByteOfFour ? 2 * kUnicodeEscape : kUnicodeEscape;
   }
   return size;
 }
 
 size_t json_size(View value) {
   if (!value.object()) return 0;
-  Pending pending{value.object()};
+  PendingValues pending{value.object()};
   size_t size = 0;
   while (!pending.empty()) {
     const msgpack::object* next = pending.back();
     pending.pop_back();
-    size += own_size(*next, pending);
+    size += shallow_size(*next, pending);
   }
   return size;
 }
--- a/src/wire/peer_heartbeat.cpp
+++ b/src/wire/peer_heartbeat.cpp
@@ -18,11 +18,11 @@
 constexpr const char* kNode = "node";
 constexpr const char* kTerm = "term";
 constexpr const char* kLeading = "leading";
-constexpr const char* kServed = "served";
+constexpr const char* kStoreReachable = "served";
 constexpr const char* kPart = "part";
 constexpr const char* kStatus = "status";
 constexpr const char* kDelegation = "delegation";
-constexpr const char* kCounts = "counts";
+constexpr const char* kJobProgress = "counts";
 constexpr const char* kImages = "images";
 constexpr const char* kCachedImages = "held";
 constexpr const char* kBooting = "booting";
@@ -33,7 +33,7 @@
 constexpr size_t kDelegationFields = 3;
 constexpr size_t kFragmentFields = 4;
 constexpr size_t kPeerHeartbeatFields = 10;  ///< plus one each for a delegation and a fragment
-constexpr size_t kCountFields = 3;
+constexpr size_t kJobProgressFields = 3;
 constexpr size_t kImageFields = 2;
 constexpr size_t kBootingFields = 5;
 
@@ -60,11 +60,11 @@
   packer.pack_uint64(static_cast<uint64_t>(fragment.part));
 }
 
-void pack_count(Packer& packer, const JobProgress& count) {
-  pack_list(packer, kCountFields);
-  pack_text(packer, count.job);
-  packer.pack_uint32(count.done);
-  packer.pack_uint32(count.running);
+void pack_job_progress(Packer& packer, const JobProgress& progress) {
+  pack_list(packer, kJobProgressFields);
+  pack_text(packer, progress.job);
+  packer.pack_uint32(progress.done);
+  packer.pack_uint32(progress.running);
 }
 
 /// An image with its size; the same name with a different size is a different image.
@@ -98,18 +98,18 @@
     for (const auto& [machine, images] : images_by_machine_) {
       pack_list(packer, images.size() + 1);
       pack_text(packer, machine);
-      for (const Image& image : images) packer.pack_uint32(numbers_.at(image));
+      for (const Image& image : images) packer.pack_uint32(indices_.at(image));
     }
   }
 
  private:
   void add(const Image& image) {
-    const auto number = static_cast<uint32_t>(images_.size());
-    if (numbers_.try_emplace(image, number).second) images_.push_back(image);
+    const auto index = static_cast<uint32_t>(images_.size());
+    if (indices_.try_emplace(image, index).second) images_.push_back(image);
   }
 
   std::map<std::string_view, std::vector<Image>> images_by_machine_;
-  std::map<Image, uint32_t> numbers_;
+  std::map<Image, uint32_t> indices_;
   std::vector<Image> images_;  ///< by index
 };
 
@@ -141,8 +141,8 @@
   return Delegation{*term, *number, *valid_for_s};
 }
 
-std::optional<JobProgress> read_count(View list) {
-  if (list.size() != kCountFields) return std::nullopt;
+std::optional<JobProgress> read_job_progress(View list) {
+  if (list.size() != kJobProgressFields) return std::nullopt;
   const auto job = list.at(0).text();
   const auto done = list.at(1).count();
   const auto running = list.at(2).count();
@@ -151,8 +151,9 @@
 }
 
 /// Reads one cached image of a machine from its index in the list of images.
-std::optional<CachedImageHint> read_image(const std::string& machine, View number, View images) {
-  const auto index = number.count();
+std::optional<CachedImageHint> read_image(const std::string& machine, View encoded_index,
+                                          View images) {
+  const auto index = encoded_index.count();
   if (!index || *index >= images.size()) return std::nullopt;
   const View image = images.at(*index);
   if (image.size() != kImageFields) return std::nullopt;
@@ -163,21 +164,21 @@
 }
 
 /// Reads the cached images of one machine: its name, then the indices of its images.
-bool read_machine_images(View line, View images, std::vector<CachedImageHint>& cached) {
-  const auto machine = line.size() > 0 ? line.at(0).text() : std::nullopt;
+bool read_machine_images(View entry, View images, std::vector<CachedImageHint>& cached) {
+  const auto machine = entry.size() > 0 ? entry.at(0).text() : std::nullopt;
   if (!machine) return false;
-  for (size_t position = 1; position < line.size(); ++position) {
-    auto image = read_image(*machine, line.at(position), images);
+  for (size_t position = 1; position < entry.size(); ++position) {
+    auto image = read_image(*machine, entry.at(position), images);
     if (!image) return false;
     cached.push_back(std::move(*image));
   }
   return true;
 }
 
-std::optional<std::vector<CachedImageHint>> read_cached_images(View lines, View images) {
+std::optional<std::vector<CachedImageHint>> read_cached_images(View entries, View images) {
   std::vector<CachedImageHint> cached;
-  for (size_t i = 0; i < lines.size(); ++i)
-    if (!read_machine_images(lines.at(i), images, cached)) return std::nullopt;
+  for (size_t i = 0; i < entries.size(); ++i)
+    if (!read_machine_images(entries.at(i), images, cached)) return std::nullopt;
   return cached;
 }
 
@@ -215,13 +216,13 @@
   heartbeat.term = fields.count(kTerm);
   heartbeat.leading = fields.flag(kLeading);
   const auto part = read_part(root[kPart]);
-  if (!fields.ok() || !part || !root[kCounts].is_list()) return std::nullopt;
-  auto counts = codec::read_list(root[kCounts], read_count);
+  if (!fields.ok() || !part || !root[kJobProgress].is_list()) return std::nullopt;
+  auto counts = codec::read_list(root[kJobProgress], read_job_progress);
   auto images = read_cached_images(root[kCachedImages], root[kImages]);
   auto booting = codec::read_list(root[kBooting], read_booting_machine);
   if (!counts || !images || !booting) return std::nullopt;
   heartbeat.part = *part;
-  heartbeat.served = root[kServed].flag().value_or(false);
+  heartbeat.served = root[kStoreReachable].flag().value_or(false);
   heartbeat.status = read_status(root[kStatus]);
   heartbeat.delegation = read_delegation(root[kDelegation]);
   heartbeat.fragment = read_fragment(root[kFragment]);
@@ -233,8 +234,8 @@
 
 /// The members of a list that a fragment carries.
 template <class Member>
-std::vector<Member> share_of(const std::vector<Member>& list,
-                             const PeerHeartbeatFragment& fragment) {
+std::vector<Member> members_of_fragment(const std::vector<Member>& list,
+                                        const PeerHeartbeatFragment& fragment) {
   const size_t begin = list.size() * fragment.index / fragment.fragments;
   const size_t end = list.size() * (fragment.index + 1) / fragment.fragments;
   return {list.begin() + static_cast<std::ptrdiff_t>(begin),
@@ -242,32 +243,32 @@
 }
 
 PeerHeartbeat without_lists(const PeerHeartbeat& whole) {
-  PeerHeartbeat head = whole;
-  head.counts.clear();
-  head.images.clear();
-  head.booting.clear();
-  return head;
+  PeerHeartbeat header = whole;
+  header.counts.clear();
+  header.images.clear();
+  header.booting.clear();
+  return header;
 }
 
-/// `head` is `whole` without its lists.
-std::string encode_fragment(const PeerHeartbeat& whole, PeerHeartbeat head,
+/// `header` is `whole` without its lists.
+std::string encode_fragment(const PeerHeartbeat& whole, PeerHeartbeat header,
                             const PeerHeartbeatFragment& fragment) {
-  head.fragment = fragment;
-  if (fragment.index > 0) head.part = PeerHeartbeatPart::StatusOnly;
-  head.counts = share_of(whole.counts, fragment);
-  head.images = share_of(whole.images, fragment);
-  head.booting = share_of(whole.booting, fragment);
-  return encode_peer_heartbeat(head);
+  header.fragment = fragment;
+  if (fragment.index > 0) header.part = PeerHeartbeatPart::StatusOnly;
+  header.counts = members_of_fragment(whole.counts, fragment);
+  header.images = members_of_fragment(whole.images, fragment);
+  header.booting = members_of_fragment(whole.booting, fragment);
+  return encode_peer_heartbeat(header);
 }
 
 /// Returns none if any fragment is larger than `limit` bytes.
 std::optional<std::vector<std::string>> encode_in_fragments(const PeerHeartbeat& whole,
-                                                            const PeerHeartbeat& head,
+                                                            const PeerHeartbeat& header,
                                                             uint64_t batch, size_t fragments,
                                                             size_t limit) {
   std::vector<std::string> bodies;
   for (size_t index = 0; index < fragments; ++index) {
-    bodies.push_back(encode_fragment(whole, head, {batch, index, fragments, whole.part}));
+    bodies.push_back(encode_fragment(whole, header, {batch, index, fragments, whole.part}));
     if (bodies.back().size() > limit) return std::nullopt;
   }
   return bodies;
@@ -287,7 +288,7 @@
     pack_field(packer, kNode, heartbeat.node);
     pack_field(packer, kTerm, heartbeat.term);
     pack_field(packer, kLeading, heartbeat.leading);
-    pack_field(packer, kServed, heartbeat.served);
+    pack_field(packer, kStoreReachable, heartbeat.served);
     pack_field(packer, kPart, static_cast<uint64_t>(heartbeat.part));
     pack_text(packer, kStatus);
     pack_status(packer, heartbeat.status);
@@ -299,8 +300,8 @@
       pack_text(packer, kFragment);
       pack_fragment(packer, *heartbeat.fragment);
     }
-    pack_text(packer, kCounts);
-    pack_list(packer, heartbeat.counts, pack_count);
+    pack_text(packer, kJobProgress);
+    pack_list(packer, heartbeat.counts, pack_job_progress);
     const ImageTable images(heartbeat.images);
     pack_text(packer, kImages);
     images.pack_images(packer);
@@ -314,18 +315,18 @@
 std::vector<std::string> encode_peer_heartbeat_fragments(const PeerHeartbeat& heartbeat,
                                                          uint64_t batch, size_t limit) {
   // Leaves space for members of unequal size and for the fields that each fragment repeats.
-  constexpr double kMargin = 0.9;
+  constexpr double kTargetFill = 0.9;
   std::string whole = encode_peer_heartbeat(heartbeat);
   if (whole.size() <= limit) return {std::move(whole)};
-  const PeerHeartbeat head = without_lists(heartbeat);
+  const PeerHeartbeat header = without_lists(heartbeat);
   const size_t max_fragments = longest_list(heartbeat);
-  const double usable = kMargin * static_cast<double>(limit);
-  auto fragments = static_cast<size_t>(static_cast<double>(whole.size()) / usable) + 1;
+  const double target_bytes = kTargetFill * static_cast<double>(limit);
+  auto fragments = static_cast<size_t>(static_cast<double>(whole.size()) / target_bytes) + 1;
   for (;; ++fragments) {
     // With at most one member per list in each fragment, more fragments would not be smaller, so
     // the limit is not enforced.
     const size_t fragment_limit = fragments < max_fragments ? limit : SIZE_MAX;
-    auto bodies = encode_in_fragments(heartbeat, head, batch, fragments, fragment_limit);
+    auto bodies = encode_in_fragments(heartbeat, header, batch, fragments, fragment_limit);
     if (bodies) return std::move(*bodies);
   }
 }
--- a/src/wire/record_capacity.cpp
+++ b/src/wire/record_capacity.cpp
@@ -10,35 +10,35 @@
 namespace {
 
 /// Fraction of the limit on a value that is kept free.
-constexpr double kReserveShare = 1.0 / 32;
+constexpr double kReserveFraction = 1.0 / 32;
 /// Fraction of the space left by the description that done tasks may take; hosts get the rest.
-constexpr double kDoneShare = 2.0 / 3;
-constexpr size_t kComma = 1;
+constexpr double kDoneTasksFraction = 2.0 / 3;
+constexpr size_t kCommaBytes = 1;
 /// A Unix time in milliseconds with 13 digits, the most that any time before the year 2286 has.
-constexpr uint64_t kLongestTime = 9999999999999;
+constexpr uint64_t kMaxUnixTimeMs = 9999999999999;
 
-size_t json_size_of(const JobRecord& record) {
+size_t encoded_size(const JobRecord& record) {
   return json_size(Document::parse(encode_job(record))->root());
 }
 
 /// Size of a record without hosts and done tasks, in the state that takes the most bytes.
-size_t described_size(const JobRecord& record) {
-  JobRecord described = record;
-  described.state = JobState::Cancelled;
-  described.started = false;
-  described.hosts.emplace();
-  described.done = {};
+size_t base_size(const JobRecord& record) {
+  JobRecord base = record;
+  base.state = JobState::Cancelled;
+  base.started = false;
+  base.hosts.emplace();
+  base.done = {};
   // Dependencies are removed from the record when the job starts; hosts and done tasks are added
   // only from then on.
-  described.spec.dependencies.clear();
-  described.ready_ms = kLongestTime;
-  described.ended_ms = kLongestTime;
-  return json_size_of(described);
+  base.spec.dependencies.clear();
+  base.ready_ms = kMaxUnixTimeMs;
+  base.ended_ms = kMaxUnixTimeMs;
+  return encoded_size(base);
 }
 
 size_t names_size(const std::vector<std::string>& names) {
   size_t size = 0;
-  for (const auto& name : names) size += json_size(name) + kComma;
+  for (const auto& name : names) size += json_size(name) + kCommaBytes;
   return size;
 }
 
@@ -46,15 +46,16 @@
 /// ranges and of the gaps before them add up to at most the number of tasks, and take the most
 /// digits if all are equal.
 double spans_size(size_t spans, uint32_t tasks) {
-  constexpr double kFirstDigitAndComma = 2;
-  constexpr double kEmptyFirstGap = 2;
+  constexpr double kFirstDigitAndCommaBytes = 2;
+  constexpr double kEmptyFirstGapBytes = 2;
   if (spans == 0) return 0;
-  const auto lengths = 2 * static_cast<double>(spans);
-  return lengths * (std::log10(tasks / lengths) + kFirstDigitAndComma) + kEmptyFirstGap;
+  const auto length_count = 2 * static_cast<double>(spans);
+  return length_count * (std::log10(tasks / length_count) + kFirstDigitAndCommaBytes) +
+         kEmptyFirstGapBytes;
 }
 
 /// Maximum number of ranges of done tasks that fit in this many bytes.
-size_t spans_within(double bytes, uint32_t tasks) {
+size_t max_spans_within(double bytes, uint32_t tasks) {
   size_t fit = 0;
   size_t too_many = (size_t{tasks} + 1) / 2 + 1;  // ranges are separated by a task that is not done
   while (too_many - fit > 1) {
@@ -74,19 +75,19 @@
 }
 
 size_t RecordCapacity::taken_by(const JobRecord& record) const {
-  const double done = spans_size(record.done.spans(), record.spec.tasks);
-  const size_t named = record.hosts ? names_size(*record.hosts) : 0;
-  return described + named + static_cast<size_t>(std::ceil(done));
+  const double done_bytes = spans_size(record.done.spans(), record.spec.tasks);
+  const size_t host_bytes = record.hosts ? names_size(*record.hosts) : 0;
+  return described + host_bytes + static_cast<size_t>(std::ceil(done_bytes));
 }
 
 RecordCapacity record_capacity(const JobRecord& record, size_t max_bytes) {
   RecordCapacity capacity;
-  capacity.described = described_size(record);
+  capacity.described = base_size(record);
   const auto limit = static_cast<double>(max_bytes);
-  const double left = limit * (1 - kReserveShare) - static_cast<double>(capacity.described);
-  if (left <= 0) return capacity;
-  capacity.spans = spans_within(left * kDoneShare, record.spec.tasks);
-  capacity.hosts = static_cast<size_t>(left - spans_size(capacity.spans, record.spec.tasks));
+  const double remaining = limit * (1 - kReserveFraction) - static_cast<double>(capacity.described);
+  if (remaining <= 0) return capacity;
+  capacity.spans = max_spans_within(remaining * kDoneTasksFraction, record.spec.tasks);
+  capacity.hosts = static_cast<size_t>(remaining - spans_size(capacity.spans, record.spec.tasks));
   return capacity;
 }
 
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -78,12 +78,12 @@
 }
 
 void pack_command(Packer& packer, const Command& command) {
-  const bool stops = command.verb == Verb::Stop;
-  packer.pack_map(stops ? 4 : 3);
+  const bool is_stop = command.verb == Verb::Stop;
+  packer.pack_map(is_stop ? 4 : 3);
   pack_field(packer, "verb", name_of(enum_names::kVerbs, command.verb));
   pack_field(packer, field::kTask, task_name(command.key));
   pack_field(packer, field::kAttempt, command.attempt);
-  if (stops) pack_field(packer, "easing_s", command.grace_s);
+  if (is_stop) pack_field(packer, "easing_s", command.grace_s);
 }
 
 void pack_commands(Packer& packer, const std::vector<Command>& commands) {
