--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -10,7 +10,8 @@
 namespace sumacquay {
 namespace {
 
-/// Lowest value of the adaptive limit on requests in progress, as a fraction of its maximum.
+/// Lowest value of the adaptive limit on requests in progress, as a fraction of its maximum: a slow
+/// store must not stop admission entirely.
 constexpr double kMinLimitFraction = 1.0 / 14;
 
 constexpr std::string_view kJobsPath = wire::path::kJobs;
--- a/src/frontend/submission_handler.cpp
+++ b/src/frontend/submission_handler.cpp
@@ -12,7 +12,8 @@
 using Outcome = JobLookupResult::Outcome;
 
 /// Maximum size of a job's description as a fraction of the key-value store's limit on a value: for
-/// a job without dependencies, and for one with dependencies, including their ids.
+/// a job without dependencies, and for one with dependencies, including their ids. The rest of the
+/// value is for hosts and done tasks.
 constexpr double kMaxDescriptionFraction = 0.5;
 constexpr double kMaxDescriptionAndDependenciesFraction = 0.9;
 
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -15,6 +15,7 @@
 using codec::Packer;
 
 constexpr size_t kMaxTypeNameBytes = 200;
+/// Names are parts of keys in the store, which have at most 200 bytes including a prefix.
 constexpr size_t kMaxNameBytes = 150;
 
 std::optional<MachineType> read_type(View map) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -186,6 +186,7 @@
   }
 
  private:
+  /// Keeps sums of amounts finite and sufficiently exact.
   static constexpr double kMaxAmount = 1e12;
   View map_;
   std::string error_;
--- a/src/wire/job_spec_codec.cpp
+++ b/src/wire/job_spec_codec.cpp
@@ -11,7 +11,7 @@
 
 constexpr size_t kMaxNameBytes = 200;
 constexpr size_t kMaxTypes = 64;
-constexpr uint64_t kMaxTasks = 100000;
+constexpr uint64_t kMaxTasks = 100000;  ///< limit set by the protocol
 constexpr uint32_t kRequiredFields = 17;
 
 // Names in the protocol of the fields that occur only in job descriptions.
--- a/src/wire/json_size.cpp
+++ b/src/wire/json_size.cpp
@@ -48,6 +48,8 @@
   return 1 + decimal_size(uint64_t{0} - static_cast<uint64_t>(number));
 }
 
+/// The platform formats numbers as JavaScript does: fixed notation from 1e-6 up to 1e21, scientific
+/// notation otherwise.
 size_t floating_point_size(double number) {
   constexpr double kMinFixed = 1e-6;
   constexpr double kMaxFixed = 1e21;
--- a/src/wire/record_capacity.cpp
+++ b/src/wire/record_capacity.cpp
@@ -9,9 +9,11 @@
 namespace sumacquay::wire {
 namespace {
 
-/// Fraction of the limit on a value that is kept free.
+/// Fraction of the limit on a value that is kept free for fields added by later versions and for
+/// anything that the size estimate does not cover.
 constexpr double kReserveFraction = 1.0 / 32;
-/// Fraction of the space left by the description that done tasks may take; hosts get the rest.
+/// Fraction of the space left by the description that done tasks may take. They compete with hosts,
+/// which get the rest.
 constexpr double kDoneTasksFraction = 2.0 / 3;
 constexpr size_t kCommaBytes = 1;
 /// A Unix time in milliseconds with 13 digits, the most that any time before the year 2286 has.
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -17,6 +17,7 @@
 using codec::Packer;
 using codec::value_of;
 
+/// Names are parts of keys in the store, which have at most 200 bytes including a prefix.
 constexpr size_t kMaxNameBytes = 150;
 
 /// Whether a name can be part of a key in the store: printable ASCII without spaces.
