--- a/src/dispatch/failure_attribution.cpp
+++ b/src/dispatch/failure_attribution.cpp
@@ -8,23 +8,25 @@
 namespace sumacquay {
 namespace {
 
-/// Failed machines that show a job to be crash looping, and failed jobs that put a machine in
-/// quarantine.
+/// The number of machines on which a job has to fail to count as crash looping, and the number of
+/// jobs that have to fail on a machine for it to be quarantined.
 constexpr size_t kMinFailedMachinesForCrashLoop = 3;
 constexpr size_t kMinFailedJobsForQuarantine = 2;
-/// A job avoids the machines on which it failed, up to this many; past it, it may go anywhere.
+/// A job avoids the machines on which it failed. When the list has reached this size, it is
+/// cleared, and the job may be placed anywhere again.
 constexpr size_t kMaxAvoidedMachines = 8;
+/// The backoff reaches its longest pause after this many doublings.
 constexpr int kMaxBackoffDoublings = 6;
-/// The time after which a quarantined machine is released, though none of the jobs that failed
-/// there has succeeded elsewhere / workers' lease.
-constexpr double kQuarantineConfirmedLeases = 3;
+/// Time after which a quarantined machine is released even if none of the jobs that failed there
+/// has succeeded elsewhere, as a multiple of the worker lease.
+constexpr double kQuarantineConfirmationLeases = 3;
 
 }  // namespace
 
 bool FailureAttribution::crash_looping(const Job& job) const {
-  const auto tries = static_cast<size_t>(state_.settings().tuning.start_tries);
+  const auto configured_tries = static_cast<size_t>(state_.settings().tuning.start_tries);
   return job.failed_machines_since_success.size() >=
-         std::max(kMinFailedMachinesForCrashLoop, tries);
+         std::max(kMinFailedMachinesForCrashLoop, configured_tries);
 }
 
 void FailureAttribution::record_task_failure(Machine& machine, Job& job, Seconds now) {
@@ -41,7 +43,7 @@
     log_info("job_crash_looping", log_field("job", job.spec().id));
     clear_failures(job);
   }
-  // Attempts that had started before the backoff began are no further retry.
+  // A failure during the backoff comes from an attempt that started before it, not from a retry.
   if (now < job.backoff_until) return;
   const int doublings = std::min(job.failed_retries, kMaxBackoffDoublings);
   job.backoff_until = now + state_.settings().heartbeat_period_s * (1 << doublings);
@@ -98,7 +100,8 @@
 
 bool FailureAttribution::quarantine_confirmed(const Machine& machine, Seconds now) const {
   return machine.failed_jobs_succeed_elsewhere ||
-         now - *machine.quarantined_since > kQuarantineConfirmedLeases * state_.settings().lease_s;
+         now - *machine.quarantined_since >
+             kQuarantineConfirmationLeases * state_.settings().lease_s;
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/record_planner.cpp
+++ b/src/dispatch/record_planner.cpp
@@ -9,14 +9,15 @@
 namespace sumacquay {
 namespace {
 
-/// A job's record is written in place, or moved: one deleted, another written.
-constexpr size_t kMaxChangesPerJob = 2;
-/// The size of a machine's record at most, or nearly so.
+/// A job record is either overwritten or moved, which deletes one key and writes another.
+constexpr size_t kMaxMutationsPerJob = 2;
+/// Approximate maximum size of a machine record.
 constexpr size_t kMachineRecordBytes = 300;
 
-/// A write without an answer may be applied late: only hosts that every write of the record's
-/// present version names are certain to stay in it.
-void keep_common_hosts(Job& job, const std::optional<std::vector<std::string>>& hosts) {
+/// Reduces `hosts_in_all_writes` to the hosts that this write names too. An unacknowledged write
+/// may be applied late, so only hosts named by every write against the current version are certain
+/// to stay in the record.
+void intersect_hosts_in_all_writes(Job& job, const std::optional<std::vector<std::string>>& hosts) {
   if (!hosts) return;
   if (!job.hosts_in_all_writes) {
     job.hosts_in_all_writes = hosts;
@@ -29,15 +30,15 @@
 
 }  // namespace
 
-/// The writes of one transaction. Its size is kept well under the store's limit of 64 KiB.
+/// The writes of one transaction. Its size is kept well below the store's limit of 64 KiB.
 class RecordPlanner::Batch {
  public:
-  explicit Batch(size_t max_changes) : max_changes_(max_changes) {}
-  bool fits(size_t changes) const { return changes_ + changes <= max_changes_; }
+  explicit Batch(size_t max_mutations) : max_mutations_(max_mutations) {}
+  bool fits(size_t mutations) const { return mutations_ + mutations <= max_mutations_; }
   bool full() const { return bytes_ > kMaxBytes; }
-  /// `bytes`: the size of its value at most.
+  /// `bytes`: upper bound on the size of the record's value.
   void add(RecordWrite write, size_t bytes) {
-    changes_ += write.changes();
+    mutations_ += write.changes();
     bytes_ += bytes;
     writes_.push_back(std::move(write));
   }
@@ -45,20 +46,21 @@
 
  private:
   static constexpr size_t kMaxBytes = size_t{48} * 1024;
-  size_t max_changes_;
-  size_t changes_ = 0;
+  size_t max_mutations_;
+  size_t mutations_ = 0;
   size_t bytes_ = 0;
   std::vector<RecordWrite> writes_;
 };
 
-std::vector<RecordWrite> RecordPlanner::plan_writes(Seconds now, size_t max_changes) {
-  Batch batch(max_changes);
+std::vector<RecordWrite> RecordPlanner::plan_writes(Seconds now, size_t max_mutations) {
+  Batch batch(max_mutations);
   add_machine_writes(batch);
   if (add_job_writes(batch, now)) add_machine_deletions(batch);
   return batch.release();
 }
 
-/// Machines that are to get their first start: it waits for their records.
+/// Adds the records of machines that are to get their first task, which is not started before the
+/// record is durable.
 void RecordPlanner::add_machine_writes(Batch& batch) {
   if (!queue_.prompt()) {
     for (const auto& [id, machine] : state_.machines()) {
@@ -93,8 +95,8 @@
   }
 }
 
-/// Starts wait for some of them and users for others; what is merely tidied up comes last. False if
-/// the batch is full before all are in it.
+/// Adds job records in order of priority: those that task starts wait for, then those that users
+/// wait for, then progress and cleanup. Returns false if the batch is full before all are added.
 bool RecordPlanner::add_job_writes(Batch& batch, Seconds now) {
   if (queue_.prompt()) return add_queued_job_writes(batch, now);
   struct PrioritizedJob {
@@ -112,14 +114,14 @@
                      return first.priority < second.priority;
                    });
   for (const PrioritizedJob& entry : order) {
-    if (!batch.fits(kMaxChangesPerJob) || batch.full()) return false;
+    if (!batch.fits(kMaxMutationsPerJob) || batch.full()) return false;
     add_job_write(batch, *entry.job, now);
   }
   return true;
 }
 
 bool RecordPlanner::add_queued_job_writes(Batch& batch, Seconds now) {
-  while (batch.fits(kMaxChangesPerJob) && !batch.full()) {
+  while (batch.fits(kMaxMutationsPerJob) && !batch.full()) {
     const auto id = queue_.pop_job();
     if (!id) return true;
     ++work_.dispatch_checks;
@@ -133,7 +135,7 @@
 void RecordPlanner::add_job_write(Batch& batch, Job& job, Seconds now) {
   RecordWrite write = write_for(job, now);
   job.write_in_flight = true;
-  keep_common_hosts(job, write.record->hosts);
+  intersect_hosts_in_all_writes(job, write.record->hosts);
   const size_t bytes = write.finished ? 0 : job.record_capacity.taken_by(*write.record);
   batch.add(std::move(write), bytes);
 }
@@ -151,22 +153,24 @@
   if (state_.cancelled_by_dependency(job)) record.state = JobState::Cancelled;
   record.started = job.stored.started || job.start_record_requested;
   if (record.started && !record.spec.dependencies.empty()) {
-    // All of them are done: from here on only the time counts.
+    // A started job's dependencies are all done; only the time of the last completion is needed.
     record.ready_ms = state_.arrival_ms(job);
     record.spec.dependencies.clear();
   }
   if (record.started) record.hosts = possible_hosts(job);
   write.finished = record.state != JobState::Pending && state_.absent_everywhere(job);
-  // Of a job that is over only their number is kept.
+  // The record of a finished job stores only the number of done tasks.
   record.done = write.finished ? job.done : RecordQueue::done_for_record(job);
   return write;
 }
 
-/// Where the job's tasks may be, for the next leader: machines that it can't reconcile hold back
-/// this job only if they are among these. None if the list would take too much of a record.
+/// Returns the machines on which the job's tasks may be, for the record. After a failover, the job
+/// is held back only by unreconciled machines in this list. None, which means any machine, if the
+/// list is not known or does not fit into the record.
 std::optional<std::vector<std::string>> RecordPlanner::possible_hosts(const Job& job) const {
   if (state_.placement_unknown(job) && !job.stored.hosts) return std::nullopt;
-  // An array has tens of thousands of placements on a few hundred machines.
+  // Deduplicated first: an array can have tens of thousands of placements on a few hundred
+  // machines.
   std::unordered_set<std::string_view> machines;
   for_each_possible_placement(job, [&machines](uint32_t, const TaskPlacement& placement) {
     machines.insert(placement.machine);
--- a/src/dispatch/scheduling_queue.cpp
+++ b/src/dispatch/scheduling_queue.cpp
@@ -10,19 +10,19 @@
 namespace sumacquay {
 namespace {
 
-/// The order in which a round places jobs: the smaller goes first.
+/// Sort key of the jobs in a round, the smallest first.
 struct SchedulingOrder {
-  /// A job that may preempt another goes before it: the other way round, the other would only be
-  /// stopped again.
+  /// A job that may preempt another is placed before it; otherwise the other job would be started
+  /// and then preempted.
   int negated_priority = 0;
-  /// A job within its team's fair share need not wait for other teams, and what it has preempted
-  /// must not be back in its place before it.
+  /// A job within its team's fair share does not wait for other teams. Placing it first also keeps
+  /// a task that it has preempted from taking the room again.
   bool beyond_fair_share = false;
-  /// Of those that can preempt nobody: tasks that need no GPUs fit into every gap and would take
-  /// the CPUs beside all GPUs.
-  bool fits_every_gap = false;
-  double arrival_period = 0;  ///< jobs that arrive within one heartbeat period arrive together
-  int negated_gang_size = 0;  ///< of these the largest gang goes first
+  /// Among jobs of the lowest priority, which cannot preempt by priority, tasks without GPUs come
+  /// last: they fit on nearly any machine and would take the CPUs that GPU tasks need.
+  bool low_priority_without_gpus = false;
+  double arrival_period = 0;  ///< arrival time in heartbeat periods, rounded down
+  int negated_gang_size = 0;  ///< within a period the largest gang comes first
   uint64_t arrival_ms = 0;
   std::string_view id;
   auto operator<=>(const SchedulingOrder&) const = default;
@@ -35,7 +35,7 @@
   SchedulingOrder order;
   order.negated_priority = -static_cast<int>(job.priority);
   order.beyond_fair_share = !within_fair_share;
-  order.fits_every_gap = job.priority == Priority::Low && spec.request.gpus == 0;
+  order.low_priority_without_gpus = job.priority == Priority::Low && spec.request.gpus == 0;
   order.arrival_period = std::floor(static_cast<double>(arrival_ms) / (period * kMsPerSecond));
   order.negated_gang_size = spec.kind == JobKind::Gang ? -static_cast<int>(spec.tasks) : 0;
   order.arrival_ms = arrival_ms;
@@ -43,7 +43,7 @@
   return order;
 }
 
-/// A waiting job with its place in the order.
+/// A waiting job with its sort key.
 struct QueuedJob {
   SchedulingOrder order;
   Job* job = nullptr;
@@ -51,8 +51,8 @@
 
 }  // namespace
 
-/// Whether a round may start anything of the job. A crash-looping job gets one task at a time,
-/// until one of its tasks runs steadily.
+/// Whether a round may place tasks of the job. A crash-looping job gets one task at a time, until
+/// one of its tasks runs steadily.
 bool SchedulingQueue::may_be_placed(Job& job, Seconds now) {
   if (!job.runnable() || !state_.ready(job) || now < job.backoff_until ||
       state_.placement_unknown(job))
@@ -87,7 +87,8 @@
   return jobs;
 }
 
-/// Finds the jobs within fair shares, if any of those that wait could be one of them.
+/// Finds the jobs within their team's fair share. Skipped if no waiting job belongs to a team with
+/// a fair share.
 void SchedulingQueue::find_jobs_within_fair_share(const std::vector<Job*>& waiting) {
   within_fair_share_.clear();
   const auto& team_settings = state_.settings().teams;
@@ -95,14 +96,14 @@
   for (const auto& team : team_settings)
     if (has_fair_share(team)) teams.insert(team.name);
   if (teams.empty()) return;
-  const auto claims = [&teams](const Job& job) { return teams.contains(job.spec().team); };
-  if (std::none_of(waiting.begin(), waiting.end(), [&](const Job* job) { return claims(*job); }))
+  const auto has_share = [&teams](const Job& job) { return teams.contains(job.spec().team); };
+  if (std::none_of(waiting.begin(), waiting.end(), [&](const Job* job) { return has_share(*job); }))
     return;
   std::vector<UnfinishedJob> unfinished;
   for (const auto& [id, job] : state_.jobs()) {
-    if (!job.runnable() || !state_.ready(job) || !claims(job)) continue;
-    const uint32_t ended = job.spec().kind == JobKind::Array ? job.done.count() : 0;
-    unfinished.push_back({&job.spec(), job.spec().tasks - ended, state_.arrival_ms(job)});
+    if (!job.runnable() || !state_.ready(job) || !has_share(job)) continue;
+    const uint32_t completed = job.spec().kind == JobKind::Array ? job.done.count() : 0;
+    unfinished.push_back({&job.spec(), job.spec().tasks - completed, state_.arrival_ms(job)});
   }
   within_fair_share_ = sumacquay::within_fair_share(team_settings, std::move(unfinished));
 }
--- a/src/frontend/submission_handler.cpp
+++ b/src/frontend/submission_handler.cpp
@@ -11,10 +11,11 @@
 
 using Outcome = JobLookupResult::Outcome;
 
-/// The part of a record's value that a job's description may take, and what it may take together
-/// with the names of the jobs that it depends on.
-constexpr double kMaxDescriptionShare = 0.5;
-constexpr double kMaxDescriptionAndDependenciesShare = 0.9;
+/// Maximum size of a job's description as a fraction of the key-value store's limit on a value: for
+/// a job without dependencies, and for one with dependencies, including their ids. The rest of the
+/// value is for hosts and done tasks.
+constexpr double kMaxDescriptionFraction = 0.5;
+constexpr double kMaxDescriptionAndDependenciesFraction = 0.9;
 
 HttpReply accepted_reply(const std::string& id, JobState state) {
   return {201, wire::job_answer(id, user_visible_state(state, 0)), 0};
@@ -24,7 +25,7 @@
 
 void SubmissionHandler::submit(std::string_view body, const Respond& respond) {
   const auto parsed = wire::parse_job(body);
-  // Without an id it can't repeat an earlier submission.
+  // Without a valid id, this cannot be a repeated submission of an existing job.
   if (parsed.id.empty()) return respond(refusal_reply(400, parsed.error));
   if (!parsed.spec)
     return respond_existing_job(parsed.id, refusal_reply(400, parsed.error), respond);
@@ -45,8 +46,8 @@
 void SubmissionHandler::check_dependencies(const std::shared_ptr<Submission>& submission,
                                            const Respond& respond) {
   while (!submission->unchecked_dependencies.empty()) {
-    // A job in the cache was certainly accepted. What has happened to it since the cache was
-    // brought up to date follows from both jobs' records later.
+    // A job in the cache is known to have been accepted. Its cached state may be stale; the effect
+    // of later changes is derived from the records of both jobs.
     const auto state = lookup_.cached_state(submission->unchecked_dependencies.back());
     if (!state) return look_up_dependency(submission, respond);
     submission->apply_dependency(*state);
@@ -82,20 +83,23 @@
   if (too_large(record.spec, value))
     return respond_existing_job(id, refusal_reply(400, "the job's description is too large"),
                                 respond);
-  const std::string live = keys::kLive + id;
-  const std::string finished = keys::kFinished + id;
-  store_.compare_and_swap(RequestPriority::Record, {{live, 0}, {finished, 0}}, {{live, value, 0}},
+  const std::string live_key = keys::kLive + id;
+  const std::string finished_key = keys::kFinished + id;
+  store_.compare_and_swap(RequestPriority::Record, {{live_key, 0}, {finished_key, 0}},
+                          {{live_key, value, 0}},
                           [this, record, respond](const TransactionResult& result) {
                             on_written(record, result, respond);
                           });
 }
 
 bool SubmissionHandler::too_large(const JobSpec& spec, std::string_view encoded_record) const {
-  // Done numbers and hosts come into a record only once its dependencies have left it.
-  const double share =
-      spec.dependencies.empty() ? kMaxDescriptionShare : kMaxDescriptionAndDependenciesShare;
+  // Done tasks and hosts are added to a record only after its dependencies have been removed, so
+  // dependencies may take up the space that is kept for them.
+  const double max_fraction =
+      spec.dependencies.empty() ? kMaxDescriptionFraction : kMaxDescriptionAndDependenciesFraction;
   const size_t size = wire::json_size(wire::Document::parse(encoded_record)->root());
-  return static_cast<double>(size) > static_cast<double>(settings_.state_value_bytes()) * share;
+  return static_cast<double>(size) >
+         static_cast<double>(settings_.state_value_bytes()) * max_fraction;
 }
 
 void SubmissionHandler::on_written(const JobRecord& record, const TransactionResult& result,
@@ -113,20 +117,21 @@
 
 void SubmissionHandler::respond_accepted(const JobRecord& record, const Respond& respond) {
   const std::string& id = record.spec.id;
-  const bool depends = record.state == JobState::Pending && !record.spec.dependencies.empty();
-  if (!depends) return respond(accepted_reply(id, record.state));
-  // The dependencies were checked against a cache that may be old: one of them may be cancelled
-  // since, and some node may have answered so.
+  const bool has_pending_dependencies =
+      record.state == JobState::Pending && !record.spec.dependencies.empty();
+  if (!has_pending_dependencies) return respond(accepted_reply(id, record.state));
+  // The dependencies were checked against a cache that may be stale: a dependency may have been
+  // cancelled since, and a node may already have reported this job as cancelled.
   lookup_.look_up(id, [id, respond](const JobLookupResult& job) {
     respond(job.found() ? accepted_reply(id, job.state) : unavailable_reply());
   });
 }
 
-void SubmissionHandler::respond_existing_job(const std::string& id, const HttpReply& if_unknown,
+void SubmissionHandler::respond_existing_job(const std::string& id, const HttpReply& if_not_found,
                                              const Respond& respond) {
-  lookup_.look_up(id, [this, id, if_unknown, respond](const JobLookupResult& job) {
+  lookup_.look_up(id, [this, id, if_not_found, respond](const JobLookupResult& job) {
     if (job.outcome == Outcome::Unavailable) return respond(unavailable_reply());
-    if (job.outcome == Outcome::Unknown) return respond(if_unknown);
+    if (job.outcome == Outcome::Unknown) return respond(if_not_found);
     const uint32_t running = job.outcome == Outcome::Live ? sources_.counts(id).running : 0;
     respond({200, wire::job_answer(id, user_visible_state(job.state, running)), 0});
   });
--- a/src/node/connection_log.h
+++ b/src/node/connection_log.h
@@ -4,21 +4,21 @@
 
 namespace sumacquay {
 
-/// Logs when more users and workers connect than there are sockets: one line for a span in which
-/// connections were closed with their answers, or refused. Called by the node at each tick. It owns
-/// the counts of the last line and must not know why connections were closed.
+/// Logs when more users and workers connect than there are sockets: one line for each interval in
+/// which connections were closed after an answer, or refused. Called by the node at each tick. Owns
+/// the counts of the last line.
 class ConnectionLog {
  public:
-  /// `pause`: the least time between two lines, in seconds.
-  explicit ConnectionLog(Seconds pause) : pause_(pause) {}
+  /// `min_interval`: the minimum interval between two lines.
+  explicit ConnectionLog(Seconds min_interval) : min_interval_(min_interval) {}
 
-  /// True if it wrote a line.
+  /// Logs a line if one is due and connections were closed or refused; returns whether it did.
   bool observe(Seconds now, const ConnectionCounts& counts);
 
  private:
-  Seconds pause_;
-  Seconds next_ = 0;
-  ConnectionCounts logged_;
+  Seconds min_interval_;
+  Seconds next_log_at_ = 0;
+  ConnectionCounts last_logged_;
 };
 
 }  // namespace sumacquay
--- a/src/store/dependency_reader.h
+++ b/src/store/dependency_reader.h
@@ -9,33 +9,34 @@
 
 namespace sumacquay {
 
-/// Reads how jobs ended that live jobs depend on and of which the tables know nothing: finished
-/// jobs are not part of a snapshot. RecordCache calls it. It changes no tables itself.
+/// Reads the finished records of dependencies that are missing from the tables, since snapshots do
+/// not include finished jobs. Called by RecordCache; does not modify the tables itself.
 class DependencyReader {
  public:
-  using Found = std::function<void(const std::string& id, FinishedRecord record)>;
+  using RecordReadCallback = std::function<void(const std::string& id, FinishedRecord record)>;
 
-  /// `found` is called with each record that was read, and has to make the job known to the tables.
+  /// `on_record_read` is called with each record that was read and must add it to the tables.
   DependencyReader(KeyValueStoreClient& store, LoadGeneration& generation,
-                   const RecordTables& tables, double retry_s, Found found);
+                   const RecordTables& tables, double retry_delay_s,
+                   RecordReadCallback on_record_read);
 
-  /// Reads what is unknown, one after another; one that can't be read is asked for again. Does
-  /// nothing while a read is in progress.
+  /// Reads the records of all unknown dependencies sequentially and retries failed reads. Does
+  /// nothing while a read is in flight.
   void read_unknown();
-  /// To be called when a load starts: the answer to a read in progress will be dropped.
-  void reset() { reading_ = false; }
+  /// Must be called when a load starts, because the response to a read in flight is then dropped.
+  void reset() { read_in_flight_ = false; }
 
  private:
   void read(const std::string& id);
-  void on_answer(const std::string& id, const HttpResult& result);
+  void on_response(const std::string& id, const HttpResult& result);
 
   KeyValueStoreClient& store_;
   LoadGeneration& generation_;
   const RecordTables& tables_;
-  double retry_s_;  ///< from a failed read to the next
-  Found found_;
-  bool reading_ = false;
-  std::string last_read_;  ///< jobs are read in turn, by id
+  double retry_delay_s_;  ///< delay after a failed read
+  RecordReadCallback on_record_read_;
+  bool read_in_flight_ = false;
+  std::string last_read_id_;  ///< id of the last job that was read; reads go round-robin by id
 };
 
 }  // namespace sumacquay
--- a/src/store/record_tables.cpp
+++ b/src/store/record_tables.cpp
@@ -8,11 +8,11 @@
 namespace sumacquay {
 namespace {
 
-std::string id_after(const std::string& prefix, const std::string& key) {
+std::string strip_prefix(const std::string& prefix, const std::string& key) {
   return key.substr(prefix.size());
 }
 
-/// The leader in a change of a key; none if the key was deleted or can't be read.
+/// Decodes a leader record; none if the key was deleted or the record is invalid.
 std::optional<wire::LeaderRecord> decode_leader_item(const wire::StoreItem& item) {
   return item.value.missing() ? std::nullopt : wire::decode_leader(item.value);
 }
@@ -23,7 +23,7 @@
   live_.clear();
   dependencies_.clear();
   hosts_.clear();
-  host_deleted_.clear();
+  host_deletion_versions_.clear();
   leader_ = {};
   term_ = {};
   leader_version_ = 0;
@@ -31,18 +31,19 @@
 
 AppliedChange RecordTables::apply(const wire::StoreItem& item) {
   const std::string& key = item.key;
-  if (key.starts_with(keys::kLive)) return apply_live(id_after(keys::kLive, key), item);
-  if (key.starts_with(keys::kFinished)) return apply_finished(id_after(keys::kFinished, key), item);
-  if (key.starts_with(keys::kHost)) return apply_host(id_after(keys::kHost, key), item);
+  if (key.starts_with(keys::kLive)) return apply_live(strip_prefix(keys::kLive, key), item);
+  if (key.starts_with(keys::kFinished))
+    return apply_finished(strip_prefix(keys::kFinished, key), item);
+  if (key.starts_with(keys::kHost)) return apply_host(strip_prefix(keys::kHost, key), item);
   if (key == keys::kLeader) return apply_leader(item);
   if (key == keys::kTerm) return apply_term(item);
   return {};
 }
 
 AppliedChange RecordTables::apply_live(const std::string& id, const wire::StoreItem& item) {
-  const auto known = live_.find(id);
-  if (known != live_.end() && known->second.version >= item.version) return {};
-  // A finished job never becomes live again, whatever an older change says.
+  const auto existing = live_.find(id);
+  if (existing != live_.end() && existing->second.version >= item.version) return {};
+  // A finished job never becomes live again, even if an older change of its live record arrives.
   if (item.value.missing() || finished_.contains(id)) {
     live_.erase(id);
     dependencies_.forget(id);
@@ -63,10 +64,10 @@
 }
 
 AppliedChange RecordTables::apply_host(const std::string& id, const wire::StoreItem& item) {
-  const auto known = hosts_.find(id);
-  if (known != hosts_.end() && known->second.version >= item.version) return {};
-  const auto deleted = host_deleted_.find(id);
-  if (deleted != host_deleted_.end() && deleted->second >= item.version) return {};
+  const auto existing = hosts_.find(id);
+  if (existing != hosts_.end() && existing->second.version >= item.version) return {};
+  const auto deletion = host_deletion_versions_.find(id);
+  if (deletion != host_deletion_versions_.end() && deletion->second >= item.version) return {};
   const auto record = item.value.missing() ? std::nullopt : wire::decode_host(item.value);
   if (record)
     hosts_[id] = {*record, item.version};
@@ -90,18 +91,21 @@
   return {ChangeEffect::LeaderChanged};
 }
 
-/// A job may depend on one that has finished already, which is then known from memory or has to be
-/// read. A finished job stays live until no task of it is left anywhere.
+/// Adds a job's dependencies and the states of those that are in the tables; records of other
+/// dependencies must be read from the store. A job that is done or cancelled keeps its live record
+/// until none of its tasks is left on any machine.
 void RecordTables::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
-    if (const auto* known = finished(id)) dependencies_.finished(id, known->state, known->ended_ms);
-    if (const auto* known = live(id)) dependencies_.update(known->value);
+    if (const auto* existing = finished(id))
+      dependencies_.finished(id, existing->state, existing->ended_ms);
+    if (const auto* existing = live(id)) dependencies_.update(existing->value);
   }
 }
 
 std::vector<const wire::StoreItem*> RecordTables::newer_changes(const wire::StorePage& page) const {
-  // The protocol does not promise changes in order: without sorting, a deleted key could come back.
+  // The protocol does not guarantee the order of changes; without sorting, a deletion could be
+  // followed by an older write of the same key.
   std::vector<const wire::StoreItem*> newer;
   for (const auto& item : page.items)
     if (item.version > revision_) newer.push_back(&item);
@@ -113,14 +117,14 @@
   revision_ = std::max(revision_, revision);
 }
 
-/// The answer to a write may be delayed, and its record be changed or deleted since. The tables
-/// hold that later change already: those that are not newer than the revision are ignored.
+/// Ignores writes that are not newer than the revision of the tables: the response to a write may
+/// be delayed until the tables include a later change or deletion of the same record.
 bool RecordTables::wrote_job(const JobRecord& record, uint64_t version) {
   const std::string& id = record.spec.id;
   if (version <= revision_ || finished_.contains(id)) return false;
-  auto& known = live_[id];
-  if (known.version >= version) return false;
-  known = {record, version};
+  auto& existing = live_[id];
+  if (existing.version >= version) return false;
+  existing = {record, version};
   track_dependencies(record);
   return true;
 }
@@ -132,7 +136,7 @@
     return;
   }
   hosts_.erase(id);
-  host_deleted_[id] = version;
+  host_deletion_versions_[id] = version;
 }
 
 void RecordTables::wrote_leader(const wire::LeaderRecord& record, uint64_t version) {
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -15,6 +15,7 @@
 using codec::Packer;
 
 constexpr size_t kMaxTypeNameBytes = 200;
+/// Names are parts of keys in the store, which have at most 200 bytes including a prefix.
 constexpr size_t kMaxNameBytes = 150;
 
 std::optional<MachineType> read_type(View map) {
@@ -87,11 +88,11 @@
   return codec::read_root<MachinePage>(body, read_machines);
 }
 
-std::string rent_body(const std::string& request, const std::string& type, const std::string& zone,
-                      bool spot, int count) {
+std::string rent_body(const std::string& request_id, const std::string& type,
+                      const std::string& zone, bool spot, int count) {
   return build([&](Packer& packer) {
     packer.pack_map(5);
-    pack_field(packer, "hire", request);
+    pack_field(packer, "hire", request_id);
     pack_field(packer, field::kType, type);
     pack_field(packer, field::kZone, zone);
     pack_field(packer, field::kSpot, spot);
--- a/src/wire/json_size.cpp
+++ b/src/wire/json_size.cpp
@@ -8,20 +8,22 @@
 namespace sumacquay::wire {
 namespace {
 
+// Sizes of JSON tokens in bytes.
 constexpr size_t kQuotes = 2;
 constexpr size_t kBrackets = 2;
-constexpr size_t kShortEscape = 2;    // \n and its like
-constexpr size_t kUnicodeEscape = 6;  // \u0000
+constexpr size_t kShortEscape = 2;    // e.g. \n
+constexpr size_t kUnicodeEscape = 6;  // e.g. \u0000
 constexpr size_t kNull = 4;
 constexpr size_t kTrue = 4;
 constexpr size_t kFalse = 5;
 
-using Pending = std::vector<const msgpack::object*>;
+using PendingValues = std::vector<const msgpack::object*>;
 
-constexpr unsigned char kFirstContinuation = 0x80;
-constexpr unsigned char kFirstLead = 0xc0;
-constexpr unsigned char kFirstLeadOfThree = 0xe0;
-constexpr unsigned char kFirstLeadOfFour = 0xf0;
+// Lowest values of the kinds of bytes in UTF-8 sequences.
+constexpr unsigned char kMinContinuationByte = 0x80;
+constexpr unsigned char kMinLeadByte = 0xc0;
+constexpr unsigned char kMinLeadByteOfThree = 0xe0;
+constexpr unsigned char kMinLeadByteOfFour = 0xf0;
 
 size_t ascii_size(unsigned char byte) {
   constexpr unsigned char kFirstPrintable = 0x20;
@@ -30,10 +32,10 @@
   return byte < kFirstPrintable || byte == kDelete ? kUnicodeEscape : 1;
 }
 
-/// How many bytes follow the first of a UTF-8 character outside ASCII.
-int continuations_after(unsigned char lead) {
-  if (lead >= kFirstLeadOfFour) return 3;
-  return lead >= kFirstLeadOfThree ? 2 : 1;
+/// Number of continuation bytes after the lead byte of a multi-byte UTF-8 sequence.
+int continuation_bytes_after(unsigned char lead) {
+  if (lead >= kMinLeadByteOfFour) return 3;
+  return lead >= kMinLeadByteOfThree ? 2 : 1;
 }
 
 size_t decimal_size(uint64_t number) {
@@ -46,7 +48,9 @@
   return 1 + decimal_size(uint64_t{0} - static_cast<uint64_t>(number));
 }
 
-size_t real_size(double number) {
+/// The platform formats numbers as JavaScript does: fixed notation from 1e-6 up to 1e21, scientific
+/// notation otherwise.
+size_t floating_point_size(double number) {
   constexpr double kMinFixed = 1e-6;
   constexpr double kMaxFixed = 1e21;
   constexpr size_t kMaxBytes = 64;
@@ -62,19 +66,19 @@
   return std::trunc(number) == number ? size + kPointZero : size;
 }
 
-/// Commas between members, and the brackets around them.
-size_t frame_size(uint32_t members) {
+/// Size of the brackets of a list or map and of the commas between its members.
+size_t brackets_and_commas_size(uint32_t members) {
   return kBrackets + (members > 0 ? members - 1 : 0);
 }
 
-size_t list_size(const msgpack::object_array& list, Pending& pending) {
+size_t list_size(const msgpack::object_array& list, PendingValues& pending) {
   for (uint32_t i = 0; i < list.size; ++i) pending.push_back(&list.ptr[i]);
-  return frame_size(list.size);
+  return brackets_and_commas_size(list.size);
 }
 
-/// Names of other types than text are written as texts.
-size_t map_size(const msgpack::object_map& map, Pending& pending) {
-  size_t size = frame_size(map.size);
+/// JSON keys are strings, so keys of other types are counted with quotes.
+size_t map_size(const msgpack::object_map& map, PendingValues& pending) {
+  size_t size = brackets_and_commas_size(map.size);
   for (uint32_t i = 0; i < map.size; ++i) {
     pending.push_back(&map.ptr[i].key);
     pending.push_back(&map.ptr[i].val);
@@ -84,8 +88,8 @@
   return size;
 }
 
-/// The bytes of a value without its members, which become pending.
-size_t own_size(const msgpack::object& value, Pending& pending) {
+/// Size of a value without its members, which are added to `pending`.
+size_t shallow_size(const msgpack::object& value, PendingValues& pending) {
   switch (value.type) {
     case msgpack::type::BOOLEAN:
       return value.via.boolean ? kTrue : kFalse;
@@ -95,7 +99,7 @@
       return negative_size(value.via.i64);
     case msgpack::type::FLOAT32:
     case msgpack::type::FLOAT64:
-      return real_size(value.via.f64);
+      return floating_point_size(value.via.f64);
     case msgpack::type::STR:
       return json_size(std::string_view(value.via.str.ptr, value.via.str.size));
     case msgpack::type::ARRAY:
@@ -103,7 +107,7 @@
     case msgpack::type::MAP:
       return map_size(value.via.map, pending);
     default:
-      return kNull;  // bodies hold no other types
+      return kNull;  // nil; bodies contain no other types
   }
 }
 
@@ -111,30 +115,30 @@
 
 size_t json_size(std::string_view text) {
   size_t size = kQuotes;
-  int continuations = 0;  // bytes that belong to the character before
-  for (const char letter : text) {
-    const auto byte = static_cast<unsigned char>(letter);
-    if (byte >= kFirstContinuation && byte < kFirstLead && continuations > 0) {
-      --continuations;
+  int missing_bytes = 0;  // continuation bytes still expected for the current character
+  for (const char character : text) {
+    const auto byte = static_cast<unsigned char>(character);
+    if (byte >= kMinContinuationByte && byte < kMinLeadByte && missing_bytes > 0) {
+      --missing_bytes;
       continue;
     }
-    continuations = byte >= kFirstLead ? continuations_after(byte) : 0;
-    if (byte < kFirstContinuation)
+    missing_bytes = byte >= kMinLeadByte ? continuation_bytes_after(byte) : 0;
+    if (byte < kMinContinuationByte)
       size += ascii_size(byte);
-    else  // four bytes are written as a surrogate pair
-      size += byte >= kFirstLeadOfFour ? 2 * kUnicodeEscape : kUnicodeEscape;
+    else  // a four-byte sequence is escaped as a surrogate pair
+      size += byte >= kMinLeadByteOfFour ? 2 * kUnicodeEscape : kUnicodeEscape;
   }
   return size;
 }
 
 size_t json_size(View value) {
   if (!value.object()) return 0;
-  Pending pending{value.object()};
+  PendingValues pending{value.object()};
   size_t size = 0;
   while (!pending.empty()) {
     const msgpack::object* next = pending.back();
     pending.pop_back();
-    size += own_size(*next, pending);
+    size += shallow_size(*next, pending);
   }
   return size;
 }
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -17,15 +17,16 @@
 using codec::Packer;
 using codec::value_of;
 
+/// Names are parts of keys in the store, which have at most 200 bytes including a prefix.
 constexpr size_t kMaxNameBytes = 150;
 
-/// Whether a name can stand in a key of the store: printable and without spaces.
+/// Whether a name can be part of a key in the store: printable ASCII without spaces.
 bool safe_in_keys(std::string_view name) {
   return std::all_of(name.begin(), name.end(),
                      [](unsigned char byte) { return byte > 32 && byte < 127; });
 }
 
-/// A task is named by its job and its number, with a slash between.
+/// Encodes a task as `job/task`.
 std::string task_name(const TaskKey& key) {
   return key.job + "/" + std::to_string(key.task);
 }
@@ -42,7 +43,7 @@
   return key;
 }
 
-/// A cause that is missing or unknown counts as an error of a task that has exited.
+/// If a task has exited, a missing or unknown cause reads as an error.
 ExitCause read_exit_cause(View task, TaskState state) {
   const auto cause = value_of(enum_names::kExitCauses, task["cause"]);
   if (cause) return *cause;
@@ -78,12 +79,12 @@
 }
 
 void pack_command(Packer& packer, const Command& command) {
-  const bool stops = command.verb == Verb::Stop;
-  packer.pack_map(stops ? 4 : 3);
+  const bool is_stop = command.verb == Verb::Stop;
+  packer.pack_map(is_stop ? 4 : 3);
   pack_field(packer, "verb", name_of(enum_names::kVerbs, command.verb));
   pack_field(packer, field::kTask, task_name(command.key));
   pack_field(packer, field::kAttempt, command.attempt);
-  if (stops) pack_field(packer, "easing_s", command.grace_s);
+  if (is_stop) pack_field(packer, "easing_s", command.grace_s);
 }
 
 void pack_commands(Packer& packer, const std::vector<Command>& commands) {
