--- a/tests/decision_scenarios.cpp
+++ b/tests/decision_scenarios.cpp
@@ -25,7 +25,7 @@
   return spec;
 }
 
-/// Services stay while others go, so that replicas are moved together and machines are returned.
+/// Every second service is cancelled, so that replicas are consolidated and machines released.
 void play_fragmentation(Simulation& simulation) {
   constexpr int kServices = 24;
   std::vector<std::string> services;
@@ -39,7 +39,7 @@
   simulation.finish();
 }
 
-/// The state service refuses the leader alone, jobs are cancelled, and then it is out for all.
+/// The key-value store refuses only the leader, jobs are cancelled, then the store has an outage.
 void play_refused_leader_and_outage(Simulation& simulation) {
   for (int i = 0; i < 6; ++i) simulation.users().submit_any();
   simulation.run_for(40);
@@ -53,7 +53,7 @@
   simulation.finish();
 }
 
-/// A zone is cut off for longer than a worker's lease while there is work.
+/// A zone is partitioned for longer than the worker lease while jobs run and are submitted.
 void play_zone_cut(Simulation& simulation) {
   for (int i = 0; i < 8; ++i) simulation.users().submit_any();
   simulation.run_for(40);
@@ -63,7 +63,7 @@
   simulation.finish();
 }
 
-/// Leaders change again and again while jobs come and go.
+/// Repeated failovers while jobs are submitted and run.
 void play_failovers(Simulation& simulation) {
   constexpr int kFailovers = 8;
   for (int i = 0; i < kFailovers; ++i) {
@@ -142,7 +142,8 @@
 std::string decision_digest(const DecisionScenario& scenario) {
   const ScenarioKind& kind = kinds().at(scenario.name);
   SimulationOptions options = kind.options;
-  // Silent machines are given back and gone within seconds, or kept for the length of a cut.
+  // With a short boot time silent machines are released within seconds; with a long one they are
+  // kept for the length of a partition.
   options.nominal_boot_s = scenario.seed % 2 ? 5 : 60;
   Simulation simulation(scenario.seed, options);
   kind.play(simulation);
--- a/tests/simulation/checker.cpp
+++ b/tests/simulation/checker.cpp
@@ -9,12 +9,12 @@
 namespace {
 constexpr size_t kMostViolations = 20;
 constexpr Seconds kWaitCheckInterval = 1;
-/// How long a task may wait beside room that fits.
+/// How long a task that could be placed may wait for its start.
 constexpr Seconds kLongestWait = 90;
-/// Machines count as room this long after they are up.
+/// Time after boot before a machine counts as free capacity.
 constexpr Seconds kSettlingTime = 5;
 
-/// The state that a record of a job shows, none for other records.
+/// The job state in a changed record; none if it is not a job's record.
 struct RecordedState {
   std::string job;
   JobState state = JobState::Pending;
@@ -120,7 +120,8 @@
   if (job.cancelled_at && *job.cancelled_at < asked_at) violated("went_back " + id);
   const auto before = cancelled_before(jobs_, id);
   if (!before) return;
-  // An answer that was on its way when the cancellation was confirmed has the time that it allows.
+  // A request sent before the cancellation was confirmed may still be answered from an older copy
+  // of the records, within the time limit for cancellations.
   const bool asked_later = *before < asked_at;
   if (asked_later || loop_.now() > *before + options_.cancel_s) violated("orphaned " + id);
 }
@@ -145,7 +146,7 @@
   fleet_.each_present([&](const SimulatedMachine& machine, const TaskKey& key) {
     const ObservedJob& job = jobs_.at(key.job);
     gpus[job.spec.team] += job.spec.request.gpus;
-    // A hung machine and a cut one have no time on top.
+    // The limit also holds for hung and partitioned machines.
     if (job.cancelled_at && loop_.now() > *job.cancelled_at + options_.cancel_s)
       violated("ran_cancelled", key, machine.id);
   });
@@ -179,7 +180,7 @@
   return out;
 }
 
-/// Whether all that the job depends on directly is done, for all that anybody can tell.
+/// Whether every direct dependency is done and no cancellation of it can still take effect.
 bool Checker::dependencies_done(const JobSpec& spec) const {
   return std::all_of(spec.dependencies.begin(), spec.dependencies.end(), [&](const auto& id) {
     const ObservedJob& dependency = jobs_.at(id);
--- a/tests/simulation/checker.h
+++ b/tests/simulation/checker.h
@@ -13,27 +13,28 @@
 
 namespace sumacquay::simulation {
 
-/// Judges a deployment by the machines, the records, the answers to users and the time alone; it
-/// never looks into a controller.
+/// Checks the invariants of a deployment from outside of the controllers: by the tasks on machines,
+/// the records in the key-value store, the answers to users and the virtual time.
 class Checker {
  public:
   Checker(const EventLoop& loop, const SimulationOptions& options, const Fleet& fleet,
           ObservedJobs& jobs);
 
-  /// A start has just been carried out; `ordered_at`: when the controller sent it.
+  /// A machine has executed a start command; `ordered_at`: when the controller sent it.
   void task_started(const SimulatedMachine& machine, const TaskKey& key, Seconds ordered_at);
-  /// A transaction under a term has been carried out.
+  /// The key-value store has applied a leader's transaction; `nonce` identifies the process.
   void wrote_under_term(uint64_t term, uint64_t nonce);
   void records_changed(const std::vector<StateService::Change>& changes);
-  /// A user was told the state of a job that is over.
+  /// A user received a terminal state of a job.
   void user_told(const std::string& id, JobState state);
-  /// A user was told that an accepted job is pending or running.
+  /// A user who sent a request at `asked_at` received a non-terminal state of an accepted job.
   void user_told_unfinished(const std::string& id, Seconds asked_at);
-  /// A user was told that there is no such job, or none of those that a submission names.
+  /// A user was told that the job, or a dependency named in its submission, does not exist.
   void user_told_unknown(const std::string& id);
-  /// All faults are over: from now on nobody may wait beside room that fits.
+  /// All faults have ended: from now on, tasks must start within a time limit if they can be
+  /// placed.
   void faults_ended();
-  /// Called at each step.
+  /// Called at each step of the simulation.
   void check();
 
   const std::vector<std::string>& violations() const { return violations_; }
@@ -41,9 +42,9 @@
   size_t cancellations() const { return cancellations_; }
   /// Starts of tasks of jobs that depend on others.
   size_t starts_of_dependents() const { return starts_of_dependents_; }
-  /// Jobs told as cancelled that nobody asked to cancel: one before them was.
+  /// Jobs reported as cancelled only because a job that they depend on was cancelled.
   size_t inherited_cancellations() const { return inherited_cancellations_; }
-  /// Times that a user asked for a job after one before it was cancelled, and was answered.
+  /// Answers that reported a job as cancelled after a job that it depends on was cancelled.
   size_t answers_after_cancel() const { return answers_after_cancel_; }
   size_t starts_after_cancel() const { return starts_after_cancel_; }
   Seconds ordered_after_cancel() const { return ordered_after_cancel_; }
@@ -51,7 +52,7 @@
   size_t terms() const { return terms_.size(); }
 
  private:
-  /// What the tasks on all machines take up.
+  /// Resources in use by the tasks on all machines.
   struct Usage {
     std::map<std::string, double> team_gpus;
     std::map<std::string, Resources> machine_used;
@@ -67,7 +68,7 @@
   void check_waiting();
   Usage usage() const;
   bool could_start(const std::string& id, const ObservedJob& job, const Usage& used) const;
-  /// How many tasks of the job fit on the machines.
+  /// The number of the job's tasks that could be placed in the free capacity.
   size_t room_for(const std::string& id, const JobSpec& spec, const Usage& used) const;
   bool may_use(const SimulatedMachine& machine, const JobSpec& spec,
                const std::map<std::string, uint32_t>& zones) const;
@@ -78,7 +79,7 @@
   ObservedJobs& jobs_;
   const Resources machine_room_;
   std::vector<std::string> violations_;
-  std::map<uint64_t, uint64_t> terms_;  ///< the nonce of the process that wrote under each term
+  std::map<uint64_t, uint64_t> terms_;  ///< by term: the nonce of the process that wrote under it
   bool quiet_ = false;
   Seconds next_wait_check_ = 0;
   size_t starts_ = 0, cancellations_ = 0, starts_after_cancel_ = 0;
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr Seconds kRentAnswerDelay = 0.01;
 constexpr Seconds kReleaseAnswerDelay = 1.01;
-/// When a release without an answer is given up, as a share of the workers' lease.
+/// Timeout of a release request as a fraction of the worker lease.
 constexpr double kReleaseDeadlineShare = 0.5;
 constexpr double kReleaseAnswerLost = 0.1;
 }  // namespace
--- a/tests/simulation/cloud.h
+++ b/tests/simulation/cloud.h
@@ -4,18 +4,18 @@
 
 namespace sumacquay::simulation {
 
-/// The cloud: rents machines out, boots them and takes them back.
+/// The simulated cloud provider: creates, boots and releases machines.
 class Cloud {
  public:
   explicit Cloud(Environment& environment) : env_(environment) {}
 
-  /// `zone`: none: the zones take turns. Returns the machine's name.
+  /// Without `zone`, the zones are used in turn. Returns the machine's id.
   std::string add_machine(Seconds up_at, const std::optional<std::string>& zone = std::nullopt,
                           bool spot = false);
   void rent(ControllerProcess& asker, const ScaleOut& rent);
   void release(ControllerProcess& asker, const ScaleIn& release);
 
-  /// Machines that are given back go late, without an answer.
+  /// Releases are executed late and never answered.
   void release_late(Seconds span) { late_releases_.last_until(env_.now() + span); }
   void end_faults() { late_releases_.clear(); }
 
--- a/tests/simulation/command_channel.cpp
+++ b/tests/simulation/command_channel.cpp
@@ -9,15 +9,15 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// When the leader gives a command up, at most and as a share of the workers' lease.
+/// Upper bound on the command timeout, and the timeout as a fraction of the worker lease.
 constexpr Seconds kCommandDeadline = 1.5;
 constexpr double kCommandDeadlineShare = 0.2;
-/// When the leader gives a probe up, as a share of the workers' lease.
+/// Probe timeout as a fraction of the worker lease.
 constexpr double kProbeDeadlineShare = 0.05;
-/// Commands that take longer than this count as late.
+/// Commands with a longer delay count as late.
 constexpr Seconds kLateCommand = 2;
 constexpr Seconds kTravelLeast = 0.001, kTravelMost = 0.01;
-/// Messages that are held up somewhere for no particular reason.
+/// Delay of messages that are held up at random, without another fault.
 constexpr Seconds kHeldUpLeast = 0.5, kHeldUpMost = 40;
 }  // namespace
 
@@ -49,7 +49,7 @@
   return way;
 }
 
-/// The first answer counts, also if that is the deadline's.
+/// Only the first call has an effect, whether it is the machine's answer or the timeout.
 CommandChannel::Answer CommandChannel::answer_once(ControllerProcess& sender,
                                                    const std::string& machine) {
   return [this, controller = sender.controller(), process = sender.weak_from_this(),
--- a/tests/simulation/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -8,7 +8,7 @@
 
 namespace sumacquay::simulation {
 
-/// The way of commands and probes from the leader straight to the machines, and of their answers.
+/// Delivers commands and probes from the leader to machines, and their answers back.
 class CommandChannel {
  public:
   CommandChannel(Environment& environment, Workers& workers)
@@ -17,21 +17,21 @@
   void send(ControllerProcess& sender, const SendCommands& worker_commands);
   void send(ControllerProcess& sender, const Probe& probe);
 
-  /// Commands that arrived long after they were sent, and those of them that were carried out.
+  /// Command batches that arrived late, and the number of them that were executed.
   size_t late_commands() const { return late_commands_; }
   size_t late_commands_done() const { return late_commands_done_; }
 
  private:
   using Answer =
       std::function<void(Seconds delay, std::optional<WorkerHeartbeat> heartbeat, bool executed)>;
-  /// Commands on their way to a machine.
+  /// A batch of commands in flight to a machine.
   struct Delivery {
     SendCommands worker_commands;
     Seconds sent_at = 0;
     bool answer_lost = false;
     Answer answer;
   };
-  /// How a command travels, as the faults of its way decide.
+  /// The fate of one message, drawn from the faults on its path.
   struct Way {
     Seconds delay = 0;
     bool lost = false, answer_lost = false;
--- a/tests/simulation/controller_host.h
+++ b/tests/simulation/controller_host.h
@@ -15,23 +15,23 @@
 class ControllerProcess;
 
 struct ControllerFaults {
-  Fault frozen;       ///< its process stands still
-  Fault no_state;     ///< cut off from the state service
-  Fault no_peers;     ///< cut off from the other controllers
-  Fault no_machines;  ///< cut off from all machines
-  Fault refused;      ///< the state service refuses its requests
+  Fault frozen;       ///< the process is paused
+  Fault no_state;     ///< partitioned from the key-value store
+  Fault no_peers;     ///< partitioned from the other controllers
+  Fault no_machines;  ///< partitioned from all machines
+  Fault refused;      ///< the key-value store refuses this controller's requests
 };
 
-/// Where a controller runs: its settings and faults outlast its processes.
+/// The host of a controller. Its settings and faults persist across restarts of the process.
 struct ControllerHost {
   Settings settings;
-  std::shared_ptr<ControllerProcess> process;  ///< none: it has ended
+  std::shared_ptr<ControllerProcess> process;  ///< null while no process runs
   uint64_t restarts = 0;
   ControllerFaults faults;
 };
 
-/// The controllers of a deployment, and the delivery of events to them. An event for a controller
-/// that stands still comes once it goes on.
+/// The controllers of a deployment, and the delivery of events to them. Events for a paused
+/// controller are delivered when it resumes.
 class ControllerHosts {
  public:
   using Event = std::function<void(ControllerProcess&)>;
@@ -43,10 +43,10 @@
   const ControllerHost& operator[](size_t controller) const { return hosts_[controller]; }
   std::optional<size_t> index_of(const std::string& node) const;
 
-  /// An event of one process: dropped if that process has ended meanwhile.
+  /// Schedules an event for one process; dropped if that process has ended by then.
   void schedule_in(size_t controller, const std::weak_ptr<ControllerProcess>& process,
                    Seconds delay, Event event);
-  /// An event for whichever process runs there once the delay is over.
+  /// Schedules an event for the process that runs on the host after the delay, if any.
   void schedule_at(size_t controller, Seconds delay, Event event);
 
  private:
--- a/tests/simulation/controller_peer_heartbeats.cpp
+++ b/tests/simulation/controller_peer_heartbeats.cpp
@@ -1,10 +1,11 @@
-// The heartbeats between the controllers: who leads, and delegations for zones that are cut off.
+// Heartbeats between controllers: the leader's identity, and lease delegation for partitioned
+// zones.
 #include "simulation/controller_process.h"
 
 namespace sumacquay::simulation {
 
 namespace {
-/// After how many intervals between heartbeats an answer is too late to be used.
+/// Timeout of an answer, in heartbeat intervals.
 constexpr double kAnswerDeadline = 2;
 }  // namespace
 
@@ -28,7 +29,7 @@
   const Seconds apart_until = env_.network.peers_apart_until(controller_, peer);
   if (env_.now() < apart_until) {
     if (random.chance(0.5)) return;
-    delay += apart_until - env_.now();  // held on its way; must do no harm
+    delay += apart_until - env_.now();  // delivered after the partition; must do no harm
   }
   Environment& env = env_;
   env.controllers.schedule_at(
@@ -46,7 +47,7 @@
       });
 }
 
-/// Delegations go out with answers only: they count from when they were asked for.
+/// Delegations are sent in answers only, since their duration counts from the request.
 wire::PeerHeartbeat ControllerProcess::answer_peer_heartbeat(size_t from,
                                                              const wire::PeerHeartbeat& heartbeat) {
   hear(heartbeat);
@@ -64,8 +65,8 @@
   hear(answer);
   if (answer.delegation) delegated_responder_->delegated(*answer.delegation, asked_at, env_.now());
   if (!scheduler_ || answer.leading || answer.term < election_->term()) return;
-  // The peer follows this term: it answers no worker under an older one. Once all do, nobody else
-  // can renew a worker's lease.
+  // The peer follows this term and no longer answers workers under an older one. Once all peers do,
+  // no other controller can renew a worker lease.
   peer_terms_[peer] = answer.term;
   if (peer_terms_.size() + 1 == env_.controllers.size())
     scheduler_->on_previous_leader_fenced(env_.now());
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -10,9 +10,10 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// How long to wait before the records are read once more, as a share of the workers' lease.
+/// Delay before a failed read of the records is retried, as a fraction of the worker lease.
 constexpr double kReadRetryShare = 0.005;
-/// How long a leader that no worker reaches keeps out of elections, in leader leases.
+/// How long a leader that resigned for lack of worker heartbeats stays out of elections, in leader
+/// leases.
 constexpr double kRestAfterResigning = 2;
 }  // namespace
 
@@ -154,7 +155,7 @@
       });
 }
 
-/// Reads everything that earlier leaders wrote before this process acts on the records.
+/// Reads all writes of earlier leaders before this process acts on the records.
 void ControllerProcess::read_earlier_writes(LeaderElection::Campaign campaign, uint64_t term,
                                             Seconds end) {
   read_records([campaign, term, end](ControllerProcess& me, bool fresh) {
@@ -176,7 +177,8 @@
 }
 
 void ControllerProcess::stop_leading() {
-  // Reset from inside a call of the scheduler's would pull it away under its feet.
+  // Deferred: this may run inside a call of the scheduler, which must not be destroyed before it
+  // returns.
   schedule(0, [generation = generation_](ControllerProcess& me) {
     if (generation + 1 == me.generation_ &&
         me.election_->state() == LeaderElection::State::Follower)
--- a/tests/simulation/controller_process.h
+++ b/tests/simulation/controller_process.h
@@ -19,7 +19,7 @@
 class CommandChannel;
 class Workers;
 
-/// The parts of a deployment that a controller talks to, beside the other controllers.
+/// The components that a controller communicates with, apart from the other controllers.
 struct ControllerLinks {
   StateChannel& state;
   CommandChannel& worker_commands;
@@ -28,19 +28,19 @@
 };
 
 enum class HeartbeatReplyStatus {
-  Answered,    ///< by the leader or in its place
-  NotLeading,  ///< the worker is to ask another controller
-  Late,        ///< a late copy of a heartbeat
+  Answered,    ///< by the leader or its delegate
+  NotLeading,  ///< the worker has to send its heartbeat to another controller
+  Late,        ///< a stale or duplicate heartbeat
 };
 struct HeartbeatReply {
   HeartbeatReplyStatus status = HeartbeatReplyStatus::NotLeading;
-  std::optional<size_t> leader;  ///< another controller that is thought to lead
+  std::optional<size_t> leader;  ///< the presumed leader, if another controller
   uint64_t fencing_token = 0;
   std::vector<Command> commands;
 };
 
-/// One process of a controller: the real LeaderElection, Scheduler, Delegate and Delegations with
-/// the I/O of a node around them, in virtual time.
+/// One process of a controller: the real LeaderElection, Scheduler, DelegatedResponder and
+/// Delegations, with the node's I/O simulated in virtual time.
 class ControllerProcess : public std::enable_shared_from_this<ControllerProcess> {
  public:
   /// Starts a process on the controller's host.
@@ -52,29 +52,29 @@
   void step();
   size_t controller() const { return controller_; }
   const SimulatedRecordCache& records() const { return records_; }
-  /// Changes whenever the process begins or ceases to lead.
+  /// Changes whenever the process becomes leader or loses leadership.
   uint64_t generation() const { return generation_; }
-  /// May start tasks and write records.
+  /// Whether the process may start tasks and write records as the leader.
   bool leads() const;
   bool may_answer() const;
   uint64_t term() const { return election_->term(); }
 
-  /// Brings the copy of the records up to date; `done(process, fresh)`.
+  /// Updates the record cache. Calls `done(process, fresh)`; `fresh`: the read succeeded.
   using ReadDone = std::function<void(ControllerProcess&, bool fresh)>;
   void read_records(ReadDone done = nullptr);
-  /// A job's record that this process has written on behalf of a user.
+  /// Applies a job's record that this process has written on behalf of a user.
   void wrote_job(const JobRecord& record, uint64_t version);
-  /// Reads how a job ended that the copy doesn't hold; `done(process, answered)`: whether it is
-  /// known now whether the job is over.
+  /// Reads the outcome of a job that is not in the record cache. Calls `done(process, answered)`;
+  /// `answered`: the store answered, either with the outcome or that there is none.
   void read_finished(const std::string& id, ReadDone done);
   void served_by_state() { served_at_ = env_.now(); }
 
-  /// The answer to a worker that asked this controller itself: also as the leader's delegate.
+  /// Answers a worker's heartbeat, as the leader, as its delegate, or with a redirect.
   HeartbeatReply answer_worker_heartbeat(const WorkerHeartbeat& heartbeat);
-  /// The answer to a late copy, which nobody waits for.
+  /// Processes a late duplicate of a heartbeat; the answer is not delivered.
   HeartbeatReply answer_copy(const WorkerHeartbeat& heartbeat);
 
-  // Answers to what the leader ordered. Dropped if it has ceased to lead since.
+  // Answers to the leader's actions. Ignored if the process has lost leadership since then.
   void on_commands_answered(uint64_t generation, const std::string& machine,
                             const std::optional<WorkerHeartbeat>& heartbeat, bool executed);
   void on_probe_answered(uint64_t generation, const std::string& machine,
@@ -84,7 +84,7 @@
   void on_scale_in_answered(uint64_t generation, const ScaleIn& release, bool ok);
 
  private:
-  /// Whom the other controllers' heartbeats name.
+  /// The leader according to the heartbeats of the other controllers.
   struct KnownLeader {
     size_t controller = 0;
     uint64_t term = 0;
@@ -119,7 +119,7 @@
   void leader_record_changed();
   void job_record_changed(const std::string& id);
   void all_job_records_changed();
-  /// The scheduler reads no records: it is told of finished jobs as far as others depend on them.
+  /// Passes the outcomes of finished dependencies to the scheduler, which reads no records itself.
   void report_finished_dependencies();
   void read_unknown_dependencies();
   void write_records();
@@ -127,7 +127,7 @@
   void records_written(const std::vector<RecordWrite>& writes, const StateReply& reply);
   void apply_written(const RecordWrite& write, uint64_t revision);
 
-  // Heartbeats.
+  // Peer heartbeats.
   wire::PeerHeartbeat own_peer_heartbeat() const;
   void send_peer_heartbeats();
   void send_peer_heartbeat(size_t peer);
@@ -135,7 +135,7 @@
   void peer_heartbeat_answered(size_t peer, const wire::PeerHeartbeat& answer, Seconds asked_at);
   void hear(const wire::PeerHeartbeat& heartbeat);
 
-  // Reports.
+  // Worker heartbeats.
   std::optional<HeartbeatReply> answer_as_delegate(const WorkerHeartbeat& heartbeat);
   HeartbeatReply answer_as_leader(const WorkerHeartbeat& heartbeat);
   HeartbeatReply redirect() const;
@@ -148,20 +148,20 @@
   const uint64_t nonce_;
   SimulatedRecordCache records_;
   std::unique_ptr<LeaderElection> election_;
-  std::unique_ptr<Scheduler> scheduler_;  ///< while this process leads
+  std::unique_ptr<Scheduler> scheduler_;  ///< set while this process leads
   std::unique_ptr<DelegatedResponder> delegated_responder_;
   uint64_t generation_ = 0;
-  std::map<size_t, uint64_t> peer_terms_;  ///< the terms that the others follow
-  bool writing_ = false;                   ///< a transaction of the leader is under way
-  bool reading_ = false;                   ///< the regular read of the records is under way
+  std::map<size_t, uint64_t> peer_terms_;  ///< by peer: the term that it follows
+  bool writing_ = false;                   ///< a transaction of the leader is in flight
+  bool reading_ = false;                   ///< the periodic read of the records is in flight
   bool reading_dependency_ = false;
-  std::string dependency_read_;  ///< the last one: they are read in turn
-  bool revoked_ = false;         ///< the lease of an earlier process on this host was revoked
+  std::string dependency_read_;  ///< id of the last one read; they are read round-robin
+  bool revoked_ = false;         ///< the lease of an earlier process on this host has been revoked
   Seconds next_read_ = 0, next_peer_heartbeat_ = 0, served_at_ = 0;
   std::optional<KnownLeader> known_leader_;
 };
 
-/// The term of the leader that gave out a fencing token.
+/// The term of the leader that issued a fencing token.
 uint64_t term_of_fencing_token(uint64_t fencing_token);
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/controller_records.cpp
+++ b/tests/simulation/controller_records.cpp
@@ -1,4 +1,4 @@
-// A controller's reads of the records, and the leader's writes.
+// Reads of the records by a controller, and writes by the leader.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// From one read of how a dependency ended to the next / the workers' lease.
+/// Interval between reads of dependency outcomes, as a fraction of the worker lease.
 constexpr double kDependencyRetryShare = 0.03;
 
 StateService::Change stored(const RecordMutation& change) {
@@ -57,7 +57,8 @@
   election_->observe_term(env_.now(), std::max(leader.value.term, records_.term().value.term));
   const bool of_this_host = leader.version && leader.value.node == node_name(controller_);
   if (!of_this_host || leader.value.nonce == nonce_ || revoked_) return;
-  // An earlier process of this host held the lease. It has ended, so nobody need wait for it.
+  // The lease belongs to an earlier process on this host, which has ended. Revoking it spares the
+  // wait for its expiry.
   revoked_ = true;
   revoke(leader.value.lease);
 }
@@ -92,7 +93,7 @@
       scheduler_->on_dependency_finished(id, *record);
 }
 
-/// One at a time, as in the node.
+/// Reads one outcome at a time, as the node does.
 void ControllerProcess::read_unknown_dependencies() {
   const auto& unknown = records_.dependencies().unknown();
   if (reading_dependency_ || unknown.empty()) return;
@@ -155,13 +156,14 @@
     scheduler_->request_round();
     return dispatch();
   }
-  // It failed, or nobody knows: what the records say now decides what is still to be written.
+  // The transaction failed or its outcome is unknown: read the records to find out what still has
+  // to be written.
   read_records([generation = generation_](ControllerProcess& me, bool) {
     if (generation == me.generation_) me.writing_ = false;
   });
 }
 
-/// As the node does with prompt dispatch once a transaction has been carried out.
+/// Dispatches commands right after a committed transaction, as the node does with prompt dispatch.
 void ControllerProcess::dispatch() {
   if (!settings().tuning.prompt_dispatch || !leads()) return;
   for (const auto& action : scheduler_->dispatch(env_.now())) perform(action);
--- a/tests/simulation/controller_worker_heartbeats.cpp
+++ b/tests/simulation/controller_worker_heartbeats.cpp
@@ -1,13 +1,13 @@
-// A controller's answers to the workers' heartbeats.
+// Answers of a controller to worker heartbeats.
 #include "simulation/controller_process.h"
 #include "simulation/workers.h"
 
 namespace sumacquay::simulation {
 
 namespace {
-/// The part of a fencing token below the term.
+/// Width of the counter in the low bits of a fencing token, below the term.
 constexpr int kFencingTokenCounterBits = 20;
-/// How long a heartbeat shows who leads, in intervals between heartbeats.
+/// How long a peer's heartbeat is trusted to name the leader, in heartbeat intervals.
 constexpr double kPeerHeartbeatsTrusted = 4;
 }  // namespace
 
--- a/tests/simulation/controllers.h
+++ b/tests/simulation/controllers.h
@@ -12,12 +12,12 @@
   Controllers(Environment& environment, const ControllerLinks& links)
       : env_(environment), links_(links) {}
 
-  /// Starts a process on every host that has none.
+  /// Starts a process on every host without one.
   void start_all();
-  /// Ends a controller's process; a new one starts after a while.
+  /// Ends a controller's process and starts a new one after `back_in`.
   void restart(size_t controller, Seconds back_in);
   void step();
-  /// The one that may act, none if nobody leads.
+  /// The controller that may act as the leader, if any.
   std::optional<size_t> leader() const;
 
  private:
--- a/tests/simulation/decision_digest.cpp
+++ b/tests/simulation/decision_digest.cpp
@@ -10,7 +10,7 @@
 namespace sumacquay::simulation {
 namespace {
 
-/// Marks what follows in the hashed bytes.
+/// Tags that precede each kind of entry in the hashed bytes.
 constexpr char kAction = 'A', kTransaction = 'T', kWorkerAnswer = 'W', kUserAnswer = 'U';
 
 }  // namespace
--- a/tests/simulation/decision_digest.h
+++ b/tests/simulation/decision_digest.h
@@ -13,24 +13,24 @@
 
 namespace sumacquay::simulation {
 
-/// A hash over everything that the controllers of a simulated deployment decide, in order and with
-/// its time: leaders' actions and record writes, answers to workers, answers to users. Two versions
-/// with the same digests decide the same. What is hashed are the bytes on the wire and plain
-/// numbers, so that names in the code may change.
+/// A hash over all decisions of the controllers of a simulated deployment, in order and with their
+/// times: the leaders' actions and record writes, and the answers to workers and users. Equal
+/// digests of two versions mean equal decisions. The hash covers wire bytes and plain numbers only,
+/// so that it does not depend on names in the code.
 class DecisionDigest {
  public:
   DecisionDigest();
 
   void add(Seconds now, size_t controller, const Action& action);
   void add(Seconds now, size_t controller, const RecordTransaction& transaction);
-  /// `status`: the number of the kind of answer; `redirect`: the controller that it names, if any.
+  /// `status`: numeric HeartbeatReplyStatus; `redirect`: the controller named in the answer, or -1.
   void add_worker_answer(Seconds now, size_t controller, const std::string& machine, int status,
                          int redirect, uint64_t fencing_token,
                          const std::vector<Command>& commands);
-  /// `state`: as the user is told it, -1: no such job.
+  /// `state`: numeric JobState in the answer, or -1 for "no such job".
   void add_user_answer(Seconds now, const std::string& job, int state);
 
-  /// The digest so far, in hexadecimal digits.
+  /// The digest so far, in hexadecimal.
   std::string text() const;
 
  private:
--- a/tests/simulation/environment.h
+++ b/tests/simulation/environment.h
@@ -11,7 +11,8 @@
 
 namespace sumacquay::simulation {
 
-/// What all parts of a simulated deployment share: time, chance, what exists in it and the checker.
+/// State shared by all components of a simulated deployment: virtual time, randomness, machines,
+/// jobs, controllers, the network, the checker and the decision digest.
 struct Environment {
   Environment(uint64_t seed, SimulationOptions chosen);
   Environment(const Environment&) = delete;
--- a/tests/simulation/event_loop.h
+++ b/tests/simulation/event_loop.h
@@ -6,17 +6,17 @@
 
 namespace sumacquay::simulation {
 
-/// Virtual time and the events scheduled in it. Events due at the same time run in the command in
-/// which they were scheduled.
+/// Virtual time and scheduled events. Events due at the same time run in the order in which they
+/// were scheduled.
 class EventLoop {
  public:
   using Event = std::function<void()>;
 
   Seconds now() const { return now_; }
   void schedule(Seconds delay, Event event);
-  /// Moves the time on without running anything.
+  /// Advances the time without running events.
   void advance(Seconds step) { now_ += step; }
-  /// Runs all events that are due, including those that they schedule for now.
+  /// Runs all due events, including events that they schedule without delay.
   void run_due();
 
  private:
--- a/tests/simulation/fault.h
+++ b/tests/simulation/fault.h
@@ -5,10 +5,10 @@
 
 namespace sumacquay::simulation {
 
-/// The end of a fault that never began.
+/// End time of a fault that was never injected.
 inline constexpr Seconds kNoFault = -std::numeric_limits<Seconds>::infinity();
 
-/// A fault that lasts until a point in virtual time.
+/// A fault that is active until a point in virtual time.
 class Fault {
  public:
   void last_until(Seconds end) { end_ = end; }
--- a/tests/simulation/faults.h
+++ b/tests/simulation/faults.h
@@ -9,7 +9,7 @@
 
 namespace sumacquay::simulation {
 
-/// The faults that a test can cause. Each lasts for a span of time.
+/// Fault injection for tests. Most faults last for the given span of time.
 class Faults {
  public:
   Faults(Environment& environment, Controllers& controllers, StateChannel& state, Cloud& cloud,
@@ -26,10 +26,10 @@
   void cut_from_state(size_t controller, Seconds span);
   void cut_from_peers(size_t controller, Seconds span);
   void cut_from_workers(size_t controller, Seconds span);
-  /// The state service refuses this controller alone.
+  /// The key-value store refuses the requests of this controller only.
   void refuse(size_t controller, Seconds span);
 
-  // The state service.
+  // The key-value store.
   void outage(Seconds span) { state_.begin_outage(span); }
   void slow(Seconds span) { state_.slow_down(span); }
   void late_writes(double share, Seconds span) { state_.apply_writes_late(share, span); }
@@ -37,7 +37,7 @@
 
   // The network and the cloud.
   void cut_zone(const std::string& zone, Seconds span) { env_.network.cut_zone(zone, span); }
-  /// Machines that are given back go late, without an answer.
+  /// Releases are executed late and never answered.
   void late_releases(Seconds span) { cloud_.release_late(span); }
 
   // Machines.
@@ -45,17 +45,17 @@
   void cut(const std::string& machine, Seconds span);
   void deafen(const std::string& machine, Seconds span);
   void mute(const std::string& machine, Seconds span);
-  /// Commands to the machine, or their answers, are held up until then.
+  /// Commands to the machine are held up until the fault ends, or their answers are lost.
   void hold_commands(const std::string& machine, Seconds span);
-  /// The machine fails all tasks from now on.
+  /// All tasks on the machine fail from now on.
   void fail_all_tasks(const std::string& machine);
   void lose_machine(const std::string& machine) { env_.fleet.remove(machine); }
-  /// Copies of a share of the heartbeats arrive late.
+  /// A fraction of the heartbeats is delivered a second time, late.
   void late_heartbeats(double share, Seconds span, CopyDelivery delivery = CopyDelivery::Later);
-  /// Half of the heartbeats are overtaken by commands, their answers and probes.
+  /// Half of the heartbeats are delayed, so that commands, their answers and probes overtake them.
   void slow_heartbeats(Seconds span) { workers_.slow_heartbeats(span); }
 
-  /// Ends all of them. Machines that are lost or sick stay so.
+  /// Ends all faults, except that lost machines stay lost and failing machines keep failing tasks.
   void end_all();
 
  private:
--- a/tests/simulation/frontend.cpp
+++ b/tests/simulation/frontend.cpp
@@ -5,7 +5,7 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// How often a cancellation is tried again after its job's record has changed.
+/// Retries of a cancellation whose transaction failed because the job's record had changed.
 constexpr int kCancelRetries = 4;
 constexpr double kMillisecondsPerSecond = 1000;
 }  // namespace
@@ -109,7 +109,7 @@
     submission->add(state);
     check_dependencies(me, submission, request);
   };
-  // Of a job in the copy it is certain that it was accepted, however old the copy is.
+  // A job in the record cache was accepted, however stale the cache is.
   const auto live = process.records().live().find(id);
   if (live != process.records().live().end())
     return add(process, current_state(process, live->second.value));
@@ -141,13 +141,13 @@
                  [this, record, request](ControllerProcess& me, const StateReply& reply) {
                    if (reply.ok()) {
                      me.wrote_job(record, reply.revision);
-                     // What it depends on was known from a copy that may be old.
+                     // The dependencies were checked against a cache that may be stale.
                      const bool waits =
                          record.state == JobState::Pending && !record.spec.dependencies.empty();
                      if (waits) return query(me, request);
                      return tell(request, record.state);
                    }
-                   // A failed guard: it was accepted before.
+                   // The precondition failed: the job was accepted before.
                    if (reply.outcome == StateOutcome::Failed) return query(me, request);
                    request.answered(false);
                  });
@@ -169,7 +169,7 @@
   found.finished = [this, request](ControllerProcess&, const wire::FinishedRecord& record) {
     tell(request, record.state);
   };
-  // Users cancel at any time, also before they know that the job was accepted.
+  // Users may cancel a job before its submission is acknowledged.
   found.unknown = [request](ControllerProcess&) { request.answered(false); };
   found.not_told = [request] { request.answered(false); };
   look_up(process, request.job, found);
--- a/tests/simulation/frontend.h
+++ b/tests/simulation/frontend.h
@@ -10,19 +10,19 @@
 
 namespace sumacquay::simulation {
 
-/// How long a user waits for an answer.
+/// Timeout of a user's request.
 inline constexpr Seconds kUserPatience = 5;
 
-/// What a user asks of a controller.
+/// A user's request to a controller.
 struct UserRequest {
   std::string job;
   Seconds asked_at = 0;
-  /// Called with false if there was no answer for the user.
+  /// Called once the request is handled; false: without an answer, so that the user retries.
   std::function<void(bool)> answered;
 };
 
-/// What a controller does for users: accepts jobs, tells of them and cancels them. Any controller
-/// may, whoever leads. It follows the product's `Frontend`, which is too close to its sockets to
+/// Serves users' requests on a controller, the leader or not: submissions, queries and
+/// cancellations. It mirrors the product's `Frontend`, which is too closely tied to its sockets to
 /// run in virtual time.
 class Frontend {
  public:
@@ -34,14 +34,14 @@
 
  private:
   using LiveRecord = SimulatedRecordCache::Versioned<JobRecord>;
-  /// What to do with a job's state as of now or later.
+  /// Handlers for the outcomes of a job look-up.
   struct Found {
     std::function<void(ControllerProcess&, const LiveRecord&)> live;
     std::function<void(ControllerProcess&, const wire::FinishedRecord&)> finished;
-    std::function<void(ControllerProcess&)> unknown;  ///< no such job was ever accepted
-    std::function<void()> not_told;                   ///< nobody can tell now
+    std::function<void(ControllerProcess&)> unknown;  ///< the job was never accepted
+    std::function<void()> not_told;                   ///< the state cannot be determined now
   };
-  /// A submission while the jobs that it depends on are looked up.
+  /// A submission whose dependencies are being looked up.
   struct Submission {
     JobRecord record;
     std::vector<std::string> unchecked;
@@ -50,7 +50,7 @@
 
   void look_up(ControllerProcess& process, const std::string& id, const Found& found);
   void look_up_fresh(ControllerProcess& process, const std::string& id, const Found& found);
-  /// False: the job is not among the live ones.
+  /// Returns false if the job has no live record.
   static bool found_live(ControllerProcess& process, const std::string& id, const Found& found);
   static bool found_finished(ControllerProcess& process, const std::string& id, const Found& found);
   static JobState current_state(const ControllerProcess& process, const JobRecord& record);
--- a/tests/simulation/machine.h
+++ b/tests/simulation/machine.h
@@ -13,34 +13,34 @@
 using MachineTask = simulators::WorkerTask;
 
 struct MachineFaults {
-  Fault hung;           ///< does nothing
-  Fault cut;            ///< exchanges nothing with any controller
-  Fault deaf;           ///< nothing reaches it
-  Fault mute;           ///< its heartbeats reach nobody
-  Fault commands_held;  ///< orders to it, or their answers, are held up
+  Fault hung;           ///< the worker makes no progress
+  Fault cut;            ///< partitioned from all controllers
+  Fault deaf;           ///< no message reaches the worker
+  Fault mute;           ///< the worker's heartbeats are lost
+  Fault commands_held;  ///< commands are held up, or their answers are lost
 };
 
 /// A machine and the worker on it.
 struct SimulatedMachine : simulators::WorkerState {
-  bool quarantined = false;  ///< fails everything that it starts
+  bool quarantined = false;  ///< all tasks started on it fail
   MachineFaults faults;
   Seconds up_at = 0;
 
-  size_t controller = 0;  ///< the one that it reports to
+  size_t controller = 0;  ///< receives the worker's heartbeats
   Seconds next_heartbeat = 0;
-  std::optional<Seconds> heartbeat_sent;  ///< of the heartbeat that waits for its answer
+  std::optional<Seconds> heartbeat_sent;  ///< when the heartbeat in flight was sent
 
   bool up(Seconds now) const { return now >= up_at; }
 };
 
-/// All machines that exist, by name.
+/// All existing machines, by id.
 class Fleet {
  public:
   using Machines = std::map<std::string, SimulatedMachine>;
 
   SimulatedMachine* find(const std::string& id);
   const SimulatedMachine& at(const std::string& id) const { return machines_.at(id); }
-  /// `zone`: none: the zones take turns. Returns the machine's name.
+  /// Without `zone`, the zones are used in turn. Returns the machine's id.
   std::string add(Seconds up_at, const std::optional<std::string>& zone, bool spot,
                   size_t controller);
   void remove(const std::string& id) { machines_.erase(id); }
@@ -49,7 +49,7 @@
   const Machines& machines() const { return machines_; }
   std::vector<std::string> up(Seconds now) const;
 
-  /// Calls `visit(machine, key)` for each task that is on a machine.
+  /// Calls `visit(machine, key)` for each task present on a machine.
   template <class Visit>
   void each_present(Visit&& visit) const {
     for (const auto& [id, machine] : machines_)
--- a/tests/simulation/network.h
+++ b/tests/simulation/network.h
@@ -9,19 +9,19 @@
 
 namespace sumacquay::simulation {
 
-/// Who can reach whom: the cuts of whole zones together with those of single controllers and
-/// machines. The state service and the users are in no zone.
+/// Reachability between components: partitions of whole zones combined with those of single
+/// controllers and machines. The key-value store and the users are outside of all zones.
 class Network {
  public:
   Network(const EventLoop& loop, const ControllerHosts& controllers)
       : loop_(loop), controllers_(controllers) {}
 
-  /// The zone reaches nothing outside of it.
+  /// Partitions the zone from everything outside of it.
   void cut_zone(const std::string& zone, Seconds span);
   void heal() { zone_cuts_.clear(); }
   bool zone_cut(const std::string& zone) const;
 
-  // Until when two sides are cut off from each other; in the past if they are not.
+  // When the partition between two components ends; in the past if there is none.
   Seconds state_apart_until(size_t controller) const;
   Seconds peers_apart_until(size_t one, size_t other) const;
   Seconds machine_apart_until(size_t controller, const SimulatedMachine& machine) const;
--- a/tests/simulation/observed_job.h
+++ b/tests/simulation/observed_job.h
@@ -9,30 +9,30 @@
 
 namespace sumacquay::simulation {
 
-/// What really happened to a job, whatever any controller believes of it.
+/// The actual history of a job, independent of any controller's view of it.
 struct ObservedJob {
   JobSpec spec;
   bool accepted = false, cancel_asked = false, told_done = false;
   std::set<uint32_t> done;
-  std::optional<Seconds> cancelled_at;  ///< first confirmation by any controller
-  std::optional<Seconds> began_at;      ///< when the first of its tasks ran
-  /// Since when it waits although there is room for it.
+  std::optional<Seconds> cancelled_at;  ///< when a user first received the confirmation
+  std::optional<Seconds> began_at;      ///< when its first task began to run
+  /// Since when the job has waited although it could be placed.
   std::optional<Seconds> waits_since;
-  std::optional<JobState> recorded;  ///< by the state service's records
+  std::optional<JobState> recorded;  ///< in the key-value store's records
 
   bool complete() const { return done.size() >= spec.tasks; }
 };
 
 using ObservedJobs = std::map<std::string, ObservedJob>;
 
-// Which jobs depend on which, as their users submitted them.
+// Dependencies between jobs, as submitted by users.
 
-/// Jobs that a job depends on, directly or through others.
+/// All transitive dependencies of a job.
 std::set<std::string> jobs_before(const ObservedJobs& jobs, const std::string& id);
-/// Whether a user asked to cancel the job or one that it depends on, directly or through others.
+/// Whether a user requested the cancellation of the job or of a transitive dependency.
 bool cancel_asked_of_chain(const ObservedJobs& jobs, const std::string& id);
-/// When a user was first told that a job is cancelled that this one depends on, directly or through
-/// others; none: nobody was told so.
+/// When the cancellation of a transitive dependency was first confirmed to a user; none if no such
+/// cancellation has been confirmed.
 std::optional<Seconds> cancelled_before(const ObservedJobs& jobs, const std::string& id);
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/pipelines.cpp
+++ b/tests/simulation/pipelines.cpp
@@ -12,7 +12,7 @@
 constexpr double kLastWaitsShare = 0.3;
 constexpr double kCancelledShare = 0.5;
 constexpr Seconds kLatestCancellation = 30;
-/// How often a user asks for a stage, in questions per pipeline and step.
+/// Probability that a stage of a pipeline is queried in a step.
 constexpr double kQuestionsPerStep = 0.005;
 }  // namespace
 
@@ -159,7 +159,7 @@
   if (stage.accepted_at) users_.ask_state(*stage.job);
 }
 
-// ---------------------------------------------------------------- what became of them
+// ---------------------------------------------------------------- outcomes
 
 const ObservedJob* Pipelines::observed(const Stage& stage) const {
   return stage.job ? &env_.jobs.at(*stage.job) : nullptr;
--- a/tests/simulation/pipelines.h
+++ b/tests/simulation/pipelines.h
@@ -9,58 +9,59 @@
 
 namespace sumacquay::simulation {
 
-/// For each stage of a pipeline, the numbers of the stages that it depends on: lower ones.
+/// For each stage of a pipeline, the indices of the stages that it depends on, all lower than its
+/// own.
 using PipelineShape = std::vector<std::vector<size_t>>;
-/// Each stage after the one before it.
+/// Each stage depends on the previous one.
 PipelineShape chain(size_t length);
-/// One stage, several after it, one after all of these.
+/// One stage, `width` stages that depend on it, and a last stage that depends on all of these.
 PipelineShape diamond(size_t width);
-/// Several stages, and one after all of them.
+/// `width` independent stages, and a last stage that depends on all of them.
 PipelineShape fan(size_t width);
 
-/// That a user cancels a stage.
+/// A user's cancellation of a stage.
 struct StageCancellation {
   enum class When { LaterOn, AsItsLastTaskEnds };
   size_t stage = 0;
   When when = When::LaterOn;
-  Seconds after_acceptance = 0;          ///< if it is later on
-  bool through_two_controllers = false;  ///< at once
+  Seconds after_acceptance = 0;          ///< delay for `LaterOn`
+  bool through_two_controllers = false;  ///< sent to both at the same time
 };
 
 struct PipelinePlan {
   PipelineShape shape;
-  /// What each stage is like; none: drawn at random.
+  /// Creates the spec of each stage; null: specs are drawn at random.
   std::function<JobSpec()> stage_spec;
-  /// The last stage is submitted once the others are over, not once they are accepted.
+  /// The last stage is submitted once the others have ended, not once they are accepted.
   bool last_when_others_are_over = false;
   std::optional<StageCancellation> cancellation;
 };
 
-/// Users who submit pipelines, each stage as soon as those that it depends on are accepted, and who
-/// cancel some in the middle. Whoever cancels a stage asks every controller for the stages after
-/// it.
+/// Users who submit pipelines, each stage as soon as its dependencies are accepted, and who cancel
+/// some of the stages. After a cancellation, every controller is queried for the stages that depend
+/// on the cancelled one.
 class Pipelines {
  public:
   Pipelines(Environment& environment, Users& users) : env_(environment), users_(users) {}
 
-  /// Returns the pipeline's number.
+  /// Returns the pipeline's index.
   size_t begin(PipelinePlan plan);
-  /// Begins one with everything drawn at random.
+  /// Begins a pipeline with a random plan.
   size_t begin_any();
-  /// Called at each step: what is due is submitted, cancelled and asked.
+  /// Called at each step of the simulation: sends the submissions, cancellations and queries due.
   void step();
 
-  /// The stage's job, none: it is not submitted yet.
+  /// The id of the stage's job; none if it is not yet submitted.
   std::optional<std::string> job(size_t pipeline, size_t stage) const;
   /// Whether all tasks of the stage are done.
   bool stage_complete(size_t pipeline, size_t stage) const;
 
   size_t begun() const { return pipelines_.size(); }
-  /// Pipelines all of whose stages are done.
+  /// Pipelines with all stages done.
   size_t done() const;
-  /// Pipelines of which a stage is done and another was cancelled by a stage before it.
+  /// Pipelines with a stage done and another one cancelled through a dependency.
   size_t cancelled_in_the_middle() const;
-  /// Stages that were never submitted, or never accepted.
+  /// Stages never submitted or never accepted.
   size_t stages_not_accepted() const;
 
  private:
@@ -71,7 +72,7 @@
   struct Pipeline {
     PipelinePlan plan;
     std::vector<Stage> stages;
-    bool cancelled = false;  ///< the planned cancellation has been asked for
+    bool cancelled = false;  ///< the planned cancellation has been requested
     bool asked_after_cancellation = false;
   };
 
--- a/tests/simulation/random.h
+++ b/tests/simulation/random.h
@@ -4,7 +4,7 @@
 
 namespace sumacquay::simulation {
 
-/// The only source of randomness of a simulation: one seed gives one history.
+/// The only source of randomness in a simulation: runs with the same seed are identical.
 class Random {
  public:
   explicit Random(uint64_t seed) : engine_(seed) {}
--- a/tests/simulation/random_faults.cpp
+++ b/tests/simulation/random_faults.cpp
@@ -3,14 +3,14 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// Histories with fewer machines than this get another one.
+/// A machine is added while the fleet is smaller than this.
 constexpr size_t kFewestMachines = 3;
 constexpr Seconds kReplacementBoots = 1;
-/// The ways that can be cut, as bits: state service, peers, workers.
+/// Bit mask of the connections to cut: to the key-value store, peers and workers.
 constexpr uint64_t kStateWay = 1, kPeersWay = 2, kWorkersWay = 4, kAllWays = 7;
 }  // namespace
 
-// The draws come in a fixed order: another one would turn each seed into another history.
+// The order of the random draws is fixed: changing it changes the history of every seed.
 
 void RandomFaults::step() {
   disturb_controller(pick_controller());
--- a/tests/simulation/random_faults.h
+++ b/tests/simulation/random_faults.h
@@ -6,21 +6,21 @@
 
 namespace sumacquay::simulation {
 
-/// Causes faults of all kinds at random, and rents machines where too few are left.
+/// Injects random faults of all kinds, and adds a machine when too few are left.
 class RandomFaults {
  public:
   RandomFaults(Environment& environment, Faults& faults, const Controllers& controllers,
                Cloud& cloud)
       : env_(environment), faults_(faults), controllers_(controllers), cloud_(cloud) {}
 
-  /// Called once per step.
+  /// Called once per step of the simulation.
   void step();
 
  private:
   bool chance(double probability) { return env_.random.chance(probability); }
   Seconds between(Seconds least, Seconds most) { return env_.random.between(least, most); }
 
-  /// Most often the leader.
+  /// Picks the leader with a high probability, otherwise any controller.
   size_t pick_controller();
   void disturb_controller(size_t controller);
   void cut_some_ways(size_t controller);
--- a/tests/simulation/simulated_record_cache.cpp
+++ b/tests/simulation/simulated_record_cache.cpp
@@ -5,7 +5,7 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// So few that histories go on for longer than a job is kept.
+/// Small enough that jobs are evicted during a run.
 constexpr size_t kFinishedKept = 10;
 }  // namespace
 
--- a/tests/simulation/simulated_record_cache.h
+++ b/tests/simulation/simulated_record_cache.h
@@ -12,8 +12,8 @@
 
 namespace sumacquay::simulation {
 
-/// A controller's copy of the records. As in the node, jobs that were over before it was loaded are
-/// not in it, and it keeps only the last that ended: others are read when somebody asks for them.
+/// A controller's cache of the records. As in the node, it holds only the jobs that finished most
+/// recently, and none that finished before it was loaded; other outcomes are read on demand.
 class SimulatedRecordCache {
  public:
   template <class T>
@@ -21,24 +21,24 @@
     T value{};
     uint64_t version = 0;
   };
-  /// What an answer of the state service changed.
+  /// The changes that an answer of the key-value store made to the cache.
   struct Update {
-    bool first = false;           ///< the copy is complete only now
-    bool leader_changed = false;  ///< the leader's or the term's record
+    bool first = false;           ///< this answer completed the initial load
+    bool leader_changed = false;  ///< the leader record or the term record changed
     std::vector<std::string> jobs;
   };
 
-  /// Takes in an answer to a question that was asked at a time.
+  /// Applies the answer to a read that was sent at `asked_at`.
   Update apply(const StateReply& reply, Seconds asked_at);
 
-  // What this controller's own transactions have written.
+  // Apply the writes of this controller's own transactions.
   void won_election(const wire::LeaderRecord& record, uint64_t revision);
-  /// False: the copy has something newer.
+  /// Returns false if the cache holds a newer version or the job has finished.
   bool wrote_job(const JobRecord& record, uint64_t version);
   void wrote_finished(const std::string& id, const wire::FinishedRecord& record);
   void wrote_host(const std::string& id, const HostRecord& record, uint64_t version);
   void deleted_host(const std::string& id, uint64_t version);
-  /// What this controller has read of a job that the copy doesn't hold.
+  /// Adds the outcome of a finished job.
   void cache_finished(const std::string& id, const wire::FinishedRecord& record);
 
   bool loaded() const { return loaded_; }
@@ -49,11 +49,11 @@
   const std::map<std::string, Versioned<HostRecord>>& hosts() const { return hosts_; }
   const Versioned<wire::LeaderRecord>& leader() const { return leader_; }
   const Versioned<wire::LeaderRecord>& term() const { return term_; }
-  /// How the live jobs depend on one another and on finished ones.
+  /// Dependencies of the live jobs on one another and on finished jobs.
   const DependencyGraph& dependencies() const { return dependencies_; }
-  /// How a job ended, as long as it is kept or others wait for it.
+  /// The outcome of a job, available while it is cached or live jobs depend on it.
   std::optional<wire::FinishedRecord> dependency_end(const std::string& id) const;
-  /// Whether the job is known to be cancelled or finished.
+  /// Whether the job is cancelled or finished according to the cache.
   bool ended(const std::string& id) const;
 
  private:
@@ -69,7 +69,7 @@
   Seconds known_at_ = 0;
   std::map<std::string, Versioned<JobRecord>> live_;
   std::map<std::string, wire::FinishedRecord> finished_;
-  std::deque<std::string> finished_order_;  ///< the oldest first
+  std::deque<std::string> finished_order_;  ///< oldest first
   DependencyGraph dependencies_;
   std::map<std::string, Versioned<HostRecord>> hosts_;
   std::map<std::string, uint64_t> host_deleted_;
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 constexpr Seconds kStep = 0.05;
-/// The share of the time with faults in which jobs are submitted, and how often that is.
+/// Fraction of the time with faults in which jobs are submitted, and the probabilities of a
+/// submission per step.
 constexpr double kSubmittingShare = 0.7;
 constexpr double kSubmissionsPerStep = 0.02;
 constexpr double kPipelinesPerStep = 0.002;
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -18,29 +18,30 @@
 
 namespace sumacquay::simulation {
 
-/// A whole deployment in virtual time: controllers that elect a leader among them, the state
-/// service, the cloud, machines with workers, users, and an independent checker.
+/// A whole deployment in virtual time: controllers that elect a leader, the key-value store, the
+/// cloud, machines with workers, users, and an independent checker.
 class Simulation {
  public:
   explicit Simulation(uint64_t seed, SimulationOptions options = {});
 
   // Time.
   Seconds now() const { return env_.now(); }
-  /// A history: random faults and jobs, then the quiet in which all work has to end.
+  /// Runs with random faults and jobs until the time `with_faults`, then without faults for
+  /// `quiet`, in which all work has to finish.
   void run(Seconds with_faults, Seconds quiet);
   void run_for(Seconds span);
-  /// Whether it was reached.
+  /// Returns whether `reached()` became true within `most`.
   bool run_until(const std::function<bool()>& reached, Seconds most);
   void at(Seconds delay, std::function<void()> event);
-  /// All faults end, services are cancelled, and the work ends.
+  /// Ends all faults, cancels the services, and runs for `quiet` so that all work can finish.
   void finish(Seconds quiet = 250);
 
-  // Chance.
+  // Randomness.
   bool chance(double probability) { return env_.random.chance(probability); }
   double between(double least, double most) { return env_.random.between(least, most); }
   uint64_t any(uint64_t count) { return env_.random.below(count); }
 
-  // The parts.
+  // Components.
   Users& users() { return users_; }
   Pipelines& pipelines() { return pipelines_; }
   Faults& faults() { return faults_; }
@@ -49,30 +50,30 @@
   const CommandChannel& worker_commands() const { return commands_; }
   const Workers& workers() const { return workers_; }
 
-  /// The digest of all that the controllers have decided so far.
+  /// The digest of all decisions of the controllers so far.
   std::string decision_digest() const { return env_.digest.text(); }
 
   // Controllers.
   std::optional<size_t> leader() const { return controllers_.leader(); }
   size_t leader_or_first() const { return leader().value_or(0); }
-  /// A controller that doesn't lead.
+  /// A random controller other than the leader.
   size_t follower();
 
   // Jobs and machines.
   size_t submitted() const { return env_.jobs.size(); }
-  /// Jobs that were accepted, not cancelled, directly or through others, and are not done.
+  /// Accepted jobs that are neither complete nor cancelled, directly or through a dependency.
   size_t unfinished() const;
-  /// Cancelled jobs and those that depend on them, as far as the records still call them pending.
+  /// Jobs cancelled, directly or through a dependency, whose record does not show it.
   size_t cancellations_not_recorded() const;
   std::optional<Seconds> cancelled_at(const std::string& job) const;
-  /// When the first of its tasks ran, none: not yet.
+  /// When the job's first task began to run; none if no task has run yet.
   std::optional<Seconds> began_at(const std::string& job) const;
-  /// Tasks that are neither done nor on any machine.
+  /// Number of the job's tasks that are neither done nor present on a machine.
   size_t tasks_waiting(const std::string& job) const;
-  /// Jobs with a task on a machine, unless somebody has asked to cancel them.
+  /// Jobs with a task on a machine, except those that a user has requested to cancel.
   std::vector<std::string> jobs_running() const;
   std::vector<std::string> machines() const { return env_.fleet.up(now()); }
-  /// Machines with a task of the job on them.
+  /// Machines with a task of the job.
   std::vector<std::string> machines_of(const std::string& job) const;
   const std::string& zone_of(const std::string& machine) const;
 
--- a/tests/simulation/state_channel.cpp
+++ b/tests/simulation/state_channel.cpp
@@ -8,7 +8,7 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// The usual deadline of a request, as a share of the workers' lease.
+/// Default timeout of a request, as a fraction of the worker lease.
 constexpr double kDeadlineShare = 0.15;
 constexpr Seconds kTravelLeast = 0.001, kTravelMost = 0.01;
 }  // namespace
@@ -36,7 +36,7 @@
   const Seconds apart_until = env_.network.state_apart_until(controller);
   if (env_.now() < apart_until) {
     if (kind != RequestKind::Transaction || random.chance(0.5)) return;
-    travel += apart_until - env_.now();  // held on its way
+    travel += apart_until - env_.now();  // delivered after the partition
   }
   env_.loop.schedule(travel, [this, request = Request{controller, kind, std::move(operation),
                                                       std::move(answer)}] { arrive(request); });
--- a/tests/simulation/state_channel.h
+++ b/tests/simulation/state_channel.h
@@ -11,9 +11,9 @@
 
 enum class StateOutcome {
   Ok,
-  Failed,   ///< a guard failed or a lease has ended
-  Refused,  ///< not served
-  Unknown,  ///< no answer in time
+  Failed,   ///< a precondition failed, a lease has expired, or the key does not exist
+  Refused,  ///< the store did not serve the request
+  Unknown,  ///< the request timed out
 };
 
 struct StateReply {
@@ -25,38 +25,38 @@
   bool ok() const { return outcome == StateOutcome::Ok; }
 };
 
-/// The term under which a process writes.
+/// The term under which a leader writes, and the nonce of its process.
 struct WriterTerm {
   uint64_t term = 0, nonce = 0;
 };
 
-/// The way between the controllers and the state service, with the faults of both: delays,
-/// refusals, outages, writes that are applied late and answers that are lost.
+/// Connects the controllers to the key-value store and injects faults: delays, refusals, outages,
+/// writes that are applied late and answers that are lost.
 class StateChannel {
  public:
   using Operation = std::function<StateReply()>;
   using Done = std::function<void(ControllerProcess&, const StateReply&)>;
-  /// A transaction may be applied late, or without its answer coming back.
+  /// Only transactions are applied late or lose their answers.
   enum class RequestKind { Transaction, Other };
 
   explicit StateChannel(Environment& environment) : env_(environment) {}
 
-  /// Asks on behalf of the controller's present process. `deadline`: none: the usual one.
+  /// Sends a request of the controller's current process. Without `deadline`, the default applies.
   void request(size_t controller, RequestKind kind, Operation operation, Done done,
                std::optional<Seconds> deadline = std::nullopt);
 
   Operation transaction(std::vector<wire::Precondition> preconditions,
                         std::vector<StateService::Change> changes,
                         std::optional<WriterTerm> writer = std::nullopt);
-  /// Everything, or only what has changed after a revision.
+  /// Reads all items, or only the changes after a revision.
   Operation read(std::optional<uint64_t> after);
-  /// One key's item; fails if there is none.
+  /// Reads the item of one key; fails if there is none.
   Operation read_item(const std::string& key);
   Operation grant(Seconds duration);
   Operation renew(uint64_t lease);
   Operation revoke(uint64_t lease);
 
-  /// Ends outages and leases whose time is over.
+  /// Ends an outage whose time is over and expires leases.
   void step();
 
   void begin_outage(Seconds span);
--- a/tests/simulation/state_service.h
+++ b/tests/simulation/state_service.h
@@ -7,8 +7,8 @@
 
 namespace sumacquay::simulation {
 
-/// A record as the simulated state service holds it. Faults on the way to it are the state
-/// channel's.
+/// A record in the simulated key-value store. StateChannel injects the faults between the store and
+/// the controllers.
 using RecordValue = std::variant<JobRecord, wire::FinishedRecord, HostRecord, wire::LeaderRecord>;
 using StateService = simulators::KeyValueStore<RecordValue>;
 
--- a/tests/simulation/users.h
+++ b/tests/simulation/users.h
@@ -8,31 +8,31 @@
 
 namespace sumacquay::simulation {
 
-/// Users who submit jobs, ask for them and cancel them through any controller, and try again until
-/// they are answered.
+/// Users who submit, query and cancel jobs through any controller, and retry until they receive an
+/// answer.
 class Users {
  public:
   Users(Environment& environment, Frontend& frontend) : env_(environment), frontend_(frontend) {}
 
-  /// A job with everything drawn at random.
+  /// A random job spec.
   JobSpec any_spec();
   std::string submit(JobSpec spec);
-  /// Submits a job drawn at random; some are cancelled later, services always.
+  /// Submits a random job. Services and some of the other jobs are cancelled later.
   std::string submit_any();
-  /// `first`: the controller to begin with, none: any.
+  /// `first`: the controller to try first; none: a random one.
   void cancel(const std::string& id, std::optional<size_t> first = std::nullopt);
-  /// Asks for an accepted job's state, until it is told.
+  /// Queries the state of an accepted job until a controller answers.
   void ask_state(const std::string& id, std::optional<size_t> first = std::nullopt);
 
  private:
   struct Request {
     std::string job;
     std::function<void(ControllerProcess&, const UserRequest&)> serve;
-    std::function<bool()> settled;  ///< the user has been answered
+    std::function<bool()> settled;  ///< whether no retry is needed
   };
-  /// A controller that users reach, beginning with one.
+  /// The next controller that users can reach, beginning with `first` or a random one.
   std::optional<size_t> reachable(std::optional<size_t> first);
-  /// Asks a controller, and another one if that gives no answer.
+  /// Sends the request to a controller, and to the next one if it does not answer.
   void ask(std::optional<size_t> first, const Request& request);
 
   Environment& env_;
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -5,12 +5,12 @@
 namespace sumacquay::simulation {
 
 namespace {
-/// How long a worker waits for the answer to a heartbeat.
+/// How long a worker waits for the reply to a heartbeat.
 constexpr Seconds kHeartbeatTimeout = 4;
 constexpr Seconds kHeartbeatIntervalMin = 0.75, kHeartbeatIntervalMax = 1.25;
-/// When a worker reports to the next controller after one did not answer.
+/// Delay before a worker sends a heartbeat to the next controller after one did not reply.
 constexpr Seconds kNextControllerDelay = 1;
-/// When a worker reports at the latest after it was told a new token or another controller.
+/// Maximum delay of the next heartbeat after a reply with a new fencing token or a redirect.
 constexpr Seconds kPromptHeartbeat = 0.5;
 constexpr double kCopiedByChance = 0.01;
 constexpr double kReplyLost = 0.01;
@@ -23,7 +23,7 @@
 void Workers::step(SimulatedMachine& machine) {
   const Seconds now = env_.now();
   if (!machine.up(now)) return;
-  // A hung machine goes on within its lease at the latest: past it nothing of its tasks is left.
+  // Lease expiry also applies to hung machines: their tasks end with the lease.
   machine.expire_agent_epoch(env_.options.lease_s, now);
   if (machine.faults.hung.active(now)) return;
   for (auto& [key, task] : machine.tasks) run_task(machine, key, task);
@@ -83,7 +83,7 @@
   env_.checker.task_started(machine, command.key, ordered_at);
 }
 
-// ---------------------------------------------------------------- reports
+// ---------------------------------------------------------------- heartbeats
 
 void Workers::send_heartbeat(SimulatedMachine& machine) {
   Random& random = env_.random;
@@ -92,12 +92,12 @@
   machine.next_heartbeat = now + random.between(kHeartbeatIntervalMin, kHeartbeatIntervalMax);
   const WorkerHeartbeat heartbeat = machine.heartbeat();
   maybe_copy(heartbeat);
-  if (machine.faults.mute.active(now)) return;  // no connection comes about
+  if (machine.faults.mute.active(now)) return;  // the worker cannot connect
   const Seconds apart_until = env_.network.machine_apart_until(machine.controller, machine);
   Seconds delay = random.between(0.001, 0.05);
   if (now < apart_until) {
     if (random.chance(0.7)) return;
-    delay += apart_until - now;  // held on its way
+    delay += apart_until - now;  // delivered after the partition
   }
   if (slow_.active(now) && random.chance(0.5)) delay += random.between(0.2, 3.5);
   if (!env_.controllers[machine.controller].process) return turn_to_next(machine);
@@ -145,7 +145,7 @@
   execute(*machine, reply.commands, delivery.replied_at);
 }
 
-/// To the controller that the answer names, or to the next one.
+/// Directs the worker to the controller named in the reply, or to the next one.
 void Workers::turn_to(SimulatedMachine& machine, const ReplyDelivery& delivery) {
   const auto& named = delivery.reply.leader;
   if (!named || *named == delivery.controller) return turn_to_next(machine);
@@ -160,7 +160,7 @@
   machine.next_heartbeat = env_.now() + kNextControllerDelay;
 }
 
-// ---------------------------------------------------------------- late copies of heartbeats
+// ---------------------------------------------------------------- late duplicates of heartbeats
 
 void Workers::copy_heartbeats(double share, Seconds span, CopyDelivery delivery) {
   copy_share_ = share;
--- a/tests/simulation/workers.h
+++ b/tests/simulation/workers.h
@@ -7,32 +7,32 @@
 
 namespace sumacquay::simulation {
 
-/// What becomes of the late copies of heartbeats.
+/// When late duplicates of heartbeats are delivered.
 enum class CopyDelivery {
-  Later,             ///< they come to all controllers some time later
-  ToNextLeaderOnce,  ///< they are kept until a new leader begins
+  Later,             ///< to all controllers, after a random delay
+  ToNextLeaderOnce,  ///< to all controllers, when the next leader takes over
 };
 
-/// The workers on all machines: they run tasks and report to the controllers.
+/// The workers on all machines: they run tasks and send heartbeats to the controllers.
 class Workers {
  public:
   explicit Workers(Environment& environment) : env_(environment) {}
 
   void step();
-  /// Carries commands out; `ordered_at`: when the controller gave them.
+  /// Executes commands; `ordered_at`: when the controller sent them.
   void execute(SimulatedMachine& machine, const std::vector<Command>& commands, Seconds ordered_at);
-  /// A leader has begun: the heartbeats kept for it arrive.
+  /// Delivers the duplicates kept for the next leader, which has just taken over.
   void send_kept_copies();
   void answered_by_delegate() { ++delegated_; }
 
   void copy_heartbeats(double share, Seconds span, CopyDelivery delivery);
-  /// Half of the heartbeats are overtaken by commands, their answers and probes.
+  /// Half of the heartbeats are delayed, so that commands, their answers and probes overtake them.
   void slow_heartbeats(Seconds span) { slow_.last_until(env_.now() + span); }
   void end_faults();
 
   size_t delegated() const { return delegated_; }
   size_t copies_heard() const { return copies_heard_; }
-  /// Copies sent under an earlier leader than the one that heard them.
+  /// Duplicates received by a leader of a newer term than the one in which they were sent.
   size_t copies_heard_by_new_leader() const { return copies_heard_by_new_leader_; }
 
  private:
@@ -40,13 +40,13 @@
     WorkerHeartbeat heartbeat;
     uint64_t term_at_sending = 0;
   };
-  /// An answer on its way to a worker.
+  /// A reply in flight to a worker.
   struct ReplyDelivery {
     size_t controller = 0;
     WorkerHeartbeat heartbeat;
     HeartbeatReply reply;
-    Seconds sent_at = 0;     ///< of the heartbeat
-    Seconds replied_at = 0;  ///< of the answer
+    Seconds sent_at = 0;     ///< when the heartbeat was sent
+    Seconds replied_at = 0;  ///< when the reply was sent
   };
 
   void step(SimulatedMachine& machine);
--- a/tests/tools/decision_digests.cpp
+++ b/tests/tools/decision_digests.cpp
@@ -1,4 +1,4 @@
-// Prints the digests of all decision scenarios, in the form of tests/data/decision_digests.txt.
+// Prints the digests of all decision scenarios in the format of tests/data/decision_digests.txt.
 #include <spdlog/spdlog.h>
 
 #include <iostream>
