--- a/tests/decision_scenarios.cpp
+++ b/tests/decision_scenarios.cpp
@@ -12,10 +12,10 @@
 using simulation::Simulation;
 using simulation::SimulationOptions;
 
-constexpr Seconds kFaultsFor = 300, kQuietFor = 250;
+constexpr Seconds kFaultsUntil = 300, kQuietSpan = 250;
 
-void play_history(Simulation& simulation) {
-  simulation.run(kFaultsFor, kQuietFor);
+void run_history(Simulation& simulation) {
+  simulation.run(kFaultsUntil, kQuietSpan);
 }
 
 JobSpec small_service(Simulation& simulation) {
@@ -26,7 +26,7 @@
 }
 
 /// Every second service is cancelled, so that replicas are consolidated and machines released.
-void play_fragmentation(Simulation& simulation) {
+void run_fragmentation(Simulation& simulation) {
   constexpr int kServices = 24;
   std::vector<std::string> services;
   for (int i = 0; i < kServices; ++i) {
@@ -40,7 +40,7 @@
 }
 
 /// The key-value store refuses only the leader, jobs are cancelled, then the store has an outage.
-void play_refused_leader_and_outage(Simulation& simulation) {
+void run_refused_leader_and_outage(Simulation& simulation) {
   for (int i = 0; i < 6; ++i) simulation.users().submit_any();
   simulation.run_for(40);
   simulation.faults().refuse(simulation.leader_or_first(), 200);
@@ -54,7 +54,7 @@
 }
 
 /// A zone is partitioned for longer than the worker lease while jobs run and are submitted.
-void play_zone_cut(Simulation& simulation) {
+void run_zone_partition(Simulation& simulation) {
   for (int i = 0; i < 8; ++i) simulation.users().submit_any();
   simulation.run_for(40);
   simulation.faults().cut_zone(simulation::kEast, 25);
@@ -64,7 +64,7 @@
 }
 
 /// Repeated failovers while jobs are submitted and run.
-void play_failovers(Simulation& simulation) {
+void run_failovers(Simulation& simulation) {
   constexpr int kFailovers = 8;
   for (int i = 0; i < kFailovers; ++i) {
     simulation.users().submit_any();
@@ -77,7 +77,7 @@
 struct ScenarioKind {
   uint64_t seeds = 0;
   SimulationOptions options;
-  std::function<void(Simulation&)> play;
+  std::function<void(Simulation&)> run;
 };
 
 SimulationOptions with_tight_cancellation() {
@@ -118,14 +118,14 @@
 
 const std::map<std::string, ScenarioKind>& kinds() {
   static const std::map<std::string, ScenarioKind> kinds{
-      {"history", {8, {}, play_history}},
-      {"history_with_tight_cancellation", {4, with_tight_cancellation(), play_history}},
-      {"history_with_prompt_dispatch", {3, with_prompt_dispatch(), play_history}},
-      {"history_with_guarantee", {3, with_fair_share(), play_history}},
-      {"fragmentation", {3, with_many_machines(), play_fragmentation}},
-      {"refused_leader_and_outage", {2, with_long_tasks(), play_refused_leader_and_outage}},
-      {"zone_cut", {2, with_long_tasks(), play_zone_cut}},
-      {"failovers", {2, with_long_tasks(), play_failovers}},
+      {"history", {8, {}, run_history}},
+      {"history_with_tight_cancellation", {4, with_tight_cancellation(), run_history}},
+      {"history_with_prompt_dispatch", {3, with_prompt_dispatch(), run_history}},
+      {"history_with_guarantee", {3, with_fair_share(), run_history}},
+      {"fragmentation", {3, with_many_machines(), run_fragmentation}},
+      {"refused_leader_and_outage", {2, with_long_tasks(), run_refused_leader_and_outage}},
+      {"zone_cut", {2, with_long_tasks(), run_zone_partition}},
+      {"failovers", {2, with_long_tasks(), run_failovers}},
   };
   return kinds;
 }
@@ -146,7 +146,7 @@
   // kept for the length of a partition.
   options.nominal_boot_s = scenario.seed % 2 ? 5 : 60;
   Simulation simulation(scenario.seed, options);
-  kind.play(simulation);
+  kind.run(simulation);
   return simulation.decision_digest();
 }
 
--- a/tests/simulation/checker.cpp
+++ b/tests/simulation/checker.cpp
@@ -7,19 +7,19 @@
 namespace sumacquay::simulation {
 
 namespace {
-constexpr size_t kMostViolations = 20;
+constexpr size_t kMaxViolations = 20;
 constexpr Seconds kWaitCheckInterval = 1;
 /// How long a task that could be placed may wait for its start.
-constexpr Seconds kLongestWait = 90;
+constexpr Seconds kMaxWait = 90;
 /// Time after boot before a machine counts as free capacity.
-constexpr Seconds kSettlingTime = 5;
+constexpr Seconds kBootGracePeriod = 5;
 
 /// The job state in a changed record; none if it is not a job's record.
 struct RecordedState {
   std::string job;
   JobState state = JobState::Pending;
 };
-std::optional<RecordedState> recorded_state(const StateService::Change& change) {
+std::optional<RecordedState> recorded_state(const SimulatedStore::Change& change) {
   if (const auto* live = std::get_if<JobRecord>(change.value.get()))
     return RecordedState{live->spec.id, live->state};
   if (const auto* finished = std::get_if<wire::FinishedRecord>(change.value.get()))
@@ -34,38 +34,38 @@
       options_(options),
       fleet_(fleet),
       jobs_(jobs),
-      machine_room_(machine_type(options).capacity) {}
+      machine_capacity_(machine_type(options).capacity) {}
 
-void Checker::violated(const std::string& rule, const TaskKey& key, const std::string& where) {
-  violated(rule + " " + key.job + "/" + std::to_string(key.task) + " on " + where);
+void Checker::add_violation(const std::string& rule, const TaskKey& key, const std::string& where) {
+  add_violation(rule + " " + key.job + "/" + std::to_string(key.task) + " on " + where);
 }
 
-void Checker::violated(const std::string& what) {
-  if (violations_.size() < kMostViolations)
+void Checker::add_violation(const std::string& what) {
+  if (violations_.size() < kMaxViolations)
     violations_.push_back(what + " at " + std::to_string(loop_.now()));
 }
 
-void Checker::task_started(const SimulatedMachine& machine, const TaskKey& key,
-                           Seconds ordered_at) {
+void Checker::on_task_started(const SimulatedMachine& machine, const TaskKey& key,
+                              Seconds command_sent_at) {
   ++starts_;
   const ObservedJob& job = jobs_.at(key.job);
-  if (job.cancelled_at && ordered_at > *job.cancelled_at) {
+  if (job.cancelled_at && command_sent_at > *job.cancelled_at) {
     ++starts_after_cancel_;
-    ordered_after_cancel_ = std::max(ordered_after_cancel_, ordered_at - *job.cancelled_at);
+    ordered_after_cancel_ = std::max(ordered_after_cancel_, command_sent_at - *job.cancelled_at);
   }
   check_dependencies_done(machine, key);
   std::map<std::string, uint32_t> zones;
-  fleet_.each_present([&](const SimulatedMachine& other, const TaskKey& present) {
-    if (present == key && other.id != machine.id)
-      violated("ran_twice", key, machine.id + " and " + other.id);
-    if (present.job == key.job) ++zones[other.zone];
+  fleet_.for_each_present_task([&](const SimulatedMachine& other, const TaskKey& other_key) {
+    if (other_key == key && other.id != machine.id)
+      add_violation("ran_twice", key, machine.id + " and " + other.id);
+    if (other_key.job == key.job) ++zones[other.zone];
   });
   const JobSpec& spec = job.spec;
   if (spec.spread && zones[machine.zone] > (spec.tasks + 1) / 2)
-    violated("wrong_place", key, machine.id);
-  if (spec.one_zone && zones.size() > 1) violated("wrong_place", key, machine.id);
-  if (spec.zone && *spec.zone != machine.zone) violated("wrong_place", key, machine.id);
-  if (machine.spot && !spec.spot) violated("wrong_place", key, machine.id);
+    add_violation("wrong_place", key, machine.id);
+  if (spec.one_zone && zones.size() > 1) add_violation("wrong_place", key, machine.id);
+  if (spec.zone && *spec.zone != machine.zone) add_violation("wrong_place", key, machine.id);
+  if (machine.spot && !spec.spot) add_violation("wrong_place", key, machine.id);
 }
 
 void Checker::check_dependencies_done(const SimulatedMachine& machine, const TaskKey& key) {
@@ -74,103 +74,106 @@
   ++starts_of_dependents_;
   for (const auto& id : dependencies) {
     const ObservedJob& dependency = jobs_.at(id);
-    if (!dependency.complete() || dependency.recorded != JobState::Done)
-      violated("too_early", key, machine.id + " before " + id);
+    if (!dependency.complete() || dependency.recorded_state != JobState::Done)
+      add_violation("too_early", key, machine.id + " before " + id);
   }
 }
 
-void Checker::wrote_under_term(uint64_t term, uint64_t nonce) {
-  const auto [known, added] = terms_.emplace(term, nonce);
-  if (!added && known->second != nonce) violated("two leaders under term " + std::to_string(term));
+void Checker::on_leader_write(uint64_t term, uint64_t nonce) {
+  const auto [entry, added] = terms_.emplace(term, nonce);
+  if (!added && entry->second != nonce)
+    add_violation("two leaders under term " + std::to_string(term));
 }
 
-void Checker::records_changed(const std::vector<StateService::Change>& changes) {
+void Checker::on_records_changed(const std::vector<SimulatedStore::Change>& changes) {
   for (const auto& change : changes) {
     const auto recorded = recorded_state(change);
     if (!recorded) continue;
     const auto& [id, state] = *recorded;
     ObservedJob& job = jobs_.at(id);
-    job.recorded = state;
-    if (state == JobState::Done && !job.complete()) violated("not_done " + id);
-    if (state != JobState::Cancelled && job.cancelled_at) violated("went_back " + id);
-    if (state != JobState::Done && job.told_done) violated("went_back " + id);
-    if (state == JobState::Cancelled && !cancel_asked_of_chain(jobs_, id))
-      violated("went_back " + id);
+    job.recorded_state = state;
+    if (state == JobState::Done && !job.complete()) add_violation("not_done " + id);
+    if (state != JobState::Cancelled && job.cancelled_at) add_violation("went_back " + id);
+    if (state != JobState::Done && job.reported_done) add_violation("went_back " + id);
+    if (state == JobState::Cancelled && !cancel_requested_transitively(jobs_, id))
+      add_violation("went_back " + id);
   }
 }
 
-void Checker::user_told(const std::string& id, JobState state) {
+void Checker::on_final_state_reported(const std::string& id, JobState state) {
   ObservedJob& job = jobs_.at(id);
   if (state == JobState::Done) {
-    if (!job.complete()) violated("not_done " + id);
-    if (job.cancelled_at) violated("went_back " + id);
-    job.told_done = true;
+    if (!job.complete()) add_violation("not_done " + id);
+    if (job.cancelled_at) add_violation("went_back " + id);
+    job.reported_done = true;
   } else if (state == JobState::Cancelled) {
-    if (!cancel_asked_of_chain(jobs_, id) || job.told_done) violated("went_back " + id);
-    if (cancelled_before(jobs_, id)) ++answers_after_cancel_;
+    if (!cancel_requested_transitively(jobs_, id) || job.reported_done)
+      add_violation("went_back " + id);
+    if (dependency_cancelled_at(jobs_, id)) ++answers_after_cancel_;
     if (job.cancelled_at) return;
     job.cancelled_at = loop_.now();
     ++cancellations_;
-    if (!job.cancel_asked) ++inherited_cancellations_;
+    if (!job.cancel_requested) ++inherited_cancellations_;
   }
 }
 
-void Checker::user_told_unfinished(const std::string& id, Seconds asked_at) {
+void Checker::on_unfinished_reported(const std::string& id, Seconds sent_at) {
   const ObservedJob& job = jobs_.at(id);
-  if (job.cancelled_at && *job.cancelled_at < asked_at) violated("went_back " + id);
-  const auto before = cancelled_before(jobs_, id);
-  if (!before) return;
+  if (job.cancelled_at && *job.cancelled_at < sent_at) add_violation("went_back " + id);
+  const auto cancelled_at = dependency_cancelled_at(jobs_, id);
+  if (!cancelled_at) return;
   // A request sent before the cancellation was confirmed may still be answered from an older copy
   // of the records, within the time limit for cancellations.
-  const bool asked_later = *before < asked_at;
-  if (asked_later || loop_.now() > *before + options_.cancel_s) violated("orphaned " + id);
+  const bool sent_later = *cancelled_at < sent_at;
+  if (sent_later || loop_.now() > *cancelled_at + options_.cancel_s)
+    add_violation("orphaned " + id);
 }
 
-void Checker::user_told_unknown(const std::string& id) {
-  violated("went_back " + id + " unknown");
+void Checker::on_unknown_reported(const std::string& id) {
+  add_violation("went_back " + id + " unknown");
 }
 
-void Checker::faults_ended() {
-  quiet_ = true;
+void Checker::on_faults_ended() {
+  faults_ended_ = true;
 }
 
 void Checker::check() {
   check_cancelled_and_quota();
   if (loop_.now() < next_wait_check_) return;
   next_wait_check_ = loop_.now() + kWaitCheckInterval;
-  if (quiet_) check_waiting();
+  if (faults_ended_) check_waiting_jobs();
 }
 
 void Checker::check_cancelled_and_quota() {
   std::map<std::string, double> gpus;
-  fleet_.each_present([&](const SimulatedMachine& machine, const TaskKey& key) {
+  fleet_.for_each_present_task([&](const SimulatedMachine& machine, const TaskKey& key) {
     const ObservedJob& job = jobs_.at(key.job);
     gpus[job.spec.team] += job.spec.request.gpus;
     // The limit also holds for hung and partitioned machines.
     if (job.cancelled_at && loop_.now() > *job.cancelled_at + options_.cancel_s)
-      violated("ran_cancelled", key, machine.id);
+      add_violation("ran_cancelled", key, machine.id);
   });
-  if (gpus[kLimitedTeam] > kLimitedTeamGpus) violated("quota", {kLimitedTeam, 0}, "all");
+  if (gpus[kLimitedTeam] > kLimitedTeamGpus) add_violation("quota", {kLimitedTeam, 0}, "all");
 }
 
-void Checker::check_waiting() {
+void Checker::check_waiting_jobs() {
   const Usage used = usage();
   const Seconds now = loop_.now();
   for (auto& [id, job] : jobs_) {
     if (!could_start(id, job, used)) {
-      job.waits_since.reset();
-    } else if (!job.waits_since) {
-      job.waits_since = now;
-    } else if (now - *job.waits_since > kLongestWait) {
-      violated("waits " + id);
-      job.waits_since = now;
+      job.waiting_since.reset();
+    } else if (!job.waiting_since) {
+      job.waiting_since = now;
+    } else if (now - *job.waiting_since > kMaxWait) {
+      add_violation("waits " + id);
+      job.waiting_since = now;
     }
   }
 }
 
 Checker::Usage Checker::usage() const {
   Usage out;
-  fleet_.each_present([&](const SimulatedMachine& machine, const TaskKey& key) {
+  fleet_.for_each_present_task([&](const SimulatedMachine& machine, const TaskKey& key) {
     const JobSpec& spec = jobs_.at(key.job).spec;
     out.team_gpus[spec.team] += spec.request.gpus;
     out.machine_used[machine.id] += spec.request;
@@ -184,7 +187,7 @@
 bool Checker::dependencies_done(const JobSpec& spec) const {
   return std::all_of(spec.dependencies.begin(), spec.dependencies.end(), [&](const auto& id) {
     const ObservedJob& dependency = jobs_.at(id);
-    return dependency.complete() && (!dependency.cancel_asked || dependency.told_done);
+    return dependency.complete() && (!dependency.cancel_requested || dependency.reported_done);
   });
 }
 
@@ -192,45 +195,47 @@
   const JobSpec& spec = job.spec;
   size_t absent = 0;
   for (uint32_t task = 0; task < spec.tasks; ++task)
-    if (!job.done.contains(task) && !used.present.contains({id, task})) ++absent;
-  if (!job.accepted || job.cancel_asked || absent == 0 || !dependencies_done(spec)) return false;
-  const size_t wants = spec.kind == JobKind::Gang ? absent : 1;
-  if (room_for(id, spec, used) < wants) return false;
+    if (!job.done_tasks.contains(task) && !used.present.contains({id, task})) ++absent;
+  if (!job.accepted || job.cancel_requested || absent == 0 || !dependencies_done(spec))
+    return false;
+  const size_t required = spec.kind == JobKind::Gang ? absent : 1;
+  if (placeable_tasks(id, spec, used) < required) return false;
   if (spec.team != kLimitedTeam) return true;
   const auto team = used.team_gpus.find(kLimitedTeam);
   const double team_gpus = team == used.team_gpus.end() ? 0 : team->second;
-  return team_gpus + static_cast<double>(wants) * spec.request.gpus <= kLimitedTeamGpus;
+  return team_gpus + static_cast<double>(required) * spec.request.gpus <= kLimitedTeamGpus;
 }
 
-size_t Checker::room_for(const std::string& id, const JobSpec& spec, const Usage& used) const {
-  const auto known = used.job_zones.find(id);
+size_t Checker::placeable_tasks(const std::string& id, const JobSpec& spec,
+                                const Usage& used) const {
+  const auto job_zones = used.job_zones.find(id);
   const auto zones =
-      known == used.job_zones.end() ? std::map<std::string, uint32_t>{} : known->second;
-  std::map<std::string, size_t> places;
-  size_t all = 0;
+      job_zones == used.job_zones.end() ? std::map<std::string, uint32_t>{} : job_zones->second;
+  std::map<std::string, size_t> slots_by_zone;
+  size_t slots = 0;
   for (const auto& [name, machine] : fleet_.machines()) {
-    if (!may_use(machine, spec, zones)) continue;
-    Resources room = machine_room_;
-    const auto taken = used.machine_used.find(name);
-    if (taken != used.machine_used.end()) room -= taken->second;
-    while (spec.request.fits_in(room)) {
-      room -= spec.request;
-      ++places[machine.zone];
-      ++all;
+    if (!can_place_on(machine, spec, zones)) continue;
+    Resources free_capacity = machine_capacity_;
+    const auto usage_here = used.machine_used.find(name);
+    if (usage_here != used.machine_used.end()) free_capacity -= usage_here->second;
+    while (spec.request.fits_in(free_capacity)) {
+      free_capacity -= spec.request;
+      ++slots_by_zone[machine.zone];
+      ++slots;
     }
   }
-  return spec.one_zone ? std::max(places[kEast], places[kWest]) : all;
+  return spec.one_zone ? std::max(slots_by_zone[kEast], slots_by_zone[kWest]) : slots;
 }
 
-bool Checker::may_use(const SimulatedMachine& machine, const JobSpec& spec,
-                      const std::map<std::string, uint32_t>& zones) const {
-  if (loop_.now() < machine.up_at + kSettlingTime || machine.quarantined) return false;
+bool Checker::can_place_on(const SimulatedMachine& machine, const JobSpec& spec,
+                           const std::map<std::string, uint32_t>& zones) const {
+  if (loop_.now() < machine.up_at + kBootGracePeriod || machine.fails_all_tasks) return false;
   if (machine.spot && !spec.spot) return false;
   if (spec.zone && *spec.zone != machine.zone) return false;
-  const auto there = zones.find(machine.zone);
-  const uint32_t in_zone = there == zones.end() ? 0 : there->second;
+  const auto zone = zones.find(machine.zone);
+  const uint32_t in_zone = zone == zones.end() ? 0 : zone->second;
   if (spec.spread && in_zone >= spec.zone_limit()) return false;
-  return !(spec.one_zone && zones.size() == 1 && there == zones.end());
+  return !(spec.one_zone && zones.size() == 1 && zone == zones.end());
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/checker.h
+++ b/tests/simulation/checker.h
@@ -9,7 +9,7 @@
 #include "simulation/machine.h"
 #include "simulation/observed_job.h"
 #include "simulation/options.h"
-#include "simulation/state_service.h"
+#include "simulation/simulated_store.h"
 
 namespace sumacquay::simulation {
 
@@ -20,20 +20,21 @@
   Checker(const EventLoop& loop, const SimulationOptions& options, const Fleet& fleet,
           ObservedJobs& jobs);
 
-  /// A machine has executed a start command; `ordered_at`: when the controller sent it.
-  void task_started(const SimulatedMachine& machine, const TaskKey& key, Seconds ordered_at);
+  /// A machine has executed a start command; `command_sent_at`: when the controller sent it.
+  void on_task_started(const SimulatedMachine& machine, const TaskKey& key,
+                       Seconds command_sent_at);
   /// The key-value store has applied a leader's transaction; `nonce` identifies the process.
-  void wrote_under_term(uint64_t term, uint64_t nonce);
-  void records_changed(const std::vector<StateService::Change>& changes);
+  void on_leader_write(uint64_t term, uint64_t nonce);
+  void on_records_changed(const std::vector<SimulatedStore::Change>& changes);
   /// A user received a terminal state of a job.
-  void user_told(const std::string& id, JobState state);
-  /// A user who sent a request at `asked_at` received a non-terminal state of an accepted job.
-  void user_told_unfinished(const std::string& id, Seconds asked_at);
+  void on_final_state_reported(const std::string& id, JobState state);
+  /// A user who sent a request at `sent_at` received a non-terminal state of an accepted job.
+  void on_unfinished_reported(const std::string& id, Seconds sent_at);
   /// A user was told that the job, or a dependency named in its submission, does not exist.
-  void user_told_unknown(const std::string& id);
+  void on_unknown_reported(const std::string& id);
   /// All faults have ended: from now on, tasks must start within a time limit if they can be
   /// placed.
-  void faults_ended();
+  void on_faults_ended();
   /// Called at each step of the simulation.
   void check();
 
@@ -60,27 +61,27 @@
     std::set<TaskKey> present;
   };
 
-  void violated(const std::string& rule, const TaskKey& key, const std::string& where);
-  void violated(const std::string& what);
+  void add_violation(const std::string& rule, const TaskKey& key, const std::string& where);
+  void add_violation(const std::string& what);
   void check_dependencies_done(const SimulatedMachine& machine, const TaskKey& key);
   bool dependencies_done(const JobSpec& spec) const;
   void check_cancelled_and_quota();
-  void check_waiting();
+  void check_waiting_jobs();
   Usage usage() const;
   bool could_start(const std::string& id, const ObservedJob& job, const Usage& used) const;
   /// The number of the job's tasks that could be placed in the free capacity.
-  size_t room_for(const std::string& id, const JobSpec& spec, const Usage& used) const;
-  bool may_use(const SimulatedMachine& machine, const JobSpec& spec,
-               const std::map<std::string, uint32_t>& zones) const;
+  size_t placeable_tasks(const std::string& id, const JobSpec& spec, const Usage& used) const;
+  bool can_place_on(const SimulatedMachine& machine, const JobSpec& spec,
+                    const std::map<std::string, uint32_t>& zones) const;
 
   const EventLoop& loop_;
   const SimulationOptions& options_;
   const Fleet& fleet_;
   ObservedJobs& jobs_;
-  const Resources machine_room_;
+  const Resources machine_capacity_;
   std::vector<std::string> violations_;
   std::map<uint64_t, uint64_t> terms_;  ///< by term: the nonce of the process that wrote under it
-  bool quiet_ = false;
+  bool faults_ended_ = false;
   Seconds next_wait_check_ = 0;
   size_t starts_ = 0, cancellations_ = 0, starts_after_cancel_ = 0;
   size_t starts_of_dependents_ = 0, inherited_cancellations_ = 0, answers_after_cancel_ = 0;
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -5,11 +5,11 @@
 namespace sumacquay::simulation {
 
 namespace {
-constexpr Seconds kRentAnswerDelay = 0.01;
-constexpr Seconds kReleaseAnswerDelay = 1.01;
+constexpr Seconds kScaleOutAnswerDelay = 0.01;
+constexpr Seconds kScaleInAnswerDelay = 1.01;
 /// Timeout of a release request as a fraction of the worker lease.
-constexpr double kReleaseDeadlineShare = 0.5;
-constexpr double kReleaseAnswerLost = 0.1;
+constexpr double kReleaseTimeoutFraction = 0.5;
+constexpr double kReleaseAnswerLossProbability = 0.1;
 }  // namespace
 
 std::string Cloud::add_machine(Seconds up_at, const std::optional<std::string>& zone, bool spot) {
@@ -17,42 +17,42 @@
   return env_.fleet.add(up_at, zone, spot, controller);
 }
 
-void Cloud::rent(ControllerProcess& asker, const ScaleOut& rent) {
-  env_.loop.schedule(env_.random.between(0.05, 0.3), [this, controller = asker.controller(),
-                                                      process = asker.weak_from_this(), rent,
-                                                      generation = asker.generation()] {
+void Cloud::scale_out(ControllerProcess& requester, const ScaleOut& request) {
+  env_.loop.schedule(env_.random.between(0.05, 0.3), [this, controller = requester.controller(),
+                                                      process = requester.weak_from_this(), request,
+                                                      generation = requester.generation()] {
     env_.controllers.schedule_in(
-        controller, process, kRentAnswerDelay,
-        [rent, machines = start_rented(rent), generation](ControllerProcess& me) {
-          me.on_scale_out_answered(generation, rent, machines);
+        controller, process, kScaleOutAnswerDelay,
+        [request, machines = create_machines(request), generation](ControllerProcess& self) {
+          self.on_scale_out_answered(generation, request, machines);
         });
   });
 }
 
-std::vector<std::string> Cloud::start_rented(const ScaleOut& rent) {
+std::vector<std::string> Cloud::create_machines(const ScaleOut& request) {
   std::vector<std::string> machines;
-  for (int i = 0; i < rent.count && env_.fleet.size() < env_.options.most_machines; ++i) {
-    const Seconds boots_for = env_.random.between(env_.options.boot_least, env_.options.boot_most);
+  for (int i = 0; i < request.count && env_.fleet.size() < env_.options.most_machines; ++i) {
+    const Seconds boot_time = env_.random.between(env_.options.boot_least, env_.options.boot_most);
     std::optional<std::string> zone;
-    if (!rent.zone.empty()) zone = rent.zone;
-    machines.push_back(add_machine(env_.now() + boots_for, zone, rent.spot));
+    if (!request.zone.empty()) zone = request.zone;
+    machines.push_back(add_machine(env_.now() + boot_time, zone, request.spot));
   }
   return machines;
 }
 
-void Cloud::release(ControllerProcess& asker, const ScaleIn& release) {
+void Cloud::scale_in(ControllerProcess& requester, const ScaleIn& request) {
   Random& random = env_.random;
-  const bool late = late_releases_.active(env_.now());
-  env_.loop.schedule(late ? random.between(5, 40) : random.between(0.05, 1), [this, release] {
-    for (const auto& machine : release.machines) env_.fleet.remove(machine);
+  const bool late = release_delay_.active(env_.now());
+  env_.loop.schedule(late ? random.between(5, 40) : random.between(0.05, 1), [this, request] {
+    for (const auto& machine : request.machines) env_.fleet.remove(machine);
   });
-  const bool unanswered = late || random.chance(kReleaseAnswerLost);
-  const Seconds answered_in =
-      unanswered ? env_.options.lease_s * kReleaseDeadlineShare : kReleaseAnswerDelay;
+  const bool unanswered = late || random.chance(kReleaseAnswerLossProbability);
+  const Seconds answer_delay =
+      unanswered ? env_.options.lease_s * kReleaseTimeoutFraction : kScaleInAnswerDelay;
   env_.controllers.schedule_in(
-      asker.controller(), asker.weak_from_this(), answered_in,
-      [release, unanswered, generation = asker.generation()](ControllerProcess& me) {
-        me.on_scale_in_answered(generation, release, !unanswered);
+      requester.controller(), requester.weak_from_this(), answer_delay,
+      [request, unanswered, generation = requester.generation()](ControllerProcess& self) {
+        self.on_scale_in_answered(generation, request, !unanswered);
       });
 }
 
--- a/tests/simulation/cloud.h
+++ b/tests/simulation/cloud.h
@@ -12,18 +12,18 @@
   /// Without `zone`, the zones are used in turn. Returns the machine's id.
   std::string add_machine(Seconds up_at, const std::optional<std::string>& zone = std::nullopt,
                           bool spot = false);
-  void rent(ControllerProcess& asker, const ScaleOut& rent);
-  void release(ControllerProcess& asker, const ScaleIn& release);
+  void scale_out(ControllerProcess& requester, const ScaleOut& request);
+  void scale_in(ControllerProcess& requester, const ScaleIn& request);
 
   /// Releases are executed late and never answered.
-  void release_late(Seconds span) { late_releases_.last_until(env_.now() + span); }
-  void end_faults() { late_releases_.clear(); }
+  void delay_releases(Seconds span) { release_delay_.activate_until(env_.now() + span); }
+  void end_faults() { release_delay_.clear(); }
 
  private:
-  std::vector<std::string> start_rented(const ScaleOut& rent);
+  std::vector<std::string> create_machines(const ScaleOut& request);
 
   Environment& env_;
-  Fault late_releases_;
+  Fault release_delay_;
 };
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -32,16 +32,16 @@
     Answer answer;
   };
   /// The fate of one message, drawn from the faults on its path.
-  struct Way {
+  struct MessageFate {
     Seconds delay = 0;
     bool lost = false, answer_lost = false;
   };
-  Way draw_way(size_t controller, const SimulatedMachine* machine);
+  MessageFate draw_fate(size_t controller, const SimulatedMachine* machine);
   Answer answer_once(ControllerProcess& sender, const std::string& machine);
   void deliver(const Delivery& delivery, Seconds delay);
   void arrive(const Delivery& delivery);
-  bool reaches(size_t controller, const SimulatedMachine* machine);
-  void arrive_late(const Probe& probe);
+  bool can_reach(size_t controller, const SimulatedMachine* machine);
+  void deliver_late(const Probe& probe);
 
   Environment& env_;
   Workers& workers_;
--- a/tests/simulation/controller_host.cpp
+++ b/tests/simulation/controller_host.cpp
@@ -22,9 +22,9 @@
   loop_.schedule(delay, [this, controller, process, event = std::move(event)] {
     const auto running = process.lock();
     if (!running) return;
-    const Fault& frozen = hosts_[controller].faults.frozen;
-    if (frozen.active(loop_.now()))
-      return schedule_in(controller, process, frozen.end() - loop_.now(), event);
+    const Fault& pause = hosts_[controller].faults.paused;
+    if (pause.active(loop_.now()))
+      return schedule_in(controller, process, pause.end() - loop_.now(), event);
     event(*running);
   });
 }
--- a/tests/simulation/controller_host.h
+++ b/tests/simulation/controller_host.h
@@ -15,11 +15,11 @@
 class ControllerProcess;
 
 struct ControllerFaults {
-  Fault frozen;       ///< the process is paused
-  Fault no_state;     ///< partitioned from the key-value store
-  Fault no_peers;     ///< partitioned from the other controllers
-  Fault no_machines;  ///< partitioned from all machines
-  Fault refused;      ///< the key-value store refuses this controller's requests
+  Fault paused;            ///< the process is paused
+  Fault store_partition;   ///< partitioned from the key-value store
+  Fault peer_partition;    ///< partitioned from the other controllers
+  Fault worker_partition;  ///< partitioned from all machines
+  Fault store_refusal;     ///< the key-value store refuses this controller's requests
 };
 
 /// The host of a controller. Its settings and faults persist across restarts of the process.
--- a/tests/simulation/controller_peer_heartbeats.cpp
+++ b/tests/simulation/controller_peer_heartbeats.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 /// Timeout of an answer, in heartbeat intervals.
-constexpr double kAnswerDeadline = 2;
+constexpr double kAnswerTimeoutIntervals = 2;
 }  // namespace
 
 wire::PeerHeartbeat ControllerProcess::own_peer_heartbeat() const {
@@ -26,23 +26,23 @@
 void ControllerProcess::send_peer_heartbeat(size_t peer) {
   Random& random = env_.random;
   Seconds delay = random.chance(0.02) ? random.between(0.1, 2) : random.between(0.001, 0.05);
-  const Seconds apart_until = env_.network.peers_apart_until(controller_, peer);
-  if (env_.now() < apart_until) {
+  const Seconds partition_end = env_.network.peer_partition_end(controller_, peer);
+  if (env_.now() < partition_end) {
     if (random.chance(0.5)) return;
-    delay += apart_until - env_.now();  // delivered after the partition; must do no harm
+    delay += partition_end - env_.now();  // delivered after the partition; must do no harm
   }
   Environment& env = env_;
   env.controllers.schedule_at(
       peer, delay,
       [&env, from = controller_, sender = weak_from_this(), heartbeat = own_peer_heartbeat(),
-       asked_at = env.now()](ControllerProcess& receiver) {
+       sent_at = env.now()](ControllerProcess& receiver) {
         const wire::PeerHeartbeat answer = receiver.answer_peer_heartbeat(from, heartbeat);
         const size_t to = receiver.controller();
-        if (env.now() < env.network.peers_apart_until(from, to)) return;
-        const Seconds longest = env.random.chance(0.1) ? 2 : 0.1;
-        env.controllers.schedule_in(from, sender, env.random.between(0.001, longest),
-                                    [to, answer, asked_at](ControllerProcess& me) {
-                                      me.peer_heartbeat_answered(to, answer, asked_at);
+        if (env.now() < env.network.peer_partition_end(from, to)) return;
+        const Seconds max_delay = env.random.chance(0.1) ? 2 : 0.1;
+        env.controllers.schedule_in(from, sender, env.random.between(0.001, max_delay),
+                                    [to, answer, sent_at](ControllerProcess& self) {
+                                      self.on_peer_heartbeat_answered(to, answer, sent_at);
                                     });
       });
 }
@@ -50,7 +50,7 @@
 /// Delegations are sent in answers only, since their duration counts from the request.
 wire::PeerHeartbeat ControllerProcess::answer_peer_heartbeat(size_t from,
                                                              const wire::PeerHeartbeat& heartbeat) {
-  hear(heartbeat);
+  process_peer_heartbeat(heartbeat);
   wire::PeerHeartbeat answer = own_peer_heartbeat();
   const std::string& zone = env_.controllers[from].settings.zone;
   if (leads() && settings().finds_delegated_responder(zone))
@@ -59,11 +59,11 @@
   return answer;
 }
 
-void ControllerProcess::peer_heartbeat_answered(size_t peer, const wire::PeerHeartbeat& answer,
-                                                Seconds asked_at) {
-  if (env_.now() - asked_at > kAnswerDeadline * settings().renew_s()) return;
-  hear(answer);
-  if (answer.delegation) delegated_responder_->delegated(*answer.delegation, asked_at, env_.now());
+void ControllerProcess::on_peer_heartbeat_answered(size_t peer, const wire::PeerHeartbeat& answer,
+                                                   Seconds sent_at) {
+  if (env_.now() - sent_at > kAnswerTimeoutIntervals * settings().renew_s()) return;
+  process_peer_heartbeat(answer);
+  if (answer.delegation) delegated_responder_->delegated(*answer.delegation, sent_at, env_.now());
   if (!scheduler_ || answer.leading || answer.term < election_->term()) return;
   // The peer follows this term and no longer answers workers under an older one. Once all peers do,
   // no other controller can renew a worker lease.
@@ -72,7 +72,7 @@
     scheduler_->on_previous_leader_fenced(env_.now());
 }
 
-void ControllerProcess::hear(const wire::PeerHeartbeat& heartbeat) {
+void ControllerProcess::process_peer_heartbeat(const wire::PeerHeartbeat& heartbeat) {
   const auto peer = env_.controllers.index_of(heartbeat.node);
   const bool newer = !known_leader_ || heartbeat.term >= known_leader_->term;
   if (peer && heartbeat.leading && newer)
--- a/tests/simulation/controller_process.h
+++ b/tests/simulation/controller_process.h
@@ -11,7 +11,7 @@
 #include "leadership/lease_delegation.h"
 #include "simulation/environment.h"
 #include "simulation/simulated_record_cache.h"
-#include "simulation/state_channel.h"
+#include "simulation/store_channel.h"
 
 namespace sumacquay::simulation {
 
@@ -20,9 +20,9 @@
 class Workers;
 
 /// The components that a controller communicates with, apart from the other controllers.
-struct ControllerLinks {
-  StateChannel& state;
-  CommandChannel& worker_commands;
+struct ControllerConnections {
+  StoreChannel& store;
+  CommandChannel& commands;
   Cloud& cloud;
   Workers& workers;
 };
@@ -44,10 +44,10 @@
 class ControllerProcess : public std::enable_shared_from_this<ControllerProcess> {
  public:
   /// Starts a process on the controller's host.
-  static void start(Environment& environment, const ControllerLinks& links, size_t controller,
-                    uint64_t nonce);
-  ControllerProcess(Environment& environment, const ControllerLinks& links, size_t controller,
-                    uint64_t nonce);
+  static void start(Environment& environment, const ControllerConnections& connections,
+                    size_t controller, uint64_t nonce);
+  ControllerProcess(Environment& environment, const ControllerConnections& connections,
+                    size_t controller, uint64_t nonce);
 
   void step();
   size_t controller() const { return controller_; }
@@ -63,68 +63,68 @@
   using ReadDone = std::function<void(ControllerProcess&, bool fresh)>;
   void read_records(ReadDone done = nullptr);
   /// Applies a job's record that this process has written on behalf of a user.
-  void wrote_job(const JobRecord& record, uint64_t version);
+  void on_job_written(const JobRecord& record, uint64_t version);
   /// Reads the outcome of a job that is not in the record cache. Calls `done(process, answered)`;
   /// `answered`: the store answered, either with the outcome or that there is none.
   void read_finished(const std::string& id, ReadDone done);
-  void served_by_state() { served_at_ = env_.now(); }
+  void on_store_success() { last_store_success_at_ = env_.now(); }
 
   /// Answers a worker's heartbeat, as the leader, as its delegate, or with a redirect.
   HeartbeatReply answer_worker_heartbeat(const WorkerHeartbeat& heartbeat);
   /// Processes a late duplicate of a heartbeat; the answer is not delivered.
-  HeartbeatReply answer_copy(const WorkerHeartbeat& heartbeat);
+  HeartbeatReply answer_duplicate(const WorkerHeartbeat& heartbeat);
 
   // Answers to the leader's actions. Ignored if the process has lost leadership since then.
   void on_commands_answered(uint64_t generation, const std::string& machine,
                             const std::optional<WorkerHeartbeat>& heartbeat, bool executed);
   void on_probe_answered(uint64_t generation, const std::string& machine,
                          const std::optional<WorkerHeartbeat>& heartbeat);
-  void on_scale_out_answered(uint64_t generation, const ScaleOut& rent,
+  void on_scale_out_answered(uint64_t generation, const ScaleOut& scale_out,
                              const std::vector<std::string>& machines);
-  void on_scale_in_answered(uint64_t generation, const ScaleIn& release, bool ok);
+  void on_scale_in_answered(uint64_t generation, const ScaleIn& scale_in, bool ok);
 
  private:
   /// The leader according to the heartbeats of the other controllers.
   struct KnownLeader {
     size_t controller = 0;
     uint64_t term = 0;
-    Seconds heard_at = 0;
+    Seconds last_heartbeat_at = 0;
   };
 
   const ControllerHost& host() const { return env_.controllers[controller_]; }
   const Settings& settings() const { return host().settings; }
   void schedule(Seconds delay, ControllerHosts::Event event);
-  bool current(uint64_t generation) const { return generation == generation_ && scheduler_; }
+  bool is_current(uint64_t generation) const { return generation == generation_ && scheduler_; }
 
   void perform(const Action& action);
-  void carry_out(const SendCommands& worker_commands);
-  void carry_out(const Probe& probe);
-  void carry_out(const ScaleOut& rent);
-  void carry_out(const ScaleIn& release);
+  void execute(const SendCommands& worker_commands);
+  void execute(const Probe& probe);
+  void execute(const ScaleOut& scale_out);
+  void execute(const ScaleIn& scale_in);
 
   // LeaderElection.
   LeaderElection::Effects election_effects();
-  void grant(LeaderElection::Campaign campaign, Seconds lease);
-  void renew(uint64_t lease);
-  void revoke(uint64_t lease);
-  void elect(LeaderElection::Campaign campaign, uint64_t lease);
+  void grant_lease(LeaderElection::Campaign campaign, Seconds lease);
+  void renew_lease(uint64_t lease);
+  void revoke_lease(uint64_t lease);
+  void run_for_election(LeaderElection::Campaign campaign, uint64_t lease);
   void read_earlier_writes(LeaderElection::Campaign campaign, uint64_t term, Seconds end);
-  void election_state_changed(LeaderElection::State from, LeaderElection::State to);
+  void on_election_state_changed(LeaderElection::State from, LeaderElection::State to);
   void start_leading();
   void stop_leading();
   void resign_if_isolated_from_workers();
 
   // Records.
-  void records_read(const StateReply& reply, Seconds asked_at);
-  void leader_record_changed();
-  void job_record_changed(const std::string& id);
-  void all_job_records_changed();
+  void on_records_read(const StoreReply& reply, Seconds sent_at);
+  void on_leader_record_changed();
+  void on_job_record_changed(const std::string& id);
+  void on_all_job_records_changed();
   /// Passes the outcomes of finished dependencies to the scheduler, which reads no records itself.
   void report_finished_dependencies();
   void read_unknown_dependencies();
   void write_records();
   void dispatch();
-  void records_written(const std::vector<RecordWrite>& writes, const StateReply& reply);
+  void on_records_written(const std::vector<RecordWrite>& writes, const StoreReply& reply);
   void apply_written(const RecordWrite& write, uint64_t revision);
 
   // Peer heartbeats.
@@ -132,18 +132,18 @@
   void send_peer_heartbeats();
   void send_peer_heartbeat(size_t peer);
   wire::PeerHeartbeat answer_peer_heartbeat(size_t from, const wire::PeerHeartbeat& heartbeat);
-  void peer_heartbeat_answered(size_t peer, const wire::PeerHeartbeat& answer, Seconds asked_at);
-  void hear(const wire::PeerHeartbeat& heartbeat);
+  void on_peer_heartbeat_answered(size_t peer, const wire::PeerHeartbeat& answer, Seconds sent_at);
+  void process_peer_heartbeat(const wire::PeerHeartbeat& heartbeat);
 
   // Worker heartbeats.
   std::optional<HeartbeatReply> answer_as_delegate(const WorkerHeartbeat& heartbeat);
   HeartbeatReply answer_as_leader(const WorkerHeartbeat& heartbeat);
   HeartbeatReply redirect() const;
   /// Adds the answer to the digest of decisions.
-  HeartbeatReply digested(const WorkerHeartbeat& heartbeat, HeartbeatReply reply);
+  HeartbeatReply add_to_digest(const WorkerHeartbeat& heartbeat, HeartbeatReply reply);
 
   Environment& env_;
-  ControllerLinks links_;
+  ControllerConnections connections_;
   const size_t controller_;
   const uint64_t nonce_;
   SimulatedRecordCache records_;
@@ -152,12 +152,13 @@
   std::unique_ptr<DelegatedResponder> delegated_responder_;
   uint64_t generation_ = 0;
   std::map<size_t, uint64_t> peer_terms_;  ///< by peer: the term that it follows
-  bool writing_ = false;                   ///< a transaction of the leader is in flight
-  bool reading_ = false;                   ///< the periodic read of the records is in flight
-  bool reading_dependency_ = false;
-  std::string dependency_read_;  ///< id of the last one read; they are read round-robin
-  bool revoked_ = false;         ///< the lease of an earlier process on this host has been revoked
-  Seconds next_read_ = 0, next_peer_heartbeat_ = 0, served_at_ = 0;
+  bool write_in_flight_ = false;           ///< a transaction of the leader is in flight
+  bool read_in_flight_ = false;            ///< the periodic read of the records is in flight
+  bool dependency_read_in_flight_ = false;
+  std::string last_dependency_read_;  ///< id of the last one read; they are read round-robin
+  /// The lease of an earlier process on this host has been revoked.
+  bool earlier_lease_revoked_ = false;
+  Seconds next_read_ = 0, next_peer_heartbeat_ = 0, last_store_success_at_ = 0;
   std::optional<KnownLeader> known_leader_;
 };
 
--- a/tests/simulation/controllers.cpp
+++ b/tests/simulation/controllers.cpp
@@ -3,7 +3,7 @@
 namespace sumacquay::simulation {
 
 void Controllers::start(size_t controller) {
-  ControllerProcess::start(env_, links_, controller, ++last_nonce_);
+  ControllerProcess::start(env_, connections_, controller, ++last_nonce_);
 }
 
 void Controllers::start_all() {
@@ -11,20 +11,20 @@
     if (!env_.controllers[controller].process) start(controller);
 }
 
-void Controllers::restart(size_t controller, Seconds back_in) {
+void Controllers::restart(size_t controller, Seconds restart_delay) {
   ControllerHost& host = env_.controllers[controller];
   host.process.reset();
   const uint64_t restart = ++host.restarts;
-  env_.loop.schedule(back_in, [this, controller, restart] {
-    const ControllerHost& again = env_.controllers[controller];
-    if (again.restarts == restart && !again.process) start(controller);
+  env_.loop.schedule(restart_delay, [this, controller, restart] {
+    const ControllerHost& current_host = env_.controllers[controller];
+    if (current_host.restarts == restart && !current_host.process) start(controller);
   });
 }
 
 void Controllers::step() {
   for (size_t controller = 0; controller < env_.controllers.size(); ++controller) {
     const ControllerHost& host = env_.controllers[controller];
-    if (host.process && !host.faults.frozen.active(env_.now())) host.process->step();
+    if (host.process && !host.faults.paused.active(env_.now())) host.process->step();
   }
 }
 
--- a/tests/simulation/decision_digest.cpp
+++ b/tests/simulation/decision_digest.cpp
@@ -50,14 +50,14 @@
     text(probe->machine);
     text(probe->addr);
     text(wire::worker_commands_body(probe->fencing_token, probe->agent_epoch, {}));
-  } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
-    text(rent->request);
-    text(rent->type);
-    text(rent->zone);
-    number(uint64_t{rent->spot});
-    number(static_cast<uint64_t>(rent->count));
-  } else if (const auto* release = std::get_if<ScaleIn>(&action)) {
-    for (const auto& machine : release->machines) text(machine);
+  } else if (const auto* scale_out = std::get_if<ScaleOut>(&action)) {
+    text(scale_out->request);
+    text(scale_out->type);
+    text(scale_out->zone);
+    number(uint64_t{scale_out->spot});
+    number(static_cast<uint64_t>(scale_out->count));
+  } else if (const auto* scale_in = std::get_if<ScaleIn>(&action)) {
+    for (const auto& machine : scale_in->machines) text(machine);
   }
 }
 
--- a/tests/simulation/environment.cpp
+++ b/tests/simulation/environment.cpp
@@ -4,8 +4,8 @@
 
 namespace sumacquay::simulation {
 
-Environment::Environment(uint64_t seed, SimulationOptions chosen)
-    : options(std::move(chosen)),
+Environment::Environment(uint64_t seed, SimulationOptions simulation_options)
+    : options(std::move(simulation_options)),
       random(seed),
       controllers(loop, options),
       network(loop, controllers),
--- a/tests/simulation/environment.h
+++ b/tests/simulation/environment.h
@@ -14,7 +14,7 @@
 /// State shared by all components of a simulated deployment: virtual time, randomness, machines,
 /// jobs, controllers, the network, the checker and the decision digest.
 struct Environment {
-  Environment(uint64_t seed, SimulationOptions chosen);
+  Environment(uint64_t seed, SimulationOptions simulation_options);
   Environment(const Environment&) = delete;
   Environment& operator=(const Environment&) = delete;
 
--- a/tests/simulation/fault.h
+++ b/tests/simulation/fault.h
@@ -11,7 +11,7 @@
 /// A fault that is active until a point in virtual time.
 class Fault {
  public:
-  void last_until(Seconds end) { end_ = end; }
+  void activate_until(Seconds end) { end_ = end; }
   void clear() { end_ = kNoFault; }
   bool active(Seconds now) const { return now < end_; }
   Seconds end() const { return end_; }
--- a/tests/simulation/faults.h
+++ b/tests/simulation/faults.h
@@ -4,7 +4,7 @@
 #include "simulation/cloud.h"
 #include "simulation/controllers.h"
 #include "simulation/environment.h"
-#include "simulation/state_channel.h"
+#include "simulation/store_channel.h"
 #include "simulation/workers.h"
 
 namespace sumacquay::simulation {
@@ -12,16 +12,16 @@
 /// Fault injection for tests. Most faults last for the given span of time.
 class Faults {
  public:
-  Faults(Environment& environment, Controllers& controllers, StateChannel& state, Cloud& cloud,
+  Faults(Environment& environment, Controllers& controllers, StoreChannel& store, Cloud& cloud,
          Workers& workers)
       : env_(environment),
         controllers_(controllers),
-        state_(state),
+        store_(store),
         cloud_(cloud),
         workers_(workers) {}
 
   // Controllers.
-  void end_process(size_t controller, Seconds back_in);
+  void end_process(size_t controller, Seconds restart_delay);
   void stand_still(size_t controller, Seconds span);
   void cut_from_state(size_t controller, Seconds span);
   void cut_from_peers(size_t controller, Seconds span);
@@ -30,15 +30,15 @@
   void refuse(size_t controller, Seconds span);
 
   // The key-value store.
-  void outage(Seconds span) { state_.begin_outage(span); }
-  void slow(Seconds span) { state_.slow_down(span); }
-  void late_writes(double share, Seconds span) { state_.apply_writes_late(share, span); }
-  void lost_answers(double share, Seconds span) { state_.lose_answers(share, span); }
+  void outage(Seconds span) { store_.begin_outage(span); }
+  void slow(Seconds span) { store_.slow_down(span); }
+  void late_writes(double fraction, Seconds span) { store_.apply_writes_late(fraction, span); }
+  void lost_answers(double fraction, Seconds span) { store_.lose_answers(fraction, span); }
 
   // The network and the cloud.
-  void cut_zone(const std::string& zone, Seconds span) { env_.network.cut_zone(zone, span); }
+  void cut_zone(const std::string& zone, Seconds span) { env_.network.partition_zone(zone, span); }
   /// Releases are executed late and never answered.
-  void late_releases(Seconds span) { cloud_.release_late(span); }
+  void late_releases(Seconds span) { cloud_.delay_releases(span); }
 
   // Machines.
   void hang(const std::string& machine, Seconds span);
@@ -51,7 +51,7 @@
   void fail_all_tasks(const std::string& machine);
   void lose_machine(const std::string& machine) { env_.fleet.remove(machine); }
   /// A fraction of the heartbeats is delivered a second time, late.
-  void late_heartbeats(double share, Seconds span, CopyDelivery delivery = CopyDelivery::Later);
+  void late_heartbeats(double fraction, Seconds span, CopyDelivery delivery = CopyDelivery::Later);
   /// Half of the heartbeats are delayed, so that commands, their answers and probes overtake them.
   void slow_heartbeats(Seconds span) { workers_.slow_heartbeats(span); }
 
@@ -59,12 +59,12 @@
   void end_all();
 
  private:
-  void last(Fault ControllerFaults::*fault, size_t controller, Seconds span);
-  void last(Fault MachineFaults::*fault, const std::string& machine, Seconds span);
+  void inject(Fault ControllerFaults::*fault, size_t controller, Seconds span);
+  void inject(Fault MachineFaults::*fault, const std::string& machine, Seconds span);
 
   Environment& env_;
   Controllers& controllers_;
-  StateChannel& state_;
+  StoreChannel& store_;
   Cloud& cloud_;
   Workers& workers_;
 };
--- a/tests/simulation/frontend.cpp
+++ b/tests/simulation/frontend.cpp
@@ -6,46 +6,48 @@
 
 namespace {
 /// Retries of a cancellation whose transaction failed because the job's record had changed.
-constexpr int kCancelRetries = 4;
+constexpr int kMaxCancelRetries = 4;
 constexpr double kMillisecondsPerSecond = 1000;
 }  // namespace
 
 // ---------------------------------------------------------------- looking up
 
-void Frontend::look_up(ControllerProcess& process, const std::string& id, const Found& found) {
-  if (found_finished(process, id, found)) return;
-  if (!process.records().loaded()) return found.not_told();
-  process.read_records([this, id, found](ControllerProcess& me, bool fresh) {
-    if (!fresh) return found.not_told();
-    look_up_fresh(me, id, found);
+void Frontend::look_up(ControllerProcess& process, const std::string& id,
+                       const LookUpHandlers& handlers) {
+  if (handle_finished(process, id, handlers)) return;
+  if (!process.records().loaded()) return handlers.unavailable();
+  process.read_records([this, id, handlers](ControllerProcess& self, bool fresh) {
+    if (!fresh) return handlers.unavailable();
+    look_up_fresh(self, id, handlers);
   });
 }
 
 void Frontend::look_up_fresh(ControllerProcess& process, const std::string& id,
-                             const Found& found) {
-  if (found_live(process, id, found) || found_finished(process, id, found)) return;
-  process.read_finished(id, [id, found](ControllerProcess& me, bool answered) {
-    if (found_live(me, id, found) || found_finished(me, id, found)) return;
-    if (!answered) return found.not_told();
-    found.unknown(me);
+                             const LookUpHandlers& handlers) {
+  if (handle_live(process, id, handlers) || handle_finished(process, id, handlers)) return;
+  process.read_finished(id, [id, handlers](ControllerProcess& self, bool answered) {
+    if (handle_live(self, id, handlers) || handle_finished(self, id, handlers)) return;
+    if (!answered) return handlers.unavailable();
+    handlers.not_found(self);
   });
 }
 
-bool Frontend::found_live(ControllerProcess& process, const std::string& id, const Found& found) {
-  const auto live = process.records().live().find(id);
-  if (live == process.records().live().end()) return false;
+bool Frontend::handle_live(ControllerProcess& process, const std::string& id,
+                           const LookUpHandlers& handlers) {
+  const auto live = process.records().live_jobs().find(id);
+  if (live == process.records().live_jobs().end()) return false;
   if (process.records().dependencies().certain(id))
-    found.live(process, live->second);
+    handlers.live(process, live->second);
   else
-    found.not_told();
+    handlers.unavailable();
   return true;
 }
 
-bool Frontend::found_finished(ControllerProcess& process, const std::string& id,
-                              const Found& found) {
-  const auto finished = process.records().finished().find(id);
-  if (finished == process.records().finished().end()) return false;
-  found.finished(process, finished->second);
+bool Frontend::handle_finished(ControllerProcess& process, const std::string& id,
+                               const LookUpHandlers& handlers) {
+  const auto finished = process.records().finished_jobs().find(id);
+  if (finished == process.records().finished_jobs().end()) return false;
+  handlers.finished(process, finished->second);
   return true;
 }
 
@@ -57,41 +59,41 @@
 // ---------------------------------------------------------------- answers
 
 void Frontend::query(ControllerProcess& process, const UserRequest& request) {
-  Found found;
-  found.live = [this, request](ControllerProcess& me, const LiveRecord& record) {
-    tell(request, current_state(me, record.value));
+  LookUpHandlers handlers;
+  handlers.live = [this, request](ControllerProcess& self, const LiveRecord& record) {
+    answer_state(request, current_state(self, record.value));
   };
-  found.finished = [this, request](ControllerProcess&, const wire::FinishedRecord& record) {
-    tell(request, record.state);
+  handlers.finished = [this, request](ControllerProcess&, const wire::FinishedRecord& record) {
+    answer_state(request, record.state);
   };
-  found.unknown = [this, request](ControllerProcess&) { tell_unknown(request); };
-  found.not_told = [request] { request.answered(false); };
-  look_up(process, request.job, found);
+  handlers.not_found = [this, request](ControllerProcess&) { answer_not_found(request); };
+  handlers.unavailable = [request] { request.on_handled(false); };
+  look_up(process, request.job, handlers);
 }
 
-void Frontend::tell(const UserRequest& request, JobState state) {
+void Frontend::answer_state(const UserRequest& request, JobState state) {
   env_.digest.add_user_answer(env_.now(), request.job, static_cast<int>(state));
   env_.jobs.at(request.job).accepted = true;
-  const bool heard = env_.now() < request.asked_at + kUserPatience;
+  const bool within_timeout = env_.now() < request.sent_at + kUserTimeout;
   if (state != JobState::Pending)
-    env_.checker.user_told(request.job, state);
-  else if (heard)
-    env_.checker.user_told_unfinished(request.job, request.asked_at);
-  request.answered(true);
+    env_.checker.on_final_state_reported(request.job, state);
+  else if (within_timeout)
+    env_.checker.on_unfinished_reported(request.job, request.sent_at);
+  request.on_handled(true);
 }
 
-void Frontend::tell_unknown(const UserRequest& request) {
+void Frontend::answer_not_found(const UserRequest& request) {
   env_.digest.add_user_answer(env_.now(), request.job, -1);
-  env_.checker.user_told_unknown(request.job);
-  request.answered(true);
+  env_.checker.on_unknown_reported(request.job);
+  request.on_handled(true);
 }
 
 // ---------------------------------------------------------------- submissions
 
 void Frontend::accept(ControllerProcess& process, const UserRequest& request) {
   const SimulatedRecordCache& records = process.records();
-  if (!records.loaded()) return request.answered(false);
-  if (records.live().contains(request.job) || records.finished().contains(request.job))
+  if (!records.loaded()) return request.on_handled(false);
+  if (records.live_jobs().contains(request.job) || records.finished_jobs().contains(request.job))
     return query(process, request);
   auto submission = std::make_shared<Submission>();
   submission->record.spec = env_.jobs.at(request.job).spec;
@@ -105,24 +107,24 @@
                                   const UserRequest& request) {
   if (submission->unchecked.empty()) return write_accepted(process, submission->record, request);
   const std::string id = submission->unchecked.back();
-  const auto add = [this, submission, request](ControllerProcess& me, JobState state) {
+  const auto add = [this, submission, request](ControllerProcess& self, JobState state) {
     submission->add(state);
-    check_dependencies(me, submission, request);
+    check_dependencies(self, submission, request);
   };
   // A job in the record cache was accepted, however stale the cache is.
-  const auto live = process.records().live().find(id);
-  if (live != process.records().live().end())
+  const auto live = process.records().live_jobs().find(id);
+  if (live != process.records().live_jobs().end())
     return add(process, current_state(process, live->second.value));
-  Found found;
-  found.live = [add](ControllerProcess& me, const LiveRecord& record) {
-    add(me, current_state(me, record.value));
+  LookUpHandlers handlers;
+  handlers.live = [add](ControllerProcess& self, const LiveRecord& record) {
+    add(self, current_state(self, record.value));
   };
-  found.finished = [add](ControllerProcess& me, const wire::FinishedRecord& record) {
-    add(me, record.state);
+  handlers.finished = [add](ControllerProcess& self, const wire::FinishedRecord& record) {
+    add(self, record.state);
   };
-  found.unknown = [this, request](ControllerProcess&) { tell_unknown(request); };
-  found.not_told = [request] { request.answered(false); };
-  look_up(process, id, found);
+  handlers.not_found = [this, request](ControllerProcess&) { answer_not_found(request); };
+  handlers.unavailable = [request] { request.on_handled(false); };
+  look_up(process, id, handlers);
 }
 
 void Frontend::Submission::add(JobState dependency) {
@@ -135,21 +137,21 @@
 void Frontend::write_accepted(ControllerProcess& process, const JobRecord& record,
                               const UserRequest& request) {
   const std::string& id = request.job;
-  state_.request(process.controller(), StateChannel::RequestKind::Transaction,
-                 state_.transaction({{keys::kLive + id, 0}, {keys::kFinished + id, 0}},
-                                    {StateService::put(keys::kLive + id, record)}),
-                 [this, record, request](ControllerProcess& me, const StateReply& reply) {
+  store_.request(process.controller(), StoreChannel::RequestKind::Transaction,
+                 store_.transaction({{keys::kLive + id, 0}, {keys::kFinished + id, 0}},
+                                    {SimulatedStore::put(keys::kLive + id, record)}),
+                 [this, record, request](ControllerProcess& self, const StoreReply& reply) {
                    if (reply.ok()) {
-                     me.wrote_job(record, reply.revision);
+                     self.on_job_written(record, reply.revision);
                      // The dependencies were checked against a cache that may be stale.
-                     const bool waits =
+                     const bool has_dependencies =
                          record.state == JobState::Pending && !record.spec.dependencies.empty();
-                     if (waits) return query(me, request);
-                     return tell(request, record.state);
+                     if (has_dependencies) return query(self, request);
+                     return answer_state(request, record.state);
                    }
                    // The precondition failed: the job was accepted before.
-                   if (reply.outcome == StateOutcome::Failed) return query(me, request);
-                   request.answered(false);
+                   if (reply.outcome == StoreOutcome::Failed) return query(self, request);
+                   request.on_handled(false);
                  });
 }
 
@@ -159,38 +161,39 @@
   try_cancel(process, 0, request);
 }
 
-void Frontend::try_cancel(ControllerProcess& process, int tries, const UserRequest& request) {
-  Found found;
-  found.live = [this, tries, request](ControllerProcess& me, const LiveRecord& record) {
-    const JobState state = current_state(me, record.value);
-    if (state != JobState::Pending) return tell(request, state);
-    write_cancelled(me, record, tries, request);
+void Frontend::try_cancel(ControllerProcess& process, int retries, const UserRequest& request) {
+  LookUpHandlers handlers;
+  handlers.live = [this, retries, request](ControllerProcess& self, const LiveRecord& record) {
+    const JobState state = current_state(self, record.value);
+    if (state != JobState::Pending) return answer_state(request, state);
+    write_cancelled(self, record, retries, request);
   };
-  found.finished = [this, request](ControllerProcess&, const wire::FinishedRecord& record) {
-    tell(request, record.state);
+  handlers.finished = [this, request](ControllerProcess&, const wire::FinishedRecord& record) {
+    answer_state(request, record.state);
   };
   // Users may cancel a job before its submission is acknowledged.
-  found.unknown = [request](ControllerProcess&) { request.answered(false); };
-  found.not_told = [request] { request.answered(false); };
-  look_up(process, request.job, found);
+  handlers.not_found = [request](ControllerProcess&) { request.on_handled(false); };
+  handlers.unavailable = [request] { request.on_handled(false); };
+  look_up(process, request.job, handlers);
 }
 
-void Frontend::write_cancelled(ControllerProcess& process, const LiveRecord& record, int tries,
+void Frontend::write_cancelled(ControllerProcess& process, const LiveRecord& record, int retries,
                                const UserRequest& request) {
   JobRecord cancelled = record.value;
   cancelled.state = JobState::Cancelled;
   const std::string key = keys::kLive + request.job;
-  state_.request(process.controller(), StateChannel::RequestKind::Transaction,
-                 state_.transaction({{key, record.version}}, {StateService::put(key, cancelled)}),
-                 [this, cancelled, tries, request](ControllerProcess& me, const StateReply& reply) {
-                   if (reply.ok()) {
-                     me.wrote_job(cancelled, reply.revision);
-                     return tell(request, JobState::Cancelled);
-                   }
-                   if (reply.outcome == StateOutcome::Failed && tries < kCancelRetries)
-                     return try_cancel(me, tries + 1, request);
-                   request.answered(false);
-                 });
+  store_.request(
+      process.controller(), StoreChannel::RequestKind::Transaction,
+      store_.transaction({{key, record.version}}, {SimulatedStore::put(key, cancelled)}),
+      [this, cancelled, retries, request](ControllerProcess& self, const StoreReply& reply) {
+        if (reply.ok()) {
+          self.on_job_written(cancelled, reply.revision);
+          return answer_state(request, JobState::Cancelled);
+        }
+        if (reply.outcome == StoreOutcome::Failed && retries < kMaxCancelRetries)
+          return try_cancel(self, retries + 1, request);
+        request.on_handled(false);
+      });
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/machine.cpp
+++ b/tests/simulation/machine.cpp
@@ -27,7 +27,7 @@
   return machine.id;
 }
 
-std::vector<std::string> Fleet::up(Seconds now) const {
+std::vector<std::string> Fleet::running(Seconds now) const {
   std::vector<std::string> out;
   for (const auto& [id, machine] : machines_)
     if (machine.up(now)) out.push_back(id);
--- a/tests/simulation/machine.h
+++ b/tests/simulation/machine.h
@@ -13,16 +13,16 @@
 using MachineTask = simulators::WorkerTask;
 
 struct MachineFaults {
-  Fault hung;           ///< the worker makes no progress
-  Fault cut;            ///< partitioned from all controllers
-  Fault deaf;           ///< no message reaches the worker
-  Fault mute;           ///< the worker's heartbeats are lost
-  Fault commands_held;  ///< commands are held up, or their answers are lost
+  Fault hung;            ///< the worker makes no progress
+  Fault partition;       ///< partitioned from all controllers
+  Fault inbound_loss;    ///< no message reaches the worker
+  Fault heartbeat_loss;  ///< the worker's heartbeats are lost
+  Fault command_delay;   ///< commands are held up, or their answers are lost
 };
 
 /// A machine and the worker on it.
 struct SimulatedMachine : simulators::WorkerState {
-  bool quarantined = false;  ///< all tasks started on it fail
+  bool fails_all_tasks = false;  ///< all tasks started on it fail
   MachineFaults faults;
   Seconds up_at = 0;
 
@@ -47,11 +47,11 @@
   size_t size() const { return machines_.size(); }
   Machines& machines() { return machines_; }
   const Machines& machines() const { return machines_; }
-  std::vector<std::string> up(Seconds now) const;
+  std::vector<std::string> running(Seconds now) const;
 
   /// Calls `visit(machine, key)` for each task present on a machine.
   template <class Visit>
-  void each_present(Visit&& visit) const {
+  void for_each_present_task(Visit&& visit) const {
     for (const auto& [id, machine] : machines_)
       for (const auto& [key, task] : machine.tasks)
         if (task.present()) visit(machine, key);
--- a/tests/simulation/network.cpp
+++ b/tests/simulation/network.cpp
@@ -4,40 +4,40 @@
 
 namespace sumacquay::simulation {
 
-void Network::cut_zone(const std::string& zone, Seconds span) {
-  zone_cuts_[zone].last_until(loop_.now() + span);
+void Network::partition_zone(const std::string& zone, Seconds span) {
+  zone_partitions_[zone].activate_until(loop_.now() + span);
 }
 
-bool Network::zone_cut(const std::string& zone) const {
-  return loop_.now() < cut_until(zone);
+bool Network::zone_partitioned(const std::string& zone) const {
+  return loop_.now() < zone_partition_end(zone);
 }
 
-Seconds Network::state_apart_until(size_t controller) const {
+Seconds Network::store_partition_end(size_t controller) const {
   const ControllerHost& host = controllers_[controller];
-  return std::max(host.faults.no_state.end(), cut_until(host.settings.zone));
+  return std::max(host.faults.store_partition.end(), zone_partition_end(host.settings.zone));
 }
 
-Seconds Network::peers_apart_until(size_t one, size_t other) const {
+Seconds Network::peer_partition_end(size_t one, size_t other) const {
   const ControllerHost& first = controllers_[one];
   const ControllerHost& second = controllers_[other];
-  return std::max({first.faults.no_peers.end(), second.faults.no_peers.end(),
-                   zones_apart_until(first.settings.zone, second.settings.zone)});
+  return std::max({first.faults.peer_partition.end(), second.faults.peer_partition.end(),
+                   zones_partition_end(first.settings.zone, second.settings.zone)});
 }
 
-Seconds Network::machine_apart_until(size_t controller, const SimulatedMachine& machine) const {
+Seconds Network::machine_partition_end(size_t controller, const SimulatedMachine& machine) const {
   const ControllerHost& host = controllers_[controller];
-  return std::max({host.faults.no_machines.end(), machine.faults.cut.end(),
-                   zones_apart_until(host.settings.zone, machine.zone)});
+  return std::max({host.faults.worker_partition.end(), machine.faults.partition.end(),
+                   zones_partition_end(host.settings.zone, machine.zone)});
 }
 
-Seconds Network::zones_apart_until(const std::string& one, const std::string& other) const {
+Seconds Network::zones_partition_end(const std::string& one, const std::string& other) const {
   if (one == other) return kNoFault;
-  return std::max(cut_until(one), cut_until(other));
+  return std::max(zone_partition_end(one), zone_partition_end(other));
 }
 
-Seconds Network::cut_until(const std::string& zone) const {
-  const auto cut = zone_cuts_.find(zone);
-  return cut == zone_cuts_.end() ? kNoFault : cut->second.end();
+Seconds Network::zone_partition_end(const std::string& zone) const {
+  const auto partition = zone_partitions_.find(zone);
+  return partition == zone_partitions_.end() ? kNoFault : partition->second.end();
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/network.h
+++ b/tests/simulation/network.h
@@ -17,22 +17,22 @@
       : loop_(loop), controllers_(controllers) {}
 
   /// Partitions the zone from everything outside of it.
-  void cut_zone(const std::string& zone, Seconds span);
-  void heal() { zone_cuts_.clear(); }
-  bool zone_cut(const std::string& zone) const;
+  void partition_zone(const std::string& zone, Seconds span);
+  void heal() { zone_partitions_.clear(); }
+  bool zone_partitioned(const std::string& zone) const;
 
   // When the partition between two components ends; in the past if there is none.
-  Seconds state_apart_until(size_t controller) const;
-  Seconds peers_apart_until(size_t one, size_t other) const;
-  Seconds machine_apart_until(size_t controller, const SimulatedMachine& machine) const;
+  Seconds store_partition_end(size_t controller) const;
+  Seconds peer_partition_end(size_t one, size_t other) const;
+  Seconds machine_partition_end(size_t controller, const SimulatedMachine& machine) const;
 
  private:
-  Seconds zones_apart_until(const std::string& one, const std::string& other) const;
-  Seconds cut_until(const std::string& zone) const;
+  Seconds zones_partition_end(const std::string& one, const std::string& other) const;
+  Seconds zone_partition_end(const std::string& zone) const;
 
   const EventLoop& loop_;
   const ControllerHosts& controllers_;
-  std::map<std::string, Fault> zone_cuts_;
+  std::map<std::string, Fault> zone_partitions_;
 };
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/observed_job.cpp
+++ b/tests/simulation/observed_job.cpp
@@ -5,29 +5,29 @@
 
 namespace sumacquay::simulation {
 
-std::set<std::string> jobs_before(const ObservedJobs& jobs, const std::string& id) {
-  std::set<std::string> before;
-  std::vector<std::string> open = jobs.at(id).spec.dependencies;
-  while (!open.empty()) {
-    const std::string next = open.back();
-    open.pop_back();
-    if (!before.insert(next).second) continue;
-    const auto& further = jobs.at(next).spec.dependencies;
-    open.insert(open.end(), further.begin(), further.end());
+std::set<std::string> transitive_dependencies(const ObservedJobs& jobs, const std::string& id) {
+  std::set<std::string> found;
+  std::vector<std::string> pending = jobs.at(id).spec.dependencies;
+  while (!pending.empty()) {
+    const std::string next = pending.back();
+    pending.pop_back();
+    if (!found.insert(next).second) continue;
+    const auto& indirect = jobs.at(next).spec.dependencies;
+    pending.insert(pending.end(), indirect.begin(), indirect.end());
   }
-  return before;
+  return found;
 }
 
-bool cancel_asked_of_chain(const ObservedJobs& jobs, const std::string& id) {
-  if (jobs.at(id).cancel_asked) return true;
-  const auto before = jobs_before(jobs, id);
-  return std::any_of(before.begin(), before.end(),
-                     [&](const std::string& other) { return jobs.at(other).cancel_asked; });
+bool cancel_requested_transitively(const ObservedJobs& jobs, const std::string& id) {
+  if (jobs.at(id).cancel_requested) return true;
+  const auto found = transitive_dependencies(jobs, id);
+  return std::any_of(found.begin(), found.end(),
+                     [&](const std::string& other) { return jobs.at(other).cancel_requested; });
 }
 
-std::optional<Seconds> cancelled_before(const ObservedJobs& jobs, const std::string& id) {
+std::optional<Seconds> dependency_cancelled_at(const ObservedJobs& jobs, const std::string& id) {
   std::optional<Seconds> first;
-  for (const auto& other : jobs_before(jobs, id)) {
+  for (const auto& other : transitive_dependencies(jobs, id)) {
     const auto& at = jobs.at(other).cancelled_at;
     if (at) first = std::min(first.value_or(*at), *at);
   }
--- a/tests/simulation/pipelines.cpp
+++ b/tests/simulation/pipelines.cpp
@@ -7,13 +7,13 @@
 namespace sumacquay::simulation {
 
 namespace {
-constexpr size_t kMostWidth = 3;
-constexpr uint64_t kMostStageTasks = 2;
-constexpr double kLastWaitsShare = 0.3;
-constexpr double kCancelledShare = 0.5;
-constexpr Seconds kLatestCancellation = 30;
+constexpr size_t kMaxWidth = 3;
+constexpr uint64_t kMaxStageTasks = 2;
+constexpr double kLastStageWaitsProbability = 0.3;
+constexpr double kCancellationProbability = 0.5;
+constexpr Seconds kMaxCancellationDelay = 30;
 /// Probability that a stage of a pipeline is queried in a step.
-constexpr double kQuestionsPerStep = 0.005;
+constexpr double kQueryProbability = 0.005;
 }  // namespace
 
 PipelineShape chain(size_t length) {
@@ -48,14 +48,14 @@
   return pipelines_.size() - 1;
 }
 
-size_t Pipelines::begin_any() {
-  return begin(any_plan());
+size_t Pipelines::begin_random() {
+  return begin(random_plan());
 }
 
-PipelinePlan Pipelines::any_plan() {
+PipelinePlan Pipelines::random_plan() {
   Random& random = env_.random;
   PipelinePlan plan;
-  const size_t width = 1 + random.below(kMostWidth);
+  const size_t width = 1 + random.below(kMaxWidth);
   switch (random.below(3)) {
     case 0:
       plan.shape = chain(width + 1);
@@ -66,22 +66,22 @@
     default:
       plan.shape = fan(width);
   }
-  plan.last_when_others_are_over = random.chance(kLastWaitsShare);
-  if (!random.chance(kCancelledShare)) return plan;
+  plan.last_when_others_are_over = random.chance(kLastStageWaitsProbability);
+  if (!random.chance(kCancellationProbability)) return plan;
   StageCancellation cancellation;
   cancellation.stage = random.below(plan.shape.size() - 1);
   if (random.chance(0.5)) cancellation.when = StageCancellation::When::AsItsLastTaskEnds;
-  cancellation.after_acceptance = random.between(0, kLatestCancellation);
+  cancellation.after_acceptance = random.between(0, kMaxCancellationDelay);
   cancellation.through_two_controllers = random.chance(0.5);
   plan.cancellation = cancellation;
   return plan;
 }
 
-JobSpec Pipelines::any_stage_spec() {
+JobSpec Pipelines::random_stage_spec() {
   JobSpec spec = users_.any_spec();
   if (spec.kind == JobKind::Service) spec.kind = JobKind::Array;
   spec.spread = false;
-  spec.tasks = 1 + static_cast<uint32_t>(env_.random.below(kMostStageTasks));
+  spec.tasks = 1 + static_cast<uint32_t>(env_.random.below(kMaxStageTasks));
   return spec;
 }
 
@@ -96,26 +96,26 @@
     Stage& state = pipeline.stages[stage];
     const ObservedJob* job = observed(state);
     if (job && job->accepted && !state.accepted_at) state.accepted_at = env_.now();
-    if (!state.job && due(pipeline, stage)) submit(pipeline, stage);
+    if (!state.job && submission_due(pipeline, stage)) submit(pipeline, stage);
   }
   cancel_if_due(pipeline);
-  ask_after_cancellation(pipeline);
-  ask_now_and_then(pipeline);
+  query_after_cancellation(pipeline);
+  query_at_random(pipeline);
 }
 
-bool Pipelines::due(const Pipeline& pipeline, size_t stage) const {
+bool Pipelines::submission_due(const Pipeline& pipeline, size_t stage) const {
   const auto& stages = pipeline.stages;
   const bool last = stage + 1 == stages.size();
   if (last && pipeline.plan.last_when_others_are_over)
     return std::all_of(stages.begin(), stages.end() - 1,
-                       [this](const Stage& other) { return over(other); });
+                       [this](const Stage& other) { return has_ended(other); });
   const auto& dependencies = pipeline.plan.shape[stage];
   return std::all_of(dependencies.begin(), dependencies.end(),
                      [&](size_t other) { return stages[other].accepted_at.has_value(); });
 }
 
 void Pipelines::submit(Pipeline& pipeline, size_t stage) {
-  JobSpec spec = pipeline.plan.stage_spec ? pipeline.plan.stage_spec() : any_stage_spec();
+  JobSpec spec = pipeline.plan.stage_spec ? pipeline.plan.stage_spec() : random_stage_spec();
   for (const size_t other : pipeline.plan.shape[stage])
     spec.dependencies.push_back(*pipeline.stages[other].job);
   pipeline.stages[stage].job = users_.submit(spec);
@@ -142,21 +142,21 @@
   return env_.now() >= *stage.accepted_at + cancellation.after_acceptance;
 }
 
-void Pipelines::ask_after_cancellation(Pipeline& pipeline) {
-  if (!pipeline.cancelled || pipeline.asked_after_cancellation) return;
+void Pipelines::query_after_cancellation(Pipeline& pipeline) {
+  if (!pipeline.cancelled || pipeline.queried_after_cancellation) return;
   if (!observed(pipeline.stages[pipeline.plan.cancellation->stage])->cancelled_at) return;
-  pipeline.asked_after_cancellation = true;
+  pipeline.queried_after_cancellation = true;
   for (const auto& stage : pipeline.stages) {
-    if (!stage.accepted_at || !cancelled_before(env_.jobs, *stage.job)) continue;
+    if (!stage.accepted_at || !dependency_cancelled_at(env_.jobs, *stage.job)) continue;
     for (size_t controller = 0; controller < env_.controllers.size(); ++controller)
-      users_.ask_state(*stage.job, controller);
+      users_.query_state(*stage.job, controller);
   }
 }
 
-void Pipelines::ask_now_and_then(const Pipeline& pipeline) {
-  if (!env_.random.chance(kQuestionsPerStep)) return;
+void Pipelines::query_at_random(const Pipeline& pipeline) {
+  if (!env_.random.chance(kQueryProbability)) return;
   const Stage& stage = pipeline.stages[env_.random.below(pipeline.stages.size())];
-  if (stage.accepted_at) users_.ask_state(*stage.job);
+  if (stage.accepted_at) users_.query_state(*stage.job);
 }
 
 // ---------------------------------------------------------------- outcomes
@@ -165,10 +165,10 @@
   return stage.job ? &env_.jobs.at(*stage.job) : nullptr;
 }
 
-bool Pipelines::over(const Stage& stage) const {
+bool Pipelines::has_ended(const Stage& stage) const {
   const ObservedJob* job = observed(stage);
   if (!job || !stage.accepted_at) return false;
-  return job->complete() || job->cancelled_at || cancelled_before(env_.jobs, *stage.job);
+  return job->complete() || job->cancelled_at || dependency_cancelled_at(env_.jobs, *stage.job);
 }
 
 std::optional<std::string> Pipelines::job(size_t pipeline, size_t stage) const {
@@ -191,8 +191,8 @@
 }
 
 size_t Pipelines::cancelled_in_the_middle() const {
-  const auto inherits = [this](const Stage& stage) {
-    return stage.job && cancelled_before(env_.jobs, *stage.job).has_value();
+  const auto cancelled_through_dependency = [this](const Stage& stage) {
+    return stage.job && dependency_cancelled_at(env_.jobs, *stage.job).has_value();
   };
   const auto is_done = [this](const Stage& stage) {
     const ObservedJob* job = observed(stage);
@@ -201,7 +201,7 @@
   return static_cast<size_t>(
       std::count_if(pipelines_.begin(), pipelines_.end(), [&](const Pipeline& pipeline) {
         const auto& stages = pipeline.stages;
-        return std::any_of(stages.begin(), stages.end(), inherits) &&
+        return std::any_of(stages.begin(), stages.end(), cancelled_through_dependency) &&
                std::any_of(stages.begin(), stages.end(), is_done);
       }));
 }
--- a/tests/simulation/pipelines.h
+++ b/tests/simulation/pipelines.h
@@ -47,7 +47,7 @@
   /// Returns the pipeline's index.
   size_t begin(PipelinePlan plan);
   /// Begins a pipeline with a random plan.
-  size_t begin_any();
+  size_t begin_random();
   /// Called at each step of the simulation: sends the submissions, cancellations and queries due.
   void step();
 
@@ -73,20 +73,20 @@
     PipelinePlan plan;
     std::vector<Stage> stages;
     bool cancelled = false;  ///< the planned cancellation has been requested
-    bool asked_after_cancellation = false;
+    bool queried_after_cancellation = false;
   };
 
-  PipelinePlan any_plan();
-  JobSpec any_stage_spec();
+  PipelinePlan random_plan();
+  JobSpec random_stage_spec();
   void step(Pipeline& pipeline);
-  bool due(const Pipeline& pipeline, size_t stage) const;
+  bool submission_due(const Pipeline& pipeline, size_t stage) const;
   void submit(Pipeline& pipeline, size_t stage);
   void cancel_if_due(Pipeline& pipeline);
   bool cancellation_due(const Pipeline& pipeline) const;
-  void ask_after_cancellation(Pipeline& pipeline);
-  void ask_now_and_then(const Pipeline& pipeline);
+  void query_after_cancellation(Pipeline& pipeline);
+  void query_at_random(const Pipeline& pipeline);
   const ObservedJob* observed(const Stage& stage) const;
-  bool over(const Stage& stage) const;
+  bool has_ended(const Stage& stage) const;
 
   Environment& env_;
   Users& users_;
--- a/tests/simulation/random.h
+++ b/tests/simulation/random.h
@@ -10,7 +10,7 @@
   explicit Random(uint64_t seed) : engine_(seed) {}
 
   bool chance(double probability);
-  double between(double least, double most);
+  double between(double min, double max);
   /// A number below `count`.
   uint64_t below(uint64_t count);
 
--- a/tests/simulation/random_faults.cpp
+++ b/tests/simulation/random_faults.cpp
@@ -4,21 +4,22 @@
 
 namespace {
 /// A machine is added while the fleet is smaller than this.
-constexpr size_t kFewestMachines = 3;
-constexpr Seconds kReplacementBoots = 1;
+constexpr size_t kMinMachines = 3;
+constexpr Seconds kReplacementBootTime = 1;
 /// Bit mask of the connections to cut: to the key-value store, peers and workers.
-constexpr uint64_t kStateWay = 1, kPeersWay = 2, kWorkersWay = 4, kAllWays = 7;
+constexpr uint64_t kStoreConnection = 1, kPeerConnections = 2, kWorkerConnections = 4,
+                   kAllConnections = 7;
 }  // namespace
 
 // The order of the random draws is fixed: changing it changes the history of every seed.
 
 void RandomFaults::step() {
-  disturb_controller(pick_controller());
-  disturb_state_service();
-  disturb_network_and_cloud();
+  inject_controller_faults(pick_controller());
+  inject_store_faults();
+  inject_network_and_cloud_faults();
   if (env_.fleet.size() == 0) return;
-  disturb_machine();
-  if (env_.fleet.size() < kFewestMachines) cloud_.add_machine(env_.now() + kReplacementBoots);
+  inject_machine_faults();
+  if (env_.fleet.size() < kMinMachines) cloud_.add_machine(env_.now() + kReplacementBootTime);
 }
 
 size_t RandomFaults::pick_controller() {
@@ -27,38 +28,38 @@
   return env_.random.below(env_.controllers.size());
 }
 
-void RandomFaults::disturb_controller(size_t controller) {
+void RandomFaults::inject_controller_faults(size_t controller) {
   if (chance(0.0015)) faults_.end_process(controller, between(0.1, 6));
   if (chance(0.001)) faults_.stand_still(controller, between(1, 20));
   if (chance(0.001)) faults_.refuse(controller, between(1, 30));
-  if (chance(0.001)) cut_some_ways(controller);
-  if (chance(0.0002)) end_all_controllers();
+  if (chance(0.001)) partition_controller(controller);
+  if (chance(0.0002)) restart_all_controllers();
 }
 
-void RandomFaults::cut_some_ways(size_t controller) {
-  const uint64_t ways = 1 + env_.random.below(kAllWays);
+void RandomFaults::partition_controller(size_t controller) {
+  const uint64_t connections = 1 + env_.random.below(kAllConnections);
   const Seconds span = between(1, 30);
-  if (ways & kStateWay) faults_.cut_from_state(controller, span);
-  if (ways & kPeersWay) faults_.cut_from_peers(controller, span);
-  if (ways & kWorkersWay) faults_.cut_from_workers(controller, span);
+  if (connections & kStoreConnection) faults_.cut_from_state(controller, span);
+  if (connections & kPeerConnections) faults_.cut_from_peers(controller, span);
+  if (connections & kWorkerConnections) faults_.cut_from_workers(controller, span);
 }
 
-void RandomFaults::end_all_controllers() {
+void RandomFaults::restart_all_controllers() {
   for (size_t controller = 0; controller < env_.controllers.size(); ++controller) {
-    const Seconds back_in = between(0.2, 1);
+    const Seconds restart_delay = between(0.2, 1);
     const double factor = chance(0.3) ? 20 : 1;
-    faults_.end_process(controller, back_in * factor);
+    faults_.end_process(controller, restart_delay * factor);
   }
 }
 
-void RandomFaults::disturb_state_service() {
+void RandomFaults::inject_store_faults() {
   if (chance(0.0004)) faults_.outage(between(1, 40));
   if (chance(0.0006)) faults_.slow(between(2, 20));
   if (chance(0.0006)) faults_.late_writes(0.3, between(2, 20));
   if (chance(0.0006)) faults_.lost_answers(0.3, between(2, 20));
 }
 
-void RandomFaults::disturb_network_and_cloud() {
+void RandomFaults::inject_network_and_cloud_faults() {
   if (chance(0.0006)) {
     const auto delivery = chance(0.5) ? CopyDelivery::ToNextLeaderOnce : CopyDelivery::Later;
     faults_.late_heartbeats(0.3, between(2, 20), delivery);
@@ -70,8 +71,8 @@
   if (chance(0.001)) faults_.late_releases(between(5, 60));
 }
 
-void RandomFaults::disturb_machine() {
-  const auto machines = env_.fleet.up(env_.now());
+void RandomFaults::inject_machine_faults() {
+  const auto machines = env_.fleet.running(env_.now());
   if (machines.empty()) return;
   const std::string& machine = machines[env_.random.below(machines.size())];
   if (chance(0.004)) faults_.hang(machine, between(1, 25));
--- a/tests/simulation/random_faults.h
+++ b/tests/simulation/random_faults.h
@@ -18,16 +18,16 @@
 
  private:
   bool chance(double probability) { return env_.random.chance(probability); }
-  Seconds between(Seconds least, Seconds most) { return env_.random.between(least, most); }
+  Seconds between(Seconds min, Seconds max) { return env_.random.between(min, max); }
 
   /// Picks the leader with a high probability, otherwise any controller.
   size_t pick_controller();
-  void disturb_controller(size_t controller);
-  void cut_some_ways(size_t controller);
-  void end_all_controllers();
-  void disturb_state_service();
-  void disturb_network_and_cloud();
-  void disturb_machine();
+  void inject_controller_faults(size_t controller);
+  void partition_controller(size_t controller);
+  void restart_all_controllers();
+  void inject_store_faults();
+  void inject_network_and_cloud_faults();
+  void inject_machine_faults();
 
   Environment& env_;
   Faults& faults_;
--- a/tests/simulation/simulated_record_cache.cpp
+++ b/tests/simulation/simulated_record_cache.cpp
@@ -6,11 +6,10 @@
 
 namespace {
 /// Small enough that jobs are evicted during a run.
-constexpr size_t kFinishedKept = 10;
+constexpr size_t kMaxFinishedJobs = 10;
 }  // namespace
 
-SimulatedRecordCache::Update SimulatedRecordCache::apply(const StateReply& reply,
-                                                         Seconds asked_at) {
+SimulatedRecordCache::Update SimulatedRecordCache::apply(const StoreReply& reply, Seconds sent_at) {
   Update update;
   for (const auto& change : reply.changes) {
     if (change.key.starts_with(keys::kLive))
@@ -25,123 +24,123 @@
       apply_term(change, update);
   }
   revision_ = std::max(revision_, reply.revision);
-  known_at_ = std::max(known_at_, asked_at);
-  update.first = !loaded_;
+  fresh_as_of_ = std::max(fresh_as_of_, sent_at);
+  update.initial_load = !loaded_;
   loaded_ = true;
   return update;
 }
 
-void SimulatedRecordCache::apply_live(const StateService::Change& change, Update& update) {
+void SimulatedRecordCache::apply_live(const SimulatedStore::Change& change, Update& update) {
   const std::string id = change.key.substr(keys::kLive.size());
-  const auto known = live_.find(id);
-  if (known != live_.end() && known->second.version >= change.version) return;
-  if (change.deletes() || finished_.contains(id)) {
-    live_.erase(id);
+  const auto cached = live_jobs_.find(id);
+  if (cached != live_jobs_.end() && cached->second.version >= change.version) return;
+  if (change.deletes() || finished_jobs_.contains(id)) {
+    live_jobs_.erase(id);
     dependencies_.forget(id);
   } else {
     const auto& record = std::get<JobRecord>(*change.value);
     track_dependencies(record);
-    live_[id] = {record, change.version};
+    live_jobs_[id] = {record, change.version};
   }
   update.jobs.push_back(id);
 }
 
-void SimulatedRecordCache::apply_finished(const StateService::Change& change, Update& update) {
+void SimulatedRecordCache::apply_finished(const SimulatedStore::Change& change, Update& update) {
   if (change.deletes() || !loaded_) return;
   const std::string id = change.key.substr(keys::kFinished.size());
   cache_finished(id, std::get<wire::FinishedRecord>(*change.value));
   update.jobs.push_back(id);
 }
 
-void SimulatedRecordCache::apply_host(const StateService::Change& change) {
+void SimulatedRecordCache::apply_host(const SimulatedStore::Change& change) {
   const std::string id = change.key.substr(keys::kHost.size());
-  const auto known = hosts_.find(id);
-  if (known != hosts_.end() && known->second.version >= change.version) return;
-  const auto deleted = host_deleted_.find(id);
-  if (deleted != host_deleted_.end() && deleted->second >= change.version) return;
+  const auto cached = hosts_.find(id);
+  if (cached != hosts_.end() && cached->second.version >= change.version) return;
+  const auto deleted = host_deletion_versions_.find(id);
+  if (deleted != host_deletion_versions_.end() && deleted->second >= change.version) return;
   if (change.deletes())
     hosts_.erase(id);
   else
     hosts_[id] = {std::get<HostRecord>(*change.value), change.version};
 }
 
-void SimulatedRecordCache::apply_leader(const StateService::Change& change, Update& update) {
-  if (change.version <= leader_seen_) return;
-  leader_seen_ = change.version;
+void SimulatedRecordCache::apply_leader(const SimulatedStore::Change& change, Update& update) {
+  if (change.version <= leader_version_) return;
+  leader_version_ = change.version;
   leader_ = {};
   if (!change.deletes()) leader_ = {std::get<wire::LeaderRecord>(*change.value), change.version};
   update.leader_changed = true;
 }
 
-void SimulatedRecordCache::apply_term(const StateService::Change& change, Update& update) {
+void SimulatedRecordCache::apply_term(const SimulatedStore::Change& change, Update& update) {
   if (change.deletes() || change.version <= term_.version) return;
   term_ = {std::get<wire::LeaderRecord>(*change.value), change.version};
   update.leader_changed = true;
 }
 
-void SimulatedRecordCache::won_election(const wire::LeaderRecord& record, uint64_t revision) {
-  leader_seen_ = std::max(leader_seen_, revision);
+void SimulatedRecordCache::on_election_won(const wire::LeaderRecord& record, uint64_t revision) {
+  leader_version_ = std::max(leader_version_, revision);
   leader_ = term_ = {record, revision};
 }
 
-bool SimulatedRecordCache::wrote_job(const JobRecord& record, uint64_t version) {
-  if (finished_.contains(record.spec.id)) return false;
-  auto& known = live_[record.spec.id];
-  if (known.version >= version) return false;
-  known = {record, version};
+bool SimulatedRecordCache::on_job_written(const JobRecord& record, uint64_t version) {
+  if (finished_jobs_.contains(record.spec.id)) return false;
+  auto& cached = live_jobs_[record.spec.id];
+  if (cached.version >= version) return false;
+  cached = {record, version};
   track_dependencies(record);
   return true;
 }
 
-void SimulatedRecordCache::wrote_finished(const std::string& id,
-                                          const wire::FinishedRecord& record) {
+void SimulatedRecordCache::on_finished_written(const std::string& id,
+                                               const wire::FinishedRecord& record) {
   cache_finished(id, record);
 }
 
 void SimulatedRecordCache::cache_finished(const std::string& id,
                                           const wire::FinishedRecord& record) {
-  live_.erase(id);
+  live_jobs_.erase(id);
   dependencies_.finished(id, record.state, record.ended_ms);
   dependencies_.forget(id);
-  if (!finished_.emplace(id, record).second) return;
+  if (!finished_jobs_.emplace(id, record).second) return;
   finished_order_.push_back(id);
-  if (finished_order_.size() <= kFinishedKept) return;
-  finished_.erase(finished_order_.front());
+  if (finished_order_.size() <= kMaxFinishedJobs) return;
+  finished_jobs_.erase(finished_order_.front());
   finished_order_.pop_front();
 }
 
 void SimulatedRecordCache::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
-    const auto known = finished_.find(id);
-    if (known != finished_.end())
-      dependencies_.finished(id, known->second.state, known->second.ended_ms);
-    const auto live = live_.find(id);
-    if (live != live_.end()) dependencies_.update(live->second.value);
+    const auto cached = finished_jobs_.find(id);
+    if (cached != finished_jobs_.end())
+      dependencies_.finished(id, cached->second.state, cached->second.ended_ms);
+    const auto live = live_jobs_.find(id);
+    if (live != live_jobs_.end()) dependencies_.update(live->second.value);
   }
 }
 
-std::optional<wire::FinishedRecord> SimulatedRecordCache::dependency_end(
+std::optional<wire::FinishedRecord> SimulatedRecordCache::dependency_outcome(
     const std::string& id) const {
-  const auto known = finished_.find(id);
-  if (known != finished_.end()) return known->second;
+  const auto cached = finished_jobs_.find(id);
+  if (cached != finished_jobs_.end()) return cached->second;
   return dependencies_.end_of(id);
 }
 
-void SimulatedRecordCache::wrote_host(const std::string& id, const HostRecord& record,
-                                      uint64_t version) {
+void SimulatedRecordCache::on_host_written(const std::string& id, const HostRecord& record,
+                                           uint64_t version) {
   hosts_[id] = {record, version};
 }
 
-void SimulatedRecordCache::deleted_host(const std::string& id, uint64_t version) {
+void SimulatedRecordCache::on_host_deleted(const std::string& id, uint64_t version) {
   hosts_.erase(id);
-  host_deleted_[id] = version;
+  host_deletion_versions_[id] = version;
 }
 
-bool SimulatedRecordCache::ended(const std::string& id) const {
-  const auto live = live_.find(id);
-  if (live != live_.end()) return live->second.value.state != JobState::Pending;
-  return finished_.contains(id);
+bool SimulatedRecordCache::is_terminal(const std::string& id) const {
+  const auto live = live_jobs_.find(id);
+  if (live != live_jobs_.end()) return live->second.value.state != JobState::Pending;
+  return finished_jobs_.contains(id);
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/state_service.h
+++ b/tests/simulation/simulated_store.h
@@ -7,9 +7,9 @@
 
 namespace sumacquay::simulation {
 
-/// A record in the simulated key-value store. StateChannel injects the faults between the store and
+/// A record in the simulated key-value store. StoreChannel injects the faults between the store and
 /// the controllers.
 using RecordValue = std::variant<JobRecord, wire::FinishedRecord, HostRecord, wire::LeaderRecord>;
-using StateService = simulators::KeyValueStore<RecordValue>;
+using SimulatedStore = simulators::KeyValueStore<RecordValue>;
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -7,33 +7,33 @@
 namespace sumacquay::simulation {
 
 namespace {
-constexpr Seconds kStep = 0.05;
+constexpr Seconds kStepDuration = 0.05;
 /// Fraction of the time with faults in which jobs are submitted, and the probabilities of a
 /// submission per step.
-constexpr double kSubmittingShare = 0.7;
-constexpr double kSubmissionsPerStep = 0.02;
-constexpr double kPipelinesPerStep = 0.002;
+constexpr double kSubmissionPhaseFraction = 0.7;
+constexpr double kSubmissionProbability = 0.02;
+constexpr double kPipelineProbability = 0.002;
 }  // namespace
 
 Simulation::Simulation(uint64_t seed, SimulationOptions options)
     : env_(seed, std::move(options)),
-      state_(env_),
+      store_(env_),
       workers_(env_),
       commands_(env_, workers_),
       cloud_(env_),
-      controllers_(env_, {state_, commands_, cloud_, workers_}),
-      frontend_(env_, state_),
+      controllers_(env_, {store_, commands_, cloud_, workers_}),
+      frontend_(env_, store_),
       users_(env_, frontend_),
       pipelines_(env_, users_),
-      faults_(env_, controllers_, state_, cloud_, workers_),
+      faults_(env_, controllers_, store_, cloud_, workers_),
       random_faults_(env_, faults_, controllers_, cloud_) {
   for (int i = 0; i < env_.options.machines; ++i) cloud_.add_machine(now());
   controllers_.start_all();
 }
 
 void Simulation::step() {
-  env_.loop.advance(kStep);
-  state_.step();
+  env_.loop.advance(kStepDuration);
+  store_.step();
   env_.loop.run_due();
   controllers_.step();
   workers_.step();
@@ -41,16 +41,16 @@
   env_.checker.check();
 }
 
-void Simulation::run(Seconds with_faults, Seconds quiet) {
-  while (now() < with_faults) {
+void Simulation::run(Seconds faults_until, Seconds quiet) {
+  while (now() < faults_until) {
     random_faults_.step();
-    const bool submitting = now() < with_faults * kSubmittingShare;
-    if (submitting && chance(kSubmissionsPerStep)) users_.submit_any();
-    if (submitting && chance(kPipelinesPerStep)) pipelines_.begin_any();
+    const bool submitting = now() < faults_until * kSubmissionPhaseFraction;
+    if (submitting && chance(kSubmissionProbability)) users_.submit_any();
+    if (submitting && chance(kPipelineProbability)) pipelines_.begin_random();
     step();
   }
   end_faults();
-  while (now() < with_faults + quiet) step();
+  while (now() < faults_until + quiet) step();
 }
 
 void Simulation::run_for(Seconds span) {
@@ -58,8 +58,8 @@
   while (now() < end) step();
 }
 
-bool Simulation::run_until(const std::function<bool()>& reached, Seconds most) {
-  const Seconds end = now() + most;
+bool Simulation::run_until(const std::function<bool()>& reached, Seconds timeout) {
+  const Seconds end = now() + timeout;
   while (now() < end && !reached()) step();
   return reached();
 }
@@ -76,7 +76,7 @@
 }
 
 void Simulation::end_faults() {
-  env_.checker.faults_ended();
+  env_.checker.on_faults_ended();
   faults_.end_all();
 }
 
@@ -88,8 +88,8 @@
   return static_cast<size_t>(
       std::count_if(env_.jobs.begin(), env_.jobs.end(), [this](const auto& item) {
         const ObservedJob& job = item.second;
-        return job.accepted && !job.cancel_asked && !job.complete() &&
-               !cancelled_before(env_.jobs, item.first);
+        return job.accepted && !job.cancel_requested && !job.complete() &&
+               !dependency_cancelled_at(env_.jobs, item.first);
       }));
 }
 
@@ -97,8 +97,8 @@
   return static_cast<size_t>(
       std::count_if(env_.jobs.begin(), env_.jobs.end(), [this](const auto& item) {
         const auto& [id, job] = item;
-        const bool cancelled = job.cancelled_at || cancelled_before(env_.jobs, id);
-        return job.accepted && cancelled && job.recorded != JobState::Cancelled;
+        const bool cancelled = job.cancelled_at || dependency_cancelled_at(env_.jobs, id);
+        return job.accepted && cancelled && job.recorded_state != JobState::Cancelled;
       }));
 }
 
@@ -107,12 +107,12 @@
 }
 
 std::optional<Seconds> Simulation::began_at(const std::string& job) const {
-  return env_.jobs.at(job).began_at;
+  return env_.jobs.at(job).started_at;
 }
 
 size_t Simulation::tasks_waiting(const std::string& job) const {
-  std::set<uint32_t> started = env_.jobs.at(job).done;
-  env_.fleet.each_present([&](const SimulatedMachine&, const TaskKey& key) {
+  std::set<uint32_t> started = env_.jobs.at(job).done_tasks;
+  env_.fleet.for_each_present_task([&](const SimulatedMachine&, const TaskKey& key) {
     if (key.job == job) started.insert(key.task);
   });
   return env_.jobs.at(job).spec.tasks - started.size();
@@ -120,15 +120,15 @@
 
 std::vector<std::string> Simulation::jobs_running() const {
   std::set<std::string> running;
-  env_.fleet.each_present([&](const SimulatedMachine&, const TaskKey& key) {
-    if (!env_.jobs.at(key.job).cancel_asked) running.insert(key.job);
+  env_.fleet.for_each_present_task([&](const SimulatedMachine&, const TaskKey& key) {
+    if (!env_.jobs.at(key.job).cancel_requested) running.insert(key.job);
   });
   return {running.begin(), running.end()};
 }
 
 std::vector<std::string> Simulation::machines_of(const std::string& job) const {
   std::vector<std::string> out;
-  env_.fleet.each_present([&](const SimulatedMachine& machine, const TaskKey& key) {
+  env_.fleet.for_each_present_task([&](const SimulatedMachine& machine, const TaskKey& key) {
     if (key.job == job && (out.empty() || out.back() != machine.id)) out.push_back(machine.id);
   });
   return out;
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -12,7 +12,7 @@
 #include "simulation/frontend.h"
 #include "simulation/pipelines.h"
 #include "simulation/random_faults.h"
-#include "simulation/state_channel.h"
+#include "simulation/store_channel.h"
 #include "simulation/users.h"
 #include "simulation/workers.h"
 
@@ -26,12 +26,12 @@
 
   // Time.
   Seconds now() const { return env_.now(); }
-  /// Runs with random faults and jobs until the time `with_faults`, then without faults for
+  /// Runs with random faults and jobs until the time `faults_until`, then without faults for
   /// `quiet`, in which all work has to finish.
-  void run(Seconds with_faults, Seconds quiet);
+  void run(Seconds faults_until, Seconds quiet);
   void run_for(Seconds span);
-  /// Returns whether `reached()` became true within `most`.
-  bool run_until(const std::function<bool()>& reached, Seconds most);
+  /// Returns whether `reached()` became true within `timeout`.
+  bool run_until(const std::function<bool()>& reached, Seconds timeout);
   void at(Seconds delay, std::function<void()> event);
   /// Ends all faults, cancels the services, and runs for `quiet` so that all work can finish.
   void finish(Seconds quiet = 250);
@@ -46,7 +46,7 @@
   Pipelines& pipelines() { return pipelines_; }
   Faults& faults() { return faults_; }
   const Checker& checker() const { return env_.checker; }
-  const StateChannel& state() const { return state_; }
+  const StoreChannel& state() const { return store_; }
   const CommandChannel& worker_commands() const { return commands_; }
   const Workers& workers() const { return workers_; }
 
@@ -72,7 +72,7 @@
   size_t tasks_waiting(const std::string& job) const;
   /// Jobs with a task on a machine, except those that a user has requested to cancel.
   std::vector<std::string> jobs_running() const;
-  std::vector<std::string> machines() const { return env_.fleet.up(now()); }
+  std::vector<std::string> machines() const { return env_.fleet.running(now()); }
   /// Machines with a task of the job.
   std::vector<std::string> machines_of(const std::string& job) const;
   const std::string& zone_of(const std::string& machine) const;
@@ -82,7 +82,7 @@
   void end_faults();
 
   Environment env_;
-  StateChannel state_;
+  StoreChannel store_;
   Workers workers_;
   CommandChannel commands_;
   Cloud cloud_;
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -8,7 +8,7 @@
 namespace sumacquay::simulation {
 
 namespace {
-constexpr Seconds kRetryLeast = 1, kRetryMost = 1.2;
+constexpr Seconds kMinRetryDelay = 1, kMaxRetryDelay = 1.2;
 }  // namespace
 
 JobSpec Users::any_spec() {
@@ -34,11 +34,11 @@
   env_.jobs[id].spec = spec;
   Request request;
   request.job = id;
-  request.serve = [this](ControllerProcess& process, const UserRequest& asked) {
-    frontend_.accept(process, asked);
+  request.serve = [this](ControllerProcess& process, const UserRequest& user_request) {
+    frontend_.accept(process, user_request);
   };
   request.settled = [this, id] { return env_.jobs.at(id).accepted; };
-  ask(std::nullopt, request);
+  send(std::nullopt, request);
   return id;
 }
 
@@ -51,66 +51,66 @@
 }
 
 void Users::cancel(const std::string& id, std::optional<size_t> first) {
-  env_.jobs.at(id).cancel_asked = true;
+  env_.jobs.at(id).cancel_requested = true;
   Request request;
   request.job = id;
-  request.serve = [this](ControllerProcess& process, const UserRequest& asked) {
-    frontend_.cancel(process, asked);
+  request.serve = [this](ControllerProcess& process, const UserRequest& user_request) {
+    frontend_.cancel(process, user_request);
   };
   request.settled = [this, id] {
     const ObservedJob& job = env_.jobs.at(id);
-    return job.cancelled_at || job.told_done;
+    return job.cancelled_at || job.reported_done;
   };
-  ask(first, request);
+  send(first, request);
 }
 
-void Users::ask_state(const std::string& id, std::optional<size_t> first) {
-  auto told = std::make_shared<bool>(false);
+void Users::query_state(const std::string& id, std::optional<size_t> first) {
+  auto answered = std::make_shared<bool>(false);
   Request request;
   request.job = id;
-  request.serve = [this, told](ControllerProcess& process, const UserRequest& asked) {
-    UserRequest noted = asked;
-    noted.answered = [told, answered = asked.answered](bool yes) {
-      *told = *told || yes;
-      answered(yes);
+  request.serve = [this, answered](ControllerProcess& process, const UserRequest& user_request) {
+    UserRequest tracked = user_request;
+    tracked.on_handled = [answered, on_handled = user_request.on_handled](bool has_answer) {
+      *answered = *answered || has_answer;
+      on_handled(has_answer);
     };
-    frontend_.query(process, noted);
+    frontend_.query(process, tracked);
   };
-  request.settled = [told] { return *told; };
-  ask(first, request);
+  request.settled = [answered] { return *answered; };
+  send(first, request);
 }
 
 std::optional<size_t> Users::reachable(std::optional<size_t> first) {
   const size_t count = env_.controllers.size();
-  const size_t begin = first ? *first : env_.random.below(count);
+  const size_t start = first ? *first : env_.random.below(count);
   for (size_t i = 0; i < count; ++i) {
-    const size_t controller = (begin + i) % count;
+    const size_t controller = (start + i) % count;
     const ControllerHost& host = env_.controllers[controller];
-    if (host.process && !env_.network.zone_cut(host.settings.zone)) return controller;
+    if (host.process && !env_.network.zone_partitioned(host.settings.zone)) return controller;
   }
   return std::nullopt;
 }
 
-void Users::ask(std::optional<size_t> first, const Request& request) {
-  const auto asked = reachable(first);
+void Users::send(std::optional<size_t> first, const Request& request) {
+  const auto controller = reachable(first);
   std::optional<size_t> next;
-  if (asked) next = (*asked + 1) % env_.controllers.size();
+  if (controller) next = (*controller + 1) % env_.controllers.size();
   auto retrying = std::make_shared<bool>(false);
   const auto retry = [this, request, retrying, next] {
     if (*retrying || request.settled()) return;
     *retrying = true;
-    env_.loop.schedule(env_.random.between(kRetryLeast, kRetryMost), [this, request, next] {
-      if (!request.settled()) ask(next, request);
+    env_.loop.schedule(env_.random.between(kMinRetryDelay, kMaxRetryDelay), [this, request, next] {
+      if (!request.settled()) send(next, request);
     });
   };
-  if (!asked) return retry();
+  if (!controller) return retry();
   const UserRequest sent{request.job, env_.now(), [retry](bool answered) {
                            if (!answered) retry();
                          }};
   env_.controllers.schedule_at(
-      *asked, env_.random.between(0.001, 0.02),
+      *controller, env_.random.between(0.001, 0.02),
       [request, sent](ControllerProcess& process) { request.serve(process, sent); });
-  env_.loop.schedule(kUserPatience, retry);
+  env_.loop.schedule(kUserTimeout, retry);
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/users.h
+++ b/tests/simulation/users.h
@@ -22,7 +22,7 @@
   /// `first`: the controller to try first; none: a random one.
   void cancel(const std::string& id, std::optional<size_t> first = std::nullopt);
   /// Queries the state of an accepted job until a controller answers.
-  void ask_state(const std::string& id, std::optional<size_t> first = std::nullopt);
+  void query_state(const std::string& id, std::optional<size_t> first = std::nullopt);
 
  private:
   struct Request {
@@ -33,7 +33,7 @@
   /// The next controller that users can reach, beginning with `first` or a random one.
   std::optional<size_t> reachable(std::optional<size_t> first);
   /// Sends the request to a controller, and to the next one if it does not answer.
-  void ask(std::optional<size_t> first, const Request& request);
+  void send(std::optional<size_t> first, const Request& request);
 
   Environment& env_;
   Frontend& frontend_;
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -11,9 +11,9 @@
 /// Delay before a worker sends a heartbeat to the next controller after one did not reply.
 constexpr Seconds kNextControllerDelay = 1;
 /// Maximum delay of the next heartbeat after a reply with a new fencing token or a redirect.
-constexpr Seconds kPromptHeartbeat = 0.5;
-constexpr double kCopiedByChance = 0.01;
-constexpr double kReplyLost = 0.01;
+constexpr Seconds kMaxPromptHeartbeatDelay = 0.5;
+constexpr double kDuplicationProbability = 0.01;
+constexpr double kReplyLossProbability = 0.01;
 }  // namespace
 
 void Workers::step() {
@@ -28,7 +28,7 @@
   if (machine.faults.hung.active(now)) return;
   for (auto& [key, task] : machine.tasks) run_task(machine, key, task);
   if (machine.heartbeat_sent && now - *machine.heartbeat_sent > kHeartbeatTimeout)
-    turn_to_next(machine);
+    switch_to_next_controller(machine);
   if (!machine.heartbeat_sent && now >= machine.next_heartbeat) send_heartbeat(machine);
 }
 
@@ -40,9 +40,9 @@
   if (task.state != TaskState::Fetching) return finish_task(key, task);
   task.state = TaskState::Running;
   ObservedJob& job = env_.jobs.at(key.job);
-  if (!job.began_at) job.began_at = now;
+  if (!job.started_at) job.started_at = now;
   task.next_change = now + env_.random.between(env_.options.task_least, env_.options.task_most);
-  if (!machine.quarantined) return;
+  if (!machine.fails_all_tasks) return;
   task.state = TaskState::Exited;
   task.cause = ExitCause::Error;
 }
@@ -52,16 +52,16 @@
   if (job.spec.kind == JobKind::Service) return;
   task.state = TaskState::Exited;
   task.cause = ExitCause::Done;
-  job.done.insert(key.task);
+  job.done_tasks.insert(key.task);
   if (job.spec.kind != JobKind::Gang) return;
-  for (uint32_t member = 0; member < job.spec.tasks; ++member) job.done.insert(member);
+  for (uint32_t member = 0; member < job.spec.tasks; ++member) job.done_tasks.insert(member);
 }
 
 void Workers::execute(SimulatedMachine& machine, const std::vector<Command>& commands,
-                      Seconds ordered_at) {
+                      Seconds command_sent_at) {
   for (const auto& command : commands) {
     if (command.verb == Verb::Start) {
-      start_task(machine, command, ordered_at);
+      start_task(machine, command, command_sent_at);
       continue;
     }
     MachineTask* task = machine.find(command);
@@ -75,12 +75,13 @@
   }
 }
 
-void Workers::start_task(SimulatedMachine& machine, const Command& command, Seconds ordered_at) {
+void Workers::start_task(SimulatedMachine& machine, const Command& command,
+                         Seconds command_sent_at) {
   if (!machine.accepts_start(command)) return;
   const Seconds fetch = env_.random.between(env_.options.fetch_least, env_.options.fetch_most);
   machine.tasks[command.key] = {command.attempt, TaskState::Fetching, ExitCause::None,
                                 env_.now() + fetch};
-  env_.checker.task_started(machine, command.key, ordered_at);
+  env_.checker.on_task_started(machine, command.key, command_sent_at);
 }
 
 // ---------------------------------------------------------------- heartbeats
@@ -91,16 +92,16 @@
   machine.heartbeat_sent = now;
   machine.next_heartbeat = now + random.between(kHeartbeatIntervalMin, kHeartbeatIntervalMax);
   const WorkerHeartbeat heartbeat = machine.heartbeat();
-  maybe_copy(heartbeat);
-  if (machine.faults.mute.active(now)) return;  // the worker cannot connect
-  const Seconds apart_until = env_.network.machine_apart_until(machine.controller, machine);
+  maybe_duplicate(heartbeat);
+  if (machine.faults.heartbeat_loss.active(now)) return;  // the worker cannot connect
+  const Seconds partition_end = env_.network.machine_partition_end(machine.controller, machine);
   Seconds delay = random.between(0.001, 0.05);
-  if (now < apart_until) {
+  if (now < partition_end) {
     if (random.chance(0.7)) return;
-    delay += apart_until - now;  // delivered after the partition
+    delay += partition_end - now;  // delivered after the partition
   }
-  if (slow_.active(now) && random.chance(0.5)) delay += random.between(0.2, 3.5);
-  if (!env_.controllers[machine.controller].process) return turn_to_next(machine);
+  if (heartbeat_delay_.active(now) && random.chance(0.5)) delay += random.between(0.2, 3.5);
+  if (!env_.controllers[machine.controller].process) return switch_to_next_controller(machine);
   env_.controllers.schedule_at(machine.controller, delay,
                                [this, heartbeat, sent_at = now](ControllerProcess& process) {
                                  answer(process, heartbeat, sent_at);
@@ -111,50 +112,50 @@
                      Seconds sent_at) {
   const HeartbeatReply reply = process.answer_worker_heartbeat(heartbeat);
   const SimulatedMachine* machine = env_.fleet.find(heartbeat.machine);
-  if (!machine || env_.random.chance(kReplyLost)) return;
+  if (!machine || env_.random.chance(kReplyLossProbability)) return;
   const size_t controller = process.controller();
-  if (env_.now() < env_.network.machine_apart_until(controller, *machine)) return;
-  const Seconds longest = env_.random.chance(0.03) ? 3.9 : 0.05;
-  env_.loop.schedule(env_.random.between(0.001, longest),
+  if (env_.now() < env_.network.machine_partition_end(controller, *machine)) return;
+  const Seconds max_delay = env_.random.chance(0.03) ? 3.9 : 0.05;
+  env_.loop.schedule(env_.random.between(0.001, max_delay),
                      [this, delivery = ReplyDelivery{controller, heartbeat, reply, sent_at,
-                                                     env_.now()}] { hear_reply(delivery); });
+                                                     env_.now()}] { receive_reply(delivery); });
 }
 
-void Workers::hear_reply(const ReplyDelivery& delivery) {
+void Workers::receive_reply(const ReplyDelivery& delivery) {
   const Seconds now = env_.now();
   SimulatedMachine* machine = env_.fleet.find(delivery.heartbeat.machine);
-  if (!machine || machine->faults.deaf.active(now)) return;
+  if (!machine || machine->faults.inbound_loss.active(now)) return;
   if (machine->heartbeat_sent != delivery.sent_at) return;
   const Fault& hung = machine->faults.hung;
   if (hung.active(now)) {
     if (hung.end() - delivery.sent_at < kHeartbeatTimeout)
-      env_.loop.schedule(hung.end() - now + 0.001, [this, delivery] { hear_reply(delivery); });
+      env_.loop.schedule(hung.end() - now + 0.001, [this, delivery] { receive_reply(delivery); });
     return;
   }
   if (now - delivery.sent_at > kHeartbeatTimeout) return;
   const HeartbeatReply& reply = delivery.reply;
-  if (reply.status != HeartbeatReplyStatus::Answered) return turn_to(*machine, delivery);
+  if (reply.status != HeartbeatReplyStatus::Answered) return follow_redirect(*machine, delivery);
   machine->heartbeat_sent.reset();
   if (machine->agent_epoch != delivery.heartbeat.agent_epoch ||
       reply.fencing_token < machine->fencing_token)
     return;
   machine->answered_heartbeat = delivery.sent_at;
   if (reply.fencing_token > machine->fencing_token)
-    machine->next_heartbeat = std::min(machine->next_heartbeat, now + kPromptHeartbeat);
+    machine->next_heartbeat = std::min(machine->next_heartbeat, now + kMaxPromptHeartbeatDelay);
   machine->fencing_token = reply.fencing_token;
   execute(*machine, reply.commands, delivery.replied_at);
 }
 
 /// Directs the worker to the controller named in the reply, or to the next one.
-void Workers::turn_to(SimulatedMachine& machine, const ReplyDelivery& delivery) {
-  const auto& named = delivery.reply.leader;
-  if (!named || *named == delivery.controller) return turn_to_next(machine);
+void Workers::follow_redirect(SimulatedMachine& machine, const ReplyDelivery& delivery) {
+  const auto& redirect = delivery.reply.leader;
+  if (!redirect || *redirect == delivery.controller) return switch_to_next_controller(machine);
   machine.heartbeat_sent.reset();
-  machine.controller = *named;
-  machine.next_heartbeat = env_.now() + env_.random.between(0, kPromptHeartbeat);
+  machine.controller = *redirect;
+  machine.next_heartbeat = env_.now() + env_.random.between(0, kMaxPromptHeartbeatDelay);
 }
 
-void Workers::turn_to_next(SimulatedMachine& machine) {
+void Workers::switch_to_next_controller(SimulatedMachine& machine) {
   machine.heartbeat_sent.reset();
   machine.controller = (machine.controller + 1) % env_.controllers.size();
   machine.next_heartbeat = env_.now() + kNextControllerDelay;
@@ -162,44 +163,47 @@
 
 // ---------------------------------------------------------------- late duplicates of heartbeats
 
-void Workers::copy_heartbeats(double share, Seconds span, CopyDelivery delivery) {
-  copy_share_ = share;
-  copying_.last_until(env_.now() + span);
-  copy_delivery_ = delivery;
+void Workers::duplicate_heartbeats(double fraction, Seconds span, CopyDelivery delivery) {
+  duplication_fraction_ = fraction;
+  duplication_.activate_until(env_.now() + span);
+  duplicate_delivery_ = delivery;
 }
 
-void Workers::maybe_copy(const WorkerHeartbeat& heartbeat) {
+void Workers::maybe_duplicate(const WorkerHeartbeat& heartbeat) {
   Random& random = env_.random;
-  const bool copying = copying_.active(env_.now());
-  if (!random.chance(kCopiedByChance) && !(copying && random.chance(copy_share_))) return;
-  const HeartbeatCopy copy{heartbeat, env_.checker.highest_term()};
-  if (copying && copy_delivery_ == CopyDelivery::ToNextLeaderOnce)
-    return kept_copies_.push_back(copy);
+  const bool duplicating = duplication_.active(env_.now());
+  if (!random.chance(kDuplicationProbability) &&
+      !(duplicating && random.chance(duplication_fraction_)))
+    return;
+  const HeartbeatDuplicate duplicate{heartbeat, env_.checker.highest_term()};
+  if (duplicating && duplicate_delivery_ == CopyDelivery::ToNextLeaderOnce)
+    return kept_duplicates_.push_back(duplicate);
   env_.loop.schedule(random.between(2, 2.5 * env_.options.lease_s),
-                     [this, copy] { send_copy(copy); });
+                     [this, duplicate] { send_duplicate(duplicate); });
 }
 
-void Workers::send_kept_copies() {
-  for (const auto& copy : kept_copies_) send_copy(copy);
-  kept_copies_.clear();
+void Workers::send_kept_duplicates() {
+  for (const auto& duplicate : kept_duplicates_) send_duplicate(duplicate);
+  kept_duplicates_.clear();
 }
 
-void Workers::send_copy(const HeartbeatCopy& copy) {
+void Workers::send_duplicate(const HeartbeatDuplicate& duplicate) {
   for (size_t controller = 0; controller < env_.controllers.size(); ++controller)
     env_.controllers.schedule_at(
         controller, env_.random.between(0.001, 0.1),
-        [this, copy](ControllerProcess& process) { hear_copy(process, copy); });
+        [this, duplicate](ControllerProcess& process) { receive_duplicate(process, duplicate); });
 }
 
-void Workers::hear_copy(ControllerProcess& process, const HeartbeatCopy& copy) {
-  ++copies_heard_;
-  if (process.may_answer() && process.term() > copy.term_at_sending) ++copies_heard_by_new_leader_;
-  process.answer_copy(copy.heartbeat);
+void Workers::receive_duplicate(ControllerProcess& process, const HeartbeatDuplicate& duplicate) {
+  ++duplicates_received_;
+  if (process.may_answer() && process.term() > duplicate.term_at_sending)
+    ++duplicates_received_by_new_leader_;
+  process.answer_duplicate(duplicate.heartbeat);
 }
 
 void Workers::end_faults() {
-  copying_.clear();
-  slow_.clear();
+  duplication_.clear();
+  heartbeat_delay_.clear();
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/workers.h
+++ b/tests/simulation/workers.h
@@ -19,24 +19,25 @@
   explicit Workers(Environment& environment) : env_(environment) {}
 
   void step();
-  /// Executes commands; `ordered_at`: when the controller sent them.
-  void execute(SimulatedMachine& machine, const std::vector<Command>& commands, Seconds ordered_at);
+  /// Executes commands; `command_sent_at`: when the controller sent them.
+  void execute(SimulatedMachine& machine, const std::vector<Command>& commands,
+               Seconds command_sent_at);
   /// Delivers the duplicates kept for the next leader, which has just taken over.
-  void send_kept_copies();
-  void answered_by_delegate() { ++delegated_; }
+  void send_kept_duplicates();
+  void on_delegate_reply() { ++delegate_replies_; }
 
-  void copy_heartbeats(double share, Seconds span, CopyDelivery delivery);
+  void duplicate_heartbeats(double fraction, Seconds span, CopyDelivery delivery);
   /// Half of the heartbeats are delayed, so that commands, their answers and probes overtake them.
-  void slow_heartbeats(Seconds span) { slow_.last_until(env_.now() + span); }
+  void slow_heartbeats(Seconds span) { heartbeat_delay_.activate_until(env_.now() + span); }
   void end_faults();
 
-  size_t delegated() const { return delegated_; }
-  size_t copies_heard() const { return copies_heard_; }
+  size_t delegated() const { return delegate_replies_; }
+  size_t copies_heard() const { return duplicates_received_; }
   /// Duplicates received by a leader of a newer term than the one in which they were sent.
-  size_t copies_heard_by_new_leader() const { return copies_heard_by_new_leader_; }
+  size_t copies_heard_by_new_leader() const { return duplicates_received_by_new_leader_; }
 
  private:
-  struct HeartbeatCopy {
+  struct HeartbeatDuplicate {
     WorkerHeartbeat heartbeat;
     uint64_t term_at_sending = 0;
   };
@@ -52,22 +53,22 @@
   void step(SimulatedMachine& machine);
   void run_task(SimulatedMachine& machine, const TaskKey& key, MachineTask& task);
   void finish_task(const TaskKey& key, MachineTask& task);
-  void start_task(SimulatedMachine& machine, const Command& command, Seconds ordered_at);
+  void start_task(SimulatedMachine& machine, const Command& command, Seconds command_sent_at);
   void send_heartbeat(SimulatedMachine& machine);
-  void maybe_copy(const WorkerHeartbeat& heartbeat);
-  void send_copy(const HeartbeatCopy& copy);
-  void hear_copy(ControllerProcess& process, const HeartbeatCopy& copy);
+  void maybe_duplicate(const WorkerHeartbeat& heartbeat);
+  void send_duplicate(const HeartbeatDuplicate& duplicate);
+  void receive_duplicate(ControllerProcess& process, const HeartbeatDuplicate& duplicate);
   void answer(ControllerProcess& process, const WorkerHeartbeat& heartbeat, Seconds sent_at);
-  void hear_reply(const ReplyDelivery& delivery);
-  void turn_to(SimulatedMachine& machine, const ReplyDelivery& delivery);
-  void turn_to_next(SimulatedMachine& machine);
+  void receive_reply(const ReplyDelivery& delivery);
+  void follow_redirect(SimulatedMachine& machine, const ReplyDelivery& delivery);
+  void switch_to_next_controller(SimulatedMachine& machine);
 
   Environment& env_;
-  Fault copying_, slow_;
-  double copy_share_ = 0;
-  CopyDelivery copy_delivery_ = CopyDelivery::Later;
-  std::vector<HeartbeatCopy> kept_copies_;
-  size_t delegated_ = 0, copies_heard_ = 0, copies_heard_by_new_leader_ = 0;
+  Fault duplication_, heartbeat_delay_;
+  double duplication_fraction_ = 0;
+  CopyDelivery duplicate_delivery_ = CopyDelivery::Later;
+  std::vector<HeartbeatDuplicate> kept_duplicates_;
+  size_t delegate_replies_ = 0, duplicates_received_ = 0, duplicates_received_by_new_leader_ = 0;
 };
 
 }  // namespace sumacquay::simulation
