--- a/tests/simulation/checker.cpp
+++ b/tests/simulation/checker.cpp
@@ -1,5 +1,7 @@
 #include "simulation/checker.h"
 
+#include <fmt/format.h>
+
 #include <algorithm>
 
 #include "store/record_cache.h"
@@ -36,13 +38,14 @@
       jobs_(jobs),
       machine_capacity_(machine_type(options).capacity) {}
 
-void Checker::add_violation(const std::string& rule, const TaskKey& key, const std::string& where) {
-  add_violation(rule + " " + key.job + "/" + std::to_string(key.task) + " on " + where);
+void Checker::add_violation(const std::string& rule, const TaskKey& key,
+                            const std::string& details) {
+  add_violation(fmt::format("{} {}/{} on {}", rule, key.job, key.task, details));
 }
 
-void Checker::add_violation(const std::string& what) {
+void Checker::add_violation(const std::string& description) {
   if (violations_.size() < kMaxViolations)
-    violations_.push_back(what + " at " + std::to_string(loop_.now()));
+    violations_.push_back(fmt::format("{} at {:.6f} s", description, loop_.now()));
 }
 
 void Checker::on_task_started(const SimulatedMachine& machine, const TaskKey& key,
@@ -57,15 +60,23 @@
   std::map<std::string, uint32_t> zones;
   fleet_.for_each_present_task([&](const SimulatedMachine& other, const TaskKey& other_key) {
     if (other_key == key && other.id != machine.id)
-      add_violation("ran_twice", key, machine.id + " and " + other.id);
+      add_violation("ran_twice", key, machine.id + " while still present on " + other.id);
     if (other_key.job == key.job) ++zones[other.zone];
   });
   const JobSpec& spec = job.spec;
   if (spec.spread && zones[machine.zone] > (spec.tasks + 1) / 2)
-    add_violation("wrong_place", key, machine.id);
-  if (spec.one_zone && zones.size() > 1) add_violation("wrong_place", key, machine.id);
-  if (spec.zone && *spec.zone != machine.zone) add_violation("wrong_place", key, machine.id);
-  if (machine.spot && !spec.spot) add_violation("wrong_place", key, machine.id);
+    add_violation("wrong_place", key,
+                  fmt::format("{}: zone {} has {} of {} tasks, limit {}", machine.id, machine.zone,
+                              zones[machine.zone], spec.tasks, (spec.tasks + 1) / 2));
+  if (spec.one_zone && zones.size() > 1)
+    add_violation("wrong_place", key,
+                  fmt::format("{}: tasks in {} zones, expected one", machine.id, zones.size()));
+  if (spec.zone && *spec.zone != machine.zone)
+    add_violation(
+        "wrong_place", key,
+        fmt::format("{} in zone {}, expected zone {}", machine.id, machine.zone, *spec.zone));
+  if (machine.spot && !spec.spot)
+    add_violation("wrong_place", key, machine.id + ": the job does not allow spot machines");
 }
 
 void Checker::check_dependencies_done(const SimulatedMachine& machine, const TaskKey& key) {
@@ -75,14 +86,15 @@
   for (const auto& id : dependencies) {
     const ObservedJob& dependency = jobs_.at(id);
     if (!dependency.complete() || dependency.recorded_state != JobState::Done)
-      add_violation("too_early", key, machine.id + " before " + id);
+      add_violation("too_early", key, machine.id + " before its dependency " + id + " was done");
   }
 }
 
 void Checker::on_leader_write(uint64_t term, uint64_t nonce) {
   const auto [entry, added] = terms_.emplace(term, nonce);
   if (!added && entry->second != nonce)
-    add_violation("two leaders under term " + std::to_string(term));
+    add_violation(fmt::format("two leaders under term {}: processes {} and {} have written", term,
+                              entry->second, nonce));
 }
 
 void Checker::on_records_changed(const std::vector<SimulatedStore::Change>& changes) {
@@ -92,23 +104,37 @@
     const auto& [id, state] = *recorded;
     ObservedJob& job = jobs_.at(id);
     job.recorded_state = state;
-    if (state == JobState::Done && !job.complete()) add_violation("not_done " + id);
-    if (state != JobState::Cancelled && job.cancelled_at) add_violation("went_back " + id);
-    if (state != JobState::Done && job.reported_done) add_violation("went_back " + id);
+    if (state == JobState::Done && !job.complete())
+      add_violation(fmt::format("not_done {}: recorded as done with {} of {} tasks done", id,
+                                job.done_tasks.size(), job.spec.tasks));
+    if (state != JobState::Cancelled && job.cancelled_at)
+      add_violation(
+          fmt::format("went_back {}: recorded as not cancelled, cancellation confirmed at "
+                      "{:.3f} s",
+                      id, *job.cancelled_at));
+    if (state != JobState::Done && job.reported_done)
+      add_violation("went_back " + id + ": recorded as not done after it was reported as done");
     if (state == JobState::Cancelled && !cancel_requested_transitively(jobs_, id))
-      add_violation("went_back " + id);
+      add_violation("went_back " + id + ": recorded as cancelled without a request to cancel it");
   }
 }
 
 void Checker::on_final_state_reported(const std::string& id, JobState state) {
   ObservedJob& job = jobs_.at(id);
   if (state == JobState::Done) {
-    if (!job.complete()) add_violation("not_done " + id);
-    if (job.cancelled_at) add_violation("went_back " + id);
+    if (!job.complete())
+      add_violation(fmt::format("not_done {}: reported as done with {} of {} tasks done", id,
+                                job.done_tasks.size(), job.spec.tasks));
+    if (job.cancelled_at)
+      add_violation(
+          fmt::format("went_back {}: reported as done, cancellation confirmed at {:.3f} s", id,
+                      *job.cancelled_at));
     job.reported_done = true;
   } else if (state == JobState::Cancelled) {
     if (!cancel_requested_transitively(jobs_, id) || job.reported_done)
-      add_violation("went_back " + id);
+      add_violation(
+          "went_back " + id + ": reported as cancelled " +
+          (job.reported_done ? "after it was reported as done" : "without a request to cancel it"));
     if (dependency_cancelled_at(jobs_, id)) ++answers_after_cancel_;
     if (job.cancelled_at) return;
     job.cancelled_at = loop_.now();
@@ -119,18 +145,25 @@
 
 void Checker::on_unfinished_reported(const std::string& id, Seconds sent_at) {
   const ObservedJob& job = jobs_.at(id);
-  if (job.cancelled_at && *job.cancelled_at < sent_at) add_violation("went_back " + id);
+  if (job.cancelled_at && *job.cancelled_at < sent_at)
+    add_violation(
+        fmt::format("went_back {}: reported as unfinished to a request of {:.3f} s, "
+                    "cancellation confirmed at {:.3f} s",
+                    id, sent_at, *job.cancelled_at));
   const auto cancelled_at = dependency_cancelled_at(jobs_, id);
   if (!cancelled_at) return;
   // A request sent before the cancellation was confirmed may still be answered from an older copy
   // of the records, within the time limit for cancellations.
   const bool sent_later = *cancelled_at < sent_at;
   if (sent_later || loop_.now() > *cancelled_at + options_.cancel_s)
-    add_violation("orphaned " + id);
+    add_violation(
+        fmt::format("orphaned {}: reported as unfinished to a request of {:.3f} s, "
+                    "cancellation of a dependency confirmed at {:.3f} s",
+                    id, sent_at, *cancelled_at));
 }
 
 void Checker::on_unknown_reported(const std::string& id) {
-  add_violation("went_back " + id + " unknown");
+  add_violation("went_back " + id + ": the job or a dependency was reported as unknown");
 }
 
 void Checker::on_faults_ended() {
@@ -151,9 +184,13 @@
     gpus[job.spec.team] += job.spec.request.gpus;
     // The limit also holds for hung and partitioned machines.
     if (job.cancelled_at && loop_.now() > *job.cancelled_at + options_.cancel_s)
-      add_violation("ran_cancelled", key, machine.id);
+      add_violation("ran_cancelled", key,
+                    fmt::format("{}: cancellation confirmed at {:.3f} s, limit {:.3f} s later",
+                                machine.id, *job.cancelled_at, options_.cancel_s));
   });
-  if (gpus[kLimitedTeam] > kLimitedTeamGpus) add_violation("quota", {kLimitedTeam, 0}, "all");
+  if (gpus[kLimitedTeam] > kLimitedTeamGpus)
+    add_violation(fmt::format("quota {}: {} GPUs in use, quota {}", kLimitedTeam,
+                              gpus[kLimitedTeam], kLimitedTeamGpus));
 }
 
 void Checker::check_waiting_jobs() {
@@ -165,7 +202,9 @@
     } else if (!job.waiting_since) {
       job.waiting_since = now;
     } else if (now - *job.waiting_since > kMaxWait) {
-      add_violation("waits " + id);
+      add_violation(
+          fmt::format("waits {}: tasks could be placed since {:.3f} s, limit {:.3f} s later", id,
+                      *job.waiting_since, kMaxWait));
       job.waiting_since = now;
     }
   }
--- a/tests/simulation/checker.h
+++ b/tests/simulation/checker.h
@@ -61,8 +61,8 @@
     std::set<TaskKey> present;
   };
 
-  void add_violation(const std::string& rule, const TaskKey& key, const std::string& where);
-  void add_violation(const std::string& what);
+  void add_violation(const std::string& rule, const TaskKey& key, const std::string& details);
+  void add_violation(const std::string& description);
   void check_dependencies_done(const SimulatedMachine& machine, const TaskKey& key);
   bool dependencies_done(const JobSpec& spec) const;
   void check_cancelled_and_quota();
