--- a/tests/simulation/faults.h
+++ b/tests/simulation/faults.h
@@ -51,9 +51,10 @@
   void fail_all_tasks(const std::string& machine);
   void lose_machine(const std::string& machine) { env_.fleet.remove(machine); }
   /// A fraction of the heartbeats is delivered a second time, late.
-  void late_heartbeats(double fraction, Seconds span, CopyDelivery delivery = CopyDelivery::Later);
+  void late_heartbeats(double fraction, Seconds span,
+                       CopyDelivery delivery = CopyDelivery::AfterDelay);
   /// Half of the heartbeats are delayed, so that commands, their answers and probes overtake them.
-  void slow_heartbeats(Seconds span) { workers_.slow_heartbeats(span); }
+  void slow_heartbeats(Seconds span) { workers_.delay_heartbeats(span); }
 
   /// Ends all faults, except that lost machines stay lost and failing machines keep failing tasks.
   void end_all();
--- a/tests/simulation/pipelines.h
+++ b/tests/simulation/pipelines.h
@@ -21,10 +21,10 @@
 
 /// A user's cancellation of a stage.
 struct StageCancellation {
-  enum class When { LaterOn, AsItsLastTaskEnds };
+  enum class When { AfterDelay, AsItsLastTaskEnds };
   size_t stage = 0;
-  When when = When::LaterOn;
-  Seconds after_acceptance = 0;          ///< delay for `LaterOn`
+  When when = When::AfterDelay;
+  Seconds after_acceptance = 0;          ///< delay for `AfterDelay`
   bool through_two_controllers = false;  ///< sent to both at the same time
 };
 
--- a/tests/simulation/random_faults.cpp
+++ b/tests/simulation/random_faults.cpp
@@ -61,7 +61,7 @@
 
 void RandomFaults::inject_network_and_cloud_faults() {
   if (chance(0.0006)) {
-    const auto delivery = chance(0.5) ? CopyDelivery::ToNextLeaderOnce : CopyDelivery::Later;
+    const auto delivery = chance(0.5) ? CopyDelivery::ToNextLeaderOnce : CopyDelivery::AfterDelay;
     faults_.late_heartbeats(0.3, between(2, 20), delivery);
   }
   if (chance(0.0005)) {
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -38,7 +38,7 @@
 
   // Randomness.
   bool chance(double probability) { return env_.random.chance(probability); }
-  double between(double least, double most) { return env_.random.between(least, most); }
+  double between(double min, double max) { return env_.random.between(min, max); }
   uint64_t any(uint64_t count) { return env_.random.below(count); }
 
   // Components.
--- a/tests/simulation/workers.h
+++ b/tests/simulation/workers.h
@@ -9,7 +9,7 @@
 
 /// When late duplicates of heartbeats are delivered.
 enum class CopyDelivery {
-  Later,             ///< to all controllers, after a random delay
+  AfterDelay,        ///< to all controllers, after a random delay
   ToNextLeaderOnce,  ///< to all controllers, when the next leader takes over
 };
 
@@ -28,7 +28,7 @@
 
   void duplicate_heartbeats(double fraction, Seconds span, CopyDelivery delivery);
   /// Half of the heartbeats are delayed, so that commands, their answers and probes overtake them.
-  void slow_heartbeats(Seconds span) { heartbeat_delay_.activate_until(env_.now() + span); }
+  void delay_heartbeats(Seconds span) { heartbeat_delay_.activate_until(env_.now() + span); }
   void end_faults();
 
   size_t delegated() const { return delegate_replies_; }
@@ -66,7 +66,7 @@
   Environment& env_;
   Fault duplication_, heartbeat_delay_;
   double duplication_fraction_ = 0;
-  CopyDelivery duplicate_delivery_ = CopyDelivery::Later;
+  CopyDelivery duplicate_delivery_ = CopyDelivery::AfterDelay;
   std::vector<HeartbeatDuplicate> kept_duplicates_;
   size_t delegate_replies_ = 0, duplicates_received_ = 0, duplicates_received_by_new_leader_ = 0;
 };
