--- a/tests/simulation/checker.h
+++ b/tests/simulation/checker.h
@@ -30,7 +30,7 @@
   void on_final_state_reported(const std::string& id, JobState state);
   /// A user who sent a request at `sent_at` received a non-terminal state of an accepted job.
   void on_unfinished_reported(const std::string& id, Seconds sent_at);
-  /// A user was told that the job, or a dependency named in its submission, does not exist.
+  /// A user was answered that the job, or a dependency in its submission, does not exist.
   void on_unknown_reported(const std::string& id);
   /// All faults have ended: from now on, tasks must start within a time limit if they can be
   /// placed.
--- a/tests/simulation/random_faults.cpp
+++ b/tests/simulation/random_faults.cpp
@@ -6,7 +6,7 @@
 /// A machine is added while the fleet is smaller than this.
 constexpr size_t kMinMachines = 3;
 constexpr Seconds kReplacementBootTime = 1;
-/// Bit mask of the connections to cut: to the key-value store, peers and workers.
+/// Bit mask of the connections to interrupt: to the key-value store, peers and workers.
 constexpr uint64_t kStoreConnection = 1, kPeerConnections = 2, kWorkerConnections = 4,
                    kAllConnections = 7;
 }  // namespace
