--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -15,8 +15,8 @@
 struct LeaderFixture : ::testing::Test {
   static constexpr double kNow = 1000;
 
-  LeaderFixture(uint64_t leaders_term, Seconds heartbeat_period_s, Seconds lease_s)
-      : term(leaders_term), fencing_token(leaders_term << kFencingTokenCounterBits) {
+  LeaderFixture(uint64_t leader_term, Seconds heartbeat_period_s, Seconds lease_s)
+      : term(leader_term), fencing_token(leader_term << kFencingTokenCounterBits) {
     settings.heartbeat_period_s = heartbeat_period_s;
     settings.lease_s = lease_s;
     TeamSettings team;
@@ -45,16 +45,16 @@
 
   static WorkerHeartbeat heartbeat(const std::string& machine, uint64_t sequence_number,
                                    uint64_t fencing_token, std::vector<TaskStatus> tasks = {}) {
-    WorkerHeartbeat r;
-    r.machine = machine;
-    r.addr = "10.0.0.2:9";
-    r.type = "g";
-    r.zone = "e";
-    r.agent_epoch = 1;
-    r.sequence_number = sequence_number;
-    r.fencing_token = fencing_token;
-    r.tasks = std::move(tasks);
-    return r;
+    WorkerHeartbeat result;
+    result.machine = machine;
+    result.addr = "10.0.0.2:9";
+    result.type = "g";
+    result.zone = "e";
+    result.agent_epoch = 1;
+    result.sequence_number = sequence_number;
+    result.fencing_token = fencing_token;
+    result.tasks = std::move(tasks);
+    return result;
   }
 
   /// Adds a machine that is up and has acknowledged the leader's fencing token.
@@ -67,7 +67,8 @@
   static std::vector<int> rented(const std::vector<Action>& actions) {
     std::vector<int> counts;
     for (const auto& action : actions)
-      if (const auto* rent = std::get_if<ScaleOut>(&action)) counts.push_back(rent->count);
+      if (const auto* scale_out = std::get_if<ScaleOut>(&action))
+        counts.push_back(scale_out->count);
     return counts;
   }
 
