--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -1,4 +1,4 @@
-// Orders to more workers than there are connections for them.
+// Queueing of commands to workers when there are more workers than connections for commands.
 #include "node/action_executor.h"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
 
 constexpr uint64_t kTerm = 1;
 
-/// An executor with two connections, whose node leads, and workers on loopback that hold back their
-/// answers until they are told.
+/// An executor with two connections for commands on a node that leads, and workers on the loopback
+/// interface that withhold their answers until `answer_all` is called.
 struct OrdersToManyWorkers : ::testing::Test {
   static constexpr size_t kConnections = 2;
 
@@ -87,8 +87,9 @@
   }
 };
 
-// Each such order counted as one that may still be carried out: its machine got nothing for a
-// heartbeat period, and had to show a new token first.
+// Guards against giving up a command that finds no free connection: the scheduler then treated it
+// as one that may still be executed, and sent the machine nothing for a heartbeat period and until
+// its worker had reported a new fencing token.
 TEST_F(OrdersToManyWorkers, WaitForAConnectionAndAllArrive) {
   constexpr int kWorkers = 9;
   add_workers(kWorkers);
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -1,5 +1,5 @@
-// What the leader's work costs, in things looked at: it follows what happens, not how much there
-// is.
+// Budgets for the scheduler's work, counted in examined items (WorkCounters): the work grows with
+// the number of events, not with the number of jobs, tasks and machines.
 #include <gtest/gtest.h>
 
 #include "dispatch/scheduler.h"
@@ -13,7 +13,7 @@
 constexpr uint32_t kTasksEach = 50;
 constexpr uint32_t kTasks = kMachines * kTasksEach;
 
-/// A fleet that runs an array of many tasks, all started by an earlier leader.
+/// A fleet that runs one array of many tasks, all of them started under an earlier leader.
 struct LargeArray : ::testing::Test {
   Settings settings;
   double now = 1000;
--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -1,5 +1,5 @@
-// What the controllers decide, to the last action and its time, over fixed seeds: a change that is
-// meant to leave the behaviour as it is leaves every digest as it is.
+// Digests of all actions of the controllers and their times, for fixed seeds: a change that
+// preserves the behaviour leaves every digest unchanged.
 #include <gtest/gtest.h>
 
 #include <fstream>
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -1,4 +1,5 @@
-// Delegations, words and answers of delegates, with late and lost messages, restarts and drift.
+// Lease delegation: delegations, status reports and answers of delegates, with delayed and lost
+// messages, restarts and clock drift.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 
 constexpr Seconds kAfter = 3, kStatusOnly = 1, kFor = 20;
 
-/// A report of a worker that has seen a fencing token, with a task of each of two jobs.
+/// A heartbeat of a worker that has received a fencing token, with one task of each of two jobs.
 WorkerHeartbeat heartbeat() {
   WorkerHeartbeat r;
   r.fencing_token = 7 << 20;
@@ -120,8 +121,9 @@
 }
 
 TEST(Delegations, AreOnlyOfUseWhereWorkersFindThemWithinTheirLease) {
-  // Five controllers and a lease of 10 s: four nodes that don't answer take 20 s, and the leader
-  // waited for tasks that had long ended.
+  // With five controllers and a lease of 10 s, a worker needs up to 20 s to try four nodes that
+  // don't answer. Its lease expired before it reached the delegate, and the leader waited for tasks
+  // that had long ended.
   Settings s;
   s.zone = "a";
   for (const char* zone : {"b", "c", "a", "b"}) s.peers.push_back({"n", zone, {}});
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -9,7 +9,8 @@
 
 #include "generators.h"
 
-// Which jobs are ready and which are cancelled, against a model that looks at all jobs each time.
+// Readiness and cancellation of dependent jobs, also in comparison with a model that scans all jobs
+// for every query.
 namespace sumacquay {
 namespace {
 
@@ -72,7 +73,7 @@
   EXPECT_TRUE(graph.ready("job-2"));
 }
 
-/// A job that is over never comes back, whatever an older record says.
+/// A stale record must not reopen a job that has ended.
 TEST(DependencyGraph, AnEndIsFinal) {
   DependencyGraph graph;
   graph.update(pending("job-1"));
@@ -84,7 +85,7 @@
   EXPECT_TRUE(graph.cancelled("job-2"));
 }
 
-/// A record that is written once the job is ready names its dependencies no longer.
+/// A record that is written after the job became ready no longer lists its dependencies.
 TEST(DependencyGraph, ALaterRecordMayLeaveOutDependencies) {
   DependencyGraph graph;
   graph.update(pending("job-1"));
@@ -111,7 +112,8 @@
   EXPECT_EQ(graph.size(), 0u);
 }
 
-/// Walks are iterative and visit each edge once: a recursive or quadratic one would not end here.
+/// Guards against recursive and quadratic traversals: on these graphs they would overflow the stack
+/// or not finish.
 TEST(DependencyGraph, LongChainsAndWideFansAreCheap) {
   constexpr int kJobs = 100000;
   DependencyGraph chain;
@@ -136,7 +138,7 @@
   EXPECT_EQ(fan.size(), 0u);
 }
 
-/// Jobs with what is known of each, looked through whole for every question.
+/// Reference model: the jobs and their known states, scanned in full for every query.
 class Model {
  public:
   enum class Known { Nothing, Pending, Done, Cancelled };
@@ -155,7 +157,7 @@
   }
   bool cancelled(size_t index) const {
     if (jobs_[index].known == Known::Cancelled) return true;
-    if (jobs_[index].known == Known::Nothing) return false;  // nor on whom it depends
+    if (jobs_[index].known == Known::Nothing) return false;  // its dependencies are unknown too
     const auto& dependencies = jobs_[index].dependencies;
     return std::any_of(dependencies.begin(), dependencies.end(),
                        [this](size_t d) { return cancelled(d); });
@@ -177,9 +179,10 @@
   return "job-" + std::to_string(index);
 }
 
-/// Draws one thing that may happen to a job and tells both the graph and the model. Jobs become
-/// live in any order after those they depend on, may end without anybody telling how, and are told
-/// of again.
+/// Draws one event of a job and applies it to both the graph and the model. Jobs become live in any
+/// order, are updated again while they are pending, end, and are forgotten by the graph once they
+/// are cancelled. The known ends of a job's dependencies are entered again with each of its
+/// updates.
 void draw_event(DependencyGraph& graph, Model& model) {
   const auto index = *rc::gen::inRange<size_t>(0, model.size());
   Model::Job& job = model.job(index);
--- a/tests/dependents_leader_test.cpp
+++ b/tests/dependents_leader_test.cpp
@@ -1,4 +1,5 @@
-// The leader and jobs that depend on others: what it knows of them from their records.
+// What the scheduler derives from the records of jobs that depend on others, in whatever order the
+// records are read.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -40,7 +41,8 @@
     record.started = true;
     return record;
   }
-  /// A machine that nobody has accounted for: what may be on it stays among the live records.
+  /// Adds a machine whose worker has not sent a heartbeat yet: ended jobs stay among the live
+  /// records while their tasks may still be on it.
   void add_silent_machine() const {
     scheduler->restore_machine({"i-1", "10.0.0.1:9", "g", "e", false}, kNow);
   }
--- a/tests/dependents_test.cpp
+++ b/tests/dependents_test.cpp
@@ -1,4 +1,4 @@
-// What the leader does with jobs that depend on others.
+// Scheduling of jobs that depend on others.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 namespace sumacquay {
 namespace {
 
-/// A leader with one machine whose worker reports each time it is asked.
+/// A leader with one machine, whose worker sends a heartbeat with each call of `heartbeat`.
 class DependentJobs : public ::testing::Test {
  protected:
   DependentJobs() {
@@ -64,7 +64,7 @@
     fencing_token_ = scheduler_->on_heartbeat(worker, true, now_).fencing_token;
   }
 
-  /// A round, and everything that the leader then wants written.
+  /// Runs a placement round and commits the record writes that the leader plans after it.
   void round() {
     now_ += 0.5;
     scheduler_->request_round();
@@ -89,7 +89,7 @@
         }));
   }
 
-  /// All tasks of a job that is placed have run to their end.
+  /// Reports all tasks of a placed job as done.
   void finish(const std::string& id) {
     std::vector<TaskStatus> tasks;
     for (const auto& [task, places] : scheduler_->jobs().at(id).possible_placements)
@@ -115,7 +115,8 @@
   uint64_t fencing_token_ = 0;
 };
 
-/// The leader's own picture of a finished task is not enough: the write may fail.
+/// It is not enough that the leader has been told of the end of the last task: the write of the
+/// job's record may still fail.
 TEST_F(DependentJobs, StartOnceTheLastDependencyIsDurablyDone) {
   store(job("job-1"));
   store(job("job-2", {"job-1"}));
@@ -158,7 +159,8 @@
   }
 }
 
-/// What its record tells of the dependencies ends with the start: only when it was ready stays.
+/// When the job starts, its record drops the dependencies and keeps only the time at which it
+/// became ready.
 TEST_F(DependentJobs, KeepTheTimeWhenTheyWereReadyInTheirRecord) {
   store(job("job-2", {"job-1"}));
   scheduler_->on_dependency_finished("job-1", {JobState::Done, 2, 900000});
@@ -180,8 +182,8 @@
   EXPECT_EQ(last_write_of("job-1")->record->ended_ms, static_cast<uint64_t>(now_ * 1000));
 }
 
-/// While it waits for others a job holds nothing of its team's guarantee: with it the younger job
-/// would be beyond the four CPUs, and could stop nobody.
+/// A job that waits for its dependencies uses nothing of its team's fair share. Otherwise the
+/// younger job would exceed the fair share of four CPUs and could not preempt.
 TEST_F(DependentJobs, HoldNothingOfTheGuaranteeWhileTheyWait) {
   TeamSettings other;
   other.name = "other";
@@ -200,12 +202,12 @@
   younger.submitted_ms = 2;
   store(younger);
   round();
-  round();  // each stops what one task needs
+  round();  // each round preempts for one task
   EXPECT_EQ(being_stopped("job-1"), 2u)
       << "job-3 is within the guarantee, and borrowed work yields";
 }
 
-/// The younger job goes first: the older one's waiting counts from when it was ready.
+/// The younger job goes first: the older one's waiting time counts from when it became ready.
 TEST_F(DependentJobs, ArriveWhenTheyAreReady) {
   auto older = job("job-2", {"job-1"});
   older.spec.tasks = 6;
@@ -220,13 +222,14 @@
   EXPECT_FALSE(assignments("job-2"));
 }
 
-/// Users set the priority that they care about on the last job of a pipeline only.
+/// Users set the priority on the last job of a pipeline only, so its dependencies have to inherit
+/// it.
 TEST_F(DependentJobs, LendTheirPriorityThroughAnyNumberOfSteps) {
   auto last = job("job-4", {"job-3"});
   last.spec.priority = Priority::High;
   store(job("job-1"));
   store(job("job-2", {"job-1"}));
-  store(last);  // a takeover brings records in any order
+  store(last);  // after a failover, records are read in any order
   store(job("job-3", {"job-2"}));
   for (const std::string id : {"job-1", "job-2", "job-3"})
     EXPECT_EQ(scheduler_->jobs().at(id).priority, Priority::High) << id;
--- a/tests/encodings_test.cpp
+++ b/tests/encodings_test.cpp
@@ -6,8 +6,8 @@
 
 #include "wire/messages.h"
 
-// Controllers of two versions read each other's records and heartbeats during an upgrade, and the
-// platform reads the rest: what the encoders write may not change by a byte.
+// The output of every encoder is fixed to the byte: during an upgrade, controllers of two versions
+// read each other's records and heartbeats, and the platform reads all other messages.
 namespace sumacquay {
 namespace {
 
@@ -189,7 +189,7 @@
   EXPECT_EQ(wire::changes_path("sq/", 12, 10000), "/changes?under=sq/&after=12&block_ms=10000");
 }
 
-/// A record that was written by another version is read back whole.
+/// Records and heartbeats that another version has written are decoded without loss.
 TEST(Encodings, OfOurRecordsAreReadBack) {
   const auto job = wire::Document::parse(wire::encode_job(job_with_every_field()));
   EXPECT_EQ(wire::decode_job(job->root()), job_with_every_field());
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -1,4 +1,5 @@
-// Guarantees of teams: who is within them, what gives way to them, and that it comes to rest.
+// Teams' fair shares: which jobs are within them, which tasks are preempted for them, and that
+// preemption does not cycle.
 #include "jobs/fair_share.h"
 
 #include <gtest/gtest.h>
@@ -150,7 +151,7 @@
   job.request = {2, 2, 2};
   add_victim(1, 6);
   ASSERT_EQ(found()->victims.size(), 2u);
-  running.remove("loses", {5, 5, 5});  // 3 are left, 2 are guaranteed
+  running.remove("loses", {5, 5, 5});  // 3 are left, the fair share is 2
   EXPECT_FALSE(found().has_value());
 }
 TEST_F(GivesWay, NotAGangWhoseOtherTasksAreWithin) {
@@ -217,7 +218,7 @@
   }));
 }
 
-/// A leader and machines that carry out what they are told; a stop takes some time.
+/// A scheduler and machines that execute its commands. A stopped task exits after `kStopTakes`.
 class TeamsAtWork : public ::testing::Test {
  protected:
   static constexpr Seconds kStep = 0.5;
@@ -279,7 +280,7 @@
   MachineType type_;
   Seconds now_ = 1000;
   std::unique_ptr<Scheduler> scheduler_;
-  std::map<std::string, size_t> stops_;  ///< tasks told to stop, by job
+  std::map<std::string, size_t> stops_;  ///< tasks that were ordered to stop, by job
 
  private:
   struct Task {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// A fleet of the largest size that is foreseen, through a takeover with a zone cut off, its return
-// and the loss of a tenth of all machines. Work is counted in things done, never in time.
+// A fleet of 2,000 machines through a failover with a partitioned zone, the end of the partition
+// and the loss of a tenth of all machines. Work is measured by counters, never by elapsed time.
 #include <gtest/gtest.h>
 
 #include "dispatch/scheduler.h"
@@ -50,7 +50,8 @@
     return r;
   }
 
-  /// Machines report in turn; those that are silent answer nothing either.
+  /// Advances the time. All machines but silent and released ones send heartbeats in turn. Probes
+  /// and commands get no heartbeat in answer, and the cloud refuses to scale out.
   template <class Silent>
   void pass(Seconds time, Silent silent) {
     constexpr int kTurns = 40;
@@ -124,7 +125,7 @@
   EXPECT_EQ(started_.size(), 1u);
   EXPECT_EQ(stops_, 0);
 
-  for (int i = 0; i < 60; ++i)  // gangs that fit nowhere, and stop nobody of higher priority
+  for (int i = 0; i < 60; ++i)  // gangs that fit nowhere and can't preempt tasks of higher priority
     scheduler_->on_job_record(record("job-2" + std::to_string(i), JobKind::Gang, 4, {16, 4, 64}),
                               ++revision_, now_);
   const auto before = scheduler_->work();
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -89,7 +89,7 @@
             std::string::npos);
 }
 
-/// The platform's file with a table of limits to come.
+/// The platform's settings with a table of limits that will apply later (`params.state.next`).
 std::string with_limits_to_come(const std::string& lines) {
   const std::string text = settings_text;
   const std::string next_table = "[params.cloud]";
@@ -161,7 +161,7 @@
   EXPECT_TRUE(holds("submission", [] {
     JobRecord r;
     r.spec = *testing::job_spec();
-    // A stored description has the spelling of a submitted one.
+    // Stored and submitted job descriptions are encoded in the same way.
     const auto document = wire::Document::parse(wire::encode_job(r));
     const msgpack::object_handle copy = [&] {
       msgpack::sbuffer buffer;
@@ -205,7 +205,7 @@
   EXPECT_EQ(wire::Document::parse("\xdf\xff\xff\xff\xff"), nullptr) << "a map said to be huge";
 }
 
-/// A valid submission with one more field.
+/// A valid submission with the additional field `awaits`, whose value `pack` writes.
 template <class Pack>
 wire::ParsedJob submission_that_awaits(Pack&& pack) {
   JobRecord record;
@@ -304,7 +304,8 @@
   }));
 }
 
-/// What the leader of a large fleet tells: of `size` jobs, images and booting machines.
+/// A peer heartbeat of a large fleet's leader: the counts of `size` jobs, or hints on `size` images
+/// and booting machines.
 wire::PeerHeartbeat large_peer_heartbeat(wire::PeerHeartbeatPart part, int size,
                                          size_t name_bytes) {
   wire::PeerHeartbeat heartbeat;
@@ -336,8 +337,8 @@
   EXPECT_EQ(bodies[0], wire::encode_peer_heartbeat(heartbeat));
 }
 
-// What didn't fit was left out: the jobs at the end were shown as pending while they ran, and a
-// successor rented machines anew that were booting.
+// Guards against leaving out what exceeds the limit on bodies: the last jobs were then shown as
+// pending while they ran, and the next leader rented machines again that were already booting.
 TEST(PeerHeartbeats, AHeartbeatOfAnyFleetGoesInPiecesThatFitBodiesAndTellAll) {
   for (const auto part : {wire::PeerHeartbeatPart::Counts, wire::PeerHeartbeatPart::Hints}) {
     for (const size_t name_bytes : {size_t{4}, size_t{200}}) {
@@ -346,7 +347,7 @@
       LeaderHints details;
       std::vector<size_t> order(bodies.size());
       std::iota(order.begin(), order.end(), size_t{0});
-      std::reverse(order.begin(), order.end());  // connections don't keep their order
+      std::reverse(order.begin(), order.end());  // the order across connections is arbitrary
       for (const size_t index : order) {
         ASSERT_LE(bodies[index].size(), kBodyLimit);
         const auto fragment = wire::decode_peer_heartbeat(bodies[index]);
@@ -393,7 +394,8 @@
   details.take(second[0]);
   EXPECT_EQ(details.counts(of_last_fragment).running, 100000u)
       << "repeats of older ones count nothing";
-  // The rest of the second is lost: what came of it is shown with the third.
+  // The rest of the second batch is lost: its first fragment is applied when the third batch
+  // begins.
   const auto third = fragments_of(whole, 3);
   details.take(third[1]);
   EXPECT_EQ(details.counts(of_last_fragment).running, 0u);
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -1,7 +1,7 @@
-// Bytes of every message, record and heartbeat, and settings files with every field, as they were
-// before the code's names were changed (tests/data). Both ways: the encoders write these bytes, and
-// what is read from them is written the same again. The bytes of what the platform sends come from
-// the simulators.
+// Golden files (tests/data): the bytes of every message, record and heartbeat, and settings files
+// with every field, recorded before identifiers in the code were renamed. The encoders have to
+// write these bytes, and what is decoded from them has to encode to the same bytes. Messages that
+// the platform sends are encoded by the simulators.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -44,7 +44,7 @@
   return text.str();
 }
 
-/// Lines of a name and a value.
+/// Parses lines that consist of a name and a value.
 Texts lines_of(const std::string& text) {
   Texts lines;
   std::istringstream in(text);
@@ -171,7 +171,7 @@
   return {{"sq/over/job-1", value, 0}, {"sq/leader", value, 41}, {"sq/live/job-1", "", 0}};
 }
 
-/// Every message and record, encoded from the examples.
+/// All messages and records, encoded from the examples.
 Texts encoded_examples() {
   const std::string leader = wire::encode_leader({"n0", 0x1122334455667788, 9, 41});
   const std::string host = wire::encode_host({"m-1", "10.0.0.1:9000", "small", "east", true});
@@ -209,7 +209,7 @@
   };
 }
 
-// ---------------------------------------------------------------- read back
+// ---------------------------------------------------------------- round trip
 
 simulators::StoredChange stored(const wire::StoreItem& item, uint64_t lease) {
   msgpack::sbuffer value;
@@ -227,7 +227,7 @@
   return document->root();
 }
 
-/// The messages of the file, read and encoded again one by one. One that can't be read is missing.
+/// Decodes each golden message and encodes it again. Messages that can't be decoded are left out.
 class ReadBack {
  public:
   explicit ReadBack(const Texts& golden) : golden_(golden) {}
--- a/tests/json_size_test.cpp
+++ b/tests/json_size_test.cpp
@@ -1,4 +1,4 @@
-// Sizes in JSON form, against texts that a plain writer makes.
+// The sizes of values in JSON form, compared with texts from a simple reference writer.
 #include "wire/json_size.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 using testing::holds;
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-/// The same value in both forms.
+/// One value in MessagePack and in JSON form.
 struct Forms {
   msgpack::sbuffer packed;
   std::string json;
@@ -61,7 +61,7 @@
   }
 }
 
-/// Quarters, but no whole number: that would be packed as an integer.
+/// Adds a multiple of a quarter that is not whole: a whole number would be packed as an integer.
 void add_real(Forms& forms) {
   const double number = *rc::gen::inRange(-1000000, 1000000) + *rc::gen::inRange(1, 4) / 4.0;
   Packer(forms.packed).pack(number);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,5 +1,5 @@
-// What a fleet of 4,500 machines asks of the leader's decisions: no count in the code stands below
-// that size, and a fleet that comes back all at once is taken in. docs/limits.md names each limit.
+// Scheduling for a fleet of 4,500 machines: no limit in the code is below that size, and a new
+// leader reconciles a fleet whose workers all reconnect at once. docs/limits.md lists the limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -104,8 +104,8 @@
   EXPECT_EQ(returned.size(), size_t{kIdle});
 }
 
-// All workers report to a new leader at once: it takes in each of them, stops every task that was
-// cancelled in the answer that renews the lease, and places what waited.
+// All workers send heartbeats to a new leader at once: it reconciles each of them, stops tasks of
+// cancelled jobs in the answer that renews the lease, and places the jobs that waited.
 TEST_F(LargeFleet, ThatComesBackAllAtOnceIsTakenIn) {
   EXPECT_TRUE(testing::holds(
       "fleet that comes back",
@@ -168,7 +168,7 @@
       kTerm);
 }
 
-// Beyond the last number an attempt would be one of the next leader's.
+// An attempt number past the end of the counter would belong to the next term.
 TEST(FencingTokenAllocator, EndBeforeTheNextTermsNumbersAndSayInTimeThatTheyDo) {
   FencingTokenAllocator numbers(kTerm);
   uint64_t last = 0;
--- a/tests/loadtest_test.cpp
+++ b/tests/loadtest_test.cpp
@@ -1,5 +1,5 @@
-// The load tool: its settings, fits and tables, and a small deployment of real controllers through
-// the faults that it causes.
+// The load test: its settings, fits and tables, and a small deployment of real controllers under
+// the faults that it injects.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -20,7 +20,7 @@
   ~TemporaryDirectory() { std::filesystem::remove_all(path); }
 };
 
-/// What the settings are refused with; empty: they are taken.
+/// The error with which the settings are rejected; empty if they are accepted.
 std::string refusal_of(const LoadSettings& settings) {
   try {
     check_fits_this_machine(settings, "load.conf");
@@ -106,7 +106,7 @@
   EXPECT_EQ(rows[1].machines, 1600);
   EXPECT_NE(fit_table(rows).find("| leader_cores | 0.5 | 0.5 | "), std::string::npos)
       << fit_table(rows);
-  // All points are there: nothing is measured, so no program is needed.
+  // All points are in the table already: nothing is measured, so the program need not exist.
   run_sweep({"machines", {400, 1600}}, {}, {"/no/such/program", directory.path, ""}, path, true);
   EXPECT_EQ(read_table(path).size(), 2u);
 }
@@ -120,7 +120,7 @@
   EXPECT_EQ(quantiles.largest(), 1000);
 }
 
-/// A deployment that is played in seconds: three controllers in as many zones.
+/// A deployment that is tested within seconds: three controllers in three zones.
 LoadSettings small_deployment(double machines, double sockets, double first_port) {
   LoadSettings settings;
   settings.machines = machines;
@@ -137,7 +137,8 @@
   return settings;
 }
 
-/// The leader ends, then a follower, then a zone falls silent: urgent work starts all the same.
+/// Ends the leader, then a follower, then silences a zone. Expects that urgent jobs start through
+/// each fault and that no rule is broken.
 std::vector<Measurement> faults_survived(LoadTest& load_test) {
   auto faults = load_test.measure_faults();
   EXPECT_EQ(faults.size(), 3u);
@@ -157,8 +158,9 @@
   faults_survived(load_test);
 }
 
-/// About half as many sockets as workers: connections are taken in turn, in quiet times as well as
-/// when all workers come back at once to a new leader or from a zone that was silent.
+/// The sockets left for workers are about half as many as the workers. They share the connections
+/// in turn, both in steady state and when all workers reconnect at once, to a new leader or from a
+/// zone that was silent.
 TEST(LoopbackDeployment, KeepsEveryLeaseWithHalfAsManySocketsAsWorkers) {
   const TemporaryDirectory directory;
   const LoadSettings settings = small_deployment(120, 130, 20500);
--- a/tests/log_event_test.cpp
+++ b/tests/log_event_test.cpp
@@ -9,7 +9,7 @@
 namespace sumacquay {
 namespace {
 
-/// Puts a logger that writes to a string in the place of the usual one.
+/// Replaces the default logger by one that writes to a string.
 class LogEvent : public ::testing::Test {
  protected:
   LogEvent() : previous_(spdlog::default_logger()) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -7,7 +7,8 @@
 
 using asio::ip::tcp;
 
-/// A server on an ephemeral port of the loopback interface that echoes bodies.
+/// A server on an ephemeral port of the loopback interface that echoes requests and never answers
+/// those for `/never`.
 struct Loopback : ::testing::Test {
   asio::io_context io;
   HttpLimits limits;
@@ -24,7 +25,7 @@
                                           });
   }
 
-  /// Sends bytes and returns all that comes until the server closes.
+  /// Sends bytes and returns everything received until the server closes the connection.
   std::string raw(const std::string& bytes) {
     tcp::socket s(io);
     std::string got;
@@ -57,7 +58,7 @@
     io.run_for(time);
   }
 
-  /// Requests whose answers take long.
+  /// Occupies `count` connections with requests that get no answer.
   void hold_places(HttpClient& slow, int count) {
     for (int i = 0; i < count; ++i)
       slow.request("POST", "/never", "", 20, [](const HttpResult&) {});
@@ -111,7 +112,8 @@
   EXPECT_EQ(handled, 0);
 }
 
-// Each handler beyond these is a look at all sockets, and on a small machine a wait of its own.
+// Every further handler costs another poll of all sockets, and on a machine with few cores another
+// wait.
 TEST_F(Loopback, ARequestOnAnOpenConnectionTakesAHandlerAtTheServerAndTwoAtTheClient) {
   serve();
   asio::io_context client_io;
@@ -135,8 +137,8 @@
   EXPECT_LE(at_client, 2u);
 }
 
-// More machines than the server's share of sockets: whoever came last found no socket while
-// connections that nobody used stayed open.
+// With more machines than the server's share of sockets, the last ones to connect found no free
+// socket while idle connections stayed open.
 TEST_F(Loopback, TheConnectionThatIsIdleLongestGivesWay) {
   limits.connections = 2;
   serve();
@@ -157,8 +159,8 @@
   EXPECT_TRUE(never);
 }
 
-// More workers than sockets: each is answered, some over connections that stay open and the others
-// over one that is closed with the answer.
+// With more workers than sockets each worker is still answered, some over connections that stay
+// open, the others over a connection that is closed after the answer.
 TEST_F(Loopback, MorePeersThanConnectionsAreServedInTurn) {
   constexpr int kPeers = 40;
   limits.connections = 12;
@@ -180,7 +182,7 @@
       << "those that stay open are used again: nobody is closed for others";
 }
 
-// A fleet that comes back all at once, while some answers take long.
+// This happens when all workers reconnect at once while some answers are slow.
 TEST_F(Loopback, APeerThatFindsNoPlaceIsToldAtOnceWhenToComeBack) {
   limits.connections = 4;
   limits.refusals = 2;
@@ -212,7 +214,8 @@
   EXPECT_EQ(server->counts().open, limits.connections);
 }
 
-// Users who have left keep connections for minutes; workers report over theirs.
+// Connections of users who have left stay open for minutes; they must not displace those over which
+// workers send heartbeats.
 TEST_F(Loopback, AConnectionThatNobodyUsesGivesWayToOneThatIsUsed) {
   limits.connections = 4;
   limits.kept_open = 1;
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -1,5 +1,6 @@
-// The parts of a node that need no other process: the pool of workers' clients, the generations of
-// the leader's decisions, the cloud's answers to rents, and what heartbeats carry.
+// The components of a node that run without other processes: the pool of HTTP clients for workers,
+// the generations of the scheduler, the pacing of record writes, the cloud's answers to scale-out
+// requests, and the hints in peer heartbeats.
 #include <gtest/gtest.h>
 
 #include "node/action_executor.h"
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,4 @@
-// What the controller's program needs of the system when it starts.
+// Shared libraries that the controller's program is linked to.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -8,7 +8,8 @@
 namespace sumacquay {
 namespace {
 
-// Their symbols are looked up one by one at each start: four fifths of what a start took.
+// The dynamic linker's search for the symbols of shared C++ libraries took four fifths of each
+// start.
 TEST(Program, LoadsNoSharedLibraryOfCpp) {
   std::ifstream file(SUMACQUAY_PROGRAM, std::ios::binary);
   const std::string program{std::istreambuf_iterator<char>(file), {}};
--- a/tests/prompt_dispatch_test.cpp
+++ b/tests/prompt_dispatch_test.cpp
@@ -1,4 +1,5 @@
-// Prompt dispatch: what goes out between two ticks, what must not, and what it costs.
+// Prompt dispatch: which commands are sent between two ticks, which must not be, and how much work
+// it takes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,9 +14,9 @@
 namespace sumacquay {
 namespace {
 
-// ---------------------------------------------------------------- the queue
+// ---------------------------------------------------------------- pending queue
 
-/// The same queue with a look at everything.
+/// Reference model of the queue that scans all entries.
 class PlainQueue {
  public:
   void put(const std::string& name, size_t priority) {
@@ -31,7 +32,7 @@
     if (waiting_.empty()) return std::nullopt;
     const auto next =
         std::min_element(waiting_.begin(), waiting_.end(), [](const Entry& a, const Entry& b) {
-          return a.priority < b.priority;  // the first of several, which is the oldest
+          return a.priority < b.priority;  // of equal entries the first, which is the oldest
         });
     std::string name = next->name;
     waiting_.erase(next);
@@ -67,7 +68,7 @@
   }));
 }
 
-// ---------------------------------------------------------------- the leader
+// ---------------------------------------------------------------- scheduler
 
 constexpr uint64_t kTerm = 1;
 constexpr uint64_t kFencingToken = kTerm << kFencingTokenCounterBits;
@@ -128,7 +129,7 @@
   const auto first = writes();
   ASSERT_EQ(first.size(), 2u);
   for (const auto& write : first) scheduler->on_write_answered(write, false, 0, kNow);
-  // The answers were lost, and the writes were carried out all the same.
+  // The answers were lost, but the writes were executed.
   for (const auto& write : first)
     if (write.record) scheduler->on_job_record(*write.record, ++revision, kNow);
   for (const auto& write : writes()) EXPECT_EQ(write.host, "i-1") << write.job;
@@ -222,7 +223,7 @@
   EXPECT_EQ(jobs, (std::vector<std::string>{"job-2", "job-1"}));
 }
 
-/// Looks at machines and jobs that it takes to start one more task.
+/// Starts one more task and returns how many machines and jobs were examined for it.
 size_t checks_of_one_start(PromptLeader& leader, size_t machines, size_t jobs) {
   const auto many = [](size_t i) { return std::to_string(1000 + i); };
   for (size_t i = 0; i < machines; ++i) leader.add_machine("i-" + many(i));
@@ -303,7 +304,7 @@
     options.machines = 8;
     simulation::Simulation simulation(seed, options);
     simulation.run_until([&] { return simulation.leader().has_value(); }, 60);
-    // Starts are on their way whenever a leader ends: work comes all the time.
+    // Jobs are submitted all the time, so that start commands are in flight whenever a leader ends.
     for (int round = 0; round < 6; ++round) {
       for (int i = 0; i < 4; ++i) simulation.users().submit_any();
       simulation.run_for(simulation.between(0.1, 1.5));
--- a/tests/record_capacity_test.cpp
+++ b/tests/record_capacity_test.cpp
@@ -1,4 +1,5 @@
-// Records of jobs within the limit on values, whatever is to be written in them.
+// Job records stay within the key-value store's limit on the size of values, whatever their
+// content.
 #include "wire/record_capacity.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
   return wire::json_size(wire::Document::parse(wire::encode_job(record))->root());
 }
 
-/// Done numbers with gaps of any size between them.
+/// Numbers of done tasks with gaps of random sizes between them.
 Ranges scattered(uint32_t tasks) {
   Ranges done;
   const auto widest = *rc::gen::element<uint32_t>(2, 3, 12, 130, 1100);
@@ -41,7 +42,7 @@
 JobRecord hostile_record() {
   JobRecord record;
   record.spec = *testing::job_spec();
-  // They leave the record before hosts or done numbers come into it.
+  // Dependencies are removed from a record before it gets hosts or numbers of done tasks.
   record.spec.dependencies.clear();
   record.spec.tasks = *rc::gen::element<uint32_t>(1, 2, 17, 100, 3000, 20000);
   record.state = *rc::gen::element(JobState::Pending, JobState::Cancelled, JobState::Done);
@@ -65,7 +66,7 @@
       RC_ASSERT(size_of(fitting) <= most_bytes);
       RC_ASSERT(size_of(fitting) <= room.taken_by(fitting));
       RC_ASSERT(wire::fitting_record(fitting, most_bytes) == fitting);
-      // Hosts and done numbers both take all that they may.
+      // Hosts and numbers of done tasks both take up all the space that they may.
       JobRecord fullest = record;
       fullest.hosts.emplace();
       while (room.holds(*fullest.hosts)) fullest.hosts->push_back("i-1234");
@@ -115,7 +116,7 @@
   }));
 }
 
-// A leader that is given what earlier versions stored under larger limits.
+// A leader that reads records stored by earlier versions under larger limits.
 
 struct LoweredLimits : ::testing::Test {
   static constexpr size_t kMostBytes = 2048;
@@ -147,7 +148,8 @@
     scheduler->restore_machine({"i-9", "10.0.0.1:9", "g", "e", false}, now);
   }
 
-  /// Far more than two KiB of done numbers, and of hosts that are all gone.
+  /// Stores far more than 2 KiB of numbers of done tasks, and of hosts of which all but one are
+  /// gone.
   void store_oversized() {
     for (uint32_t task = 0; task < record.spec.tasks; task += 4) record.done.add(task);
     record.hosts.emplace();
@@ -174,7 +176,8 @@
     return {{"job-1", task}, 7, TaskState::Exited, ExitCause::Done};
   }
 
-  /// How many records of jobs the leader writes in so many seconds. Each has to fit.
+  /// Returns how many live records of jobs the leader writes within `seconds`, and expects each of
+  /// them to be within the limit.
   int writes_within(int seconds) {
     int writes = 0;
     for (int i = 0; i < seconds; ++i) {
--- a/tests/record_tables_test.cpp
+++ b/tests/record_tables_test.cpp
@@ -10,13 +10,13 @@
 
 #include "store/keys.h"
 
-// Which of two changes of a record wins, in whatever order they arrive.
+// Which of two changes of a record takes effect, in whatever order they arrive.
 namespace sumacquay {
 namespace {
 
 constexpr size_t kMaxFinished = 2;
 
-/// Changes of keys, with the documents that their values point into.
+/// Builds changes of keys, and owns the documents that their values point into.
 class Changes {
  public:
   wire::StoreItem written(const std::string& key, const std::string& value, uint64_t version) {
--- a/tests/record_transaction_test.cpp
+++ b/tests/record_transaction_test.cpp
@@ -1,5 +1,5 @@
-// The leader's transaction as it is sent: its guards, its changes, and what a store that keeps
-// guards makes of it.
+// The leader's transaction as it is sent: its preconditions, its changes, and whether a store that
+// checks the preconditions commits it.
 #include "dispatch/record_transaction.h"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
   return write;
 }
 
-/// Whether the state service would carry the transaction out while these keys have these versions.
+/// Whether the key-value store would commit the transaction while the keys have these versions.
 bool passes(const RecordTransaction& transaction, const std::map<std::string, uint64_t>& versions) {
   return std::all_of(transaction.preconditions.begin(), transaction.preconditions.end(),
                      [&](const auto& precondition) {
@@ -114,7 +114,7 @@
   EXPECT_EQ(encoded(record_transaction(writes, kTermVersion)), expected);
 }
 
-/// The leader fills a transaction up to the state service's limit by this count.
+/// The leader relies on this count when it fills a transaction up to the key-value store's limit.
 TEST(RecordTransaction, HasAsManyChangesAsItsWritesSay) {
   for (const auto& write :
        {job_write("a", 4), finished_write("a", 4), host_write("i-1"), host_deletion("i-1")})
--- a/tests/simulators_test.cpp
+++ b/tests/simulators_test.cpp
@@ -1,5 +1,5 @@
-// The simulators: their side of the messages against the controllers', the state service's rules,
-// and the checker that judges loopback runs.
+// The simulators: their encoders and decoders against the controllers', the simulated key-value
+// store, and the rule checker for loopback deployments.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -83,7 +83,7 @@
   EXPECT_FALSE(limit.take(1, 100.5));
 }
 
-/// The state service's simulator and the controllers' own client of it, on loopback.
+/// The simulated key-value store and the controllers' client for it, on the loopback interface.
 struct StateOnLoopback : ::testing::Test {
   asio::io_context io{1};
   Settings settings;
@@ -136,7 +136,7 @@
   EXPECT_EQ(items->items[0].key, "a/2");
   EXPECT_TRUE(items->more);
 
-  // The lease ends, and whoever waits for changes hears that its key is gone.
+  // The lease expires, and the watch delivers the deletion of its key.
   const auto news = answer_to<HttpResult>(
       [&](auto done) { client->watch(wire::changes_path("a/", items->revision, 5000), 5, done); });
   const auto changes = wire::parse_changes(news.body);
@@ -161,7 +161,7 @@
   EXPECT_EQ(post().status, 429);
 }
 
-/// Two zones with a machine each, and jobs of one team that may use two GPUs.
+/// Two zones with one machine each, and a job of a team with a limit of two GPUs.
 struct Judged {
   JobBook jobs;
   WorkerState east, west;
@@ -195,7 +195,7 @@
   checker->user_told_unfinished("job-1", 3);
   jobs["job-1"].cancel_asked_at = 4;
   checker->user_told_cancelled("job-1", 5);
-  checker->user_told_unfinished("job-1", 4);  // asked before
+  checker->user_told_unfinished("job-1", 4);  // asked before the answer above
   checker->task_left(west, {"job-1", 0});
   checker->task_left(east, {"job-1", 1});
   checker->check_cancelled(100);
--- a/tests/socket_budget_test.cpp
+++ b/tests/socket_budget_test.cpp
@@ -1,4 +1,4 @@
-// How a controller's sockets are shared out, and which settings are refused.
+// The division of a controller's sockets among its parts, and which settings are rejected.
 #include "config/socket_budget.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return settings;
 }
 
-/// The refusal of the settings, empty if they are taken.
+/// The error with which the settings are rejected; empty if they are accepted.
 std::string refusal_of(const Settings& settings) {
   try {
     check_sockets(settings, "f.toml");
@@ -55,7 +55,7 @@
   const std::string field = "params.quota.fd_limit: ";
   struct Case {
     double sockets;
-    std::string refusal, cost;  ///< how they begin; empty: there is none
+    std::string refusal, cost;  ///< their beginnings; empty if there is none
   };
   const std::vector<Case> cases = {
       {60, "f.toml: " + field + "too few", ""}, {120, "", field + "120 sockets"}, {2208, "", ""}};
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -6,9 +6,9 @@
 
 #include "wire/messages.h"
 
-// Two versions serve side by side while controllers are upgraded. The bytes here were written by
-// the encoders of the version before jobs could depend on others, and what that version requires of
-// a record is what it wrote itself.
+// During an upgrade controllers of two versions run side by side. The bytes here were written by
+// the encoders of the last version without dependencies between jobs. That version requires of a
+// record all fields that it writes itself.
 namespace sumacquay {
 namespace {
 
@@ -51,8 +51,8 @@
   return map.as<Fields>();
 }
 
-/// Whether `wider` has every field of `narrower` with the same value, the job's description looked
-/// through field by field as well.
+/// Expects that `wider` has every field of `narrower` with the same value. A job's description is
+/// also compared field by field.
 void expect_all_fields(const std::string& narrower, const std::string& wider) {
   const auto narrow = msgpack::unpack(narrower.data(), narrower.size());
   const auto wide = msgpack::unpack(wider.data(), wider.size());
@@ -88,7 +88,7 @@
   EXPECT_EQ(record, (FinishedRecord{JobState::Done, 300, 0}));
 }
 
-/// While nothing new is asked of the service, both versions write the same bytes.
+/// As long as the new fields are not used, both versions write the same bytes.
 TEST(Upgrade, RecordsOfJobsWithoutDependenciesAreWrittenAsTheOldVersionDid) {
   for (const auto old : {kOldJobWithEveryField, kOldJobWithoutOptionalFields}) {
     const std::string bytes = bytes_of(old);
@@ -109,8 +109,8 @@
   expect_all_fields(bytes_of(kOldFinished), wire::encode_finished({JobState::Done, 300, 17}));
 }
 
-/// The old version rewrites a record without the fields that it doesn't know. What is lost is the
-/// time at which a job was ready or done: nothing starts or ends for it.
+/// When the old version rewrites a record, it drops the fields that it doesn't have. Only the times
+/// at which a job became ready or ended are lost; no job starts or ends because of that.
 TEST(Upgrade, ARecordThatTheOldVersionHasRewrittenIsWhole) {
   JobRecord record = decoded_job(bytes_of(kOldJobWithEveryField));
   record.ready_ms = 1700000000200;
