--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -14,13 +14,13 @@
 
 /// An executor with two connections for commands on a node that leads, and workers on the loopback
 /// interface that withhold their answers until `answer_all` is called.
-struct OrdersToManyWorkers : ::testing::Test {
+struct ActionExecutorCommandQueue : ::testing::Test {
   static constexpr size_t kConnections = 2;
 
   struct Worker {
     std::unique_ptr<HttpServer> server;
     std::string address;
-    std::vector<Respond> held;
+    std::vector<Respond> unanswered;
   };
 
   asio::io_context io;
@@ -34,7 +34,7 @@
   ActionExecutor executor{io, settings, kConnections, cloud, election, scheduler};
   std::vector<std::unique_ptr<Worker>> workers;
 
-  OrdersToManyWorkers() {
+  ActionExecutorCommandQueue() {
     settings.heartbeat_period_s = 2;
     settings.lease_s = 30;
     const Seconds now = steady_now();
@@ -50,15 +50,15 @@
       auto worker = std::make_unique<Worker>();
       worker->server = std::make_unique<HttpServer>(
           io, Endpoint{"127.0.0.1", 0}, HttpLimits{},
-          [held = &worker->held](const HttpRequest&, const Respond& respond) {
-            held->push_back(respond);
+          [unanswered = &worker->unanswered](const HttpRequest&, const Respond& respond) {
+            unanswered->push_back(respond);
           });
       worker->address = "127.0.0.1:" + std::to_string(worker->server->port());
       workers.push_back(std::move(worker));
     }
   }
 
-  void batch(const Worker& worker) {
+  void send_commands(const Worker& worker) {
     SendCommands batch;
     batch.machine = "at " + worker.address;
     batch.addr = worker.address;
@@ -67,15 +67,15 @@
     executor.perform(Action(batch));
   }
 
-  size_t asked() const {
+  size_t unanswered_requests() const {
     size_t count = 0;
-    for (const auto& worker : workers) count += worker->held.size();
+    for (const auto& worker : workers) count += worker->unanswered.size();
     return count;
   }
 
   void answer_all() {
     for (auto& worker : workers)
-      for (const auto& respond : std::exchange(worker->held, {})) respond({409, {}, 0});
+      for (const auto& respond : std::exchange(worker->unanswered, {})) respond({409, {}, 0});
   }
 
   bool run_until(const std::function<bool()>& done) {
@@ -90,37 +90,40 @@
 // Guards against giving up a command that finds no free connection: the scheduler then treated it
 // as one that may still be executed, and sent the machine nothing for a heartbeat period and until
 // its worker had reported a new fencing token.
-TEST_F(OrdersToManyWorkers, WaitForAConnectionAndAllArrive) {
+TEST_F(ActionExecutorCommandQueue, CommandsBeyondConnectionLimitAreQueuedAndAllSent) {
   constexpr int kWorkers = 9;
   add_workers(kWorkers);
-  for (const auto& worker : workers) batch(*worker);
+  for (const auto& worker : workers) send_commands(*worker);
   EXPECT_EQ(executor.waiting_commands(), kWorkers - kConnections);
-  size_t arrived = 0;
-  while (arrived < kWorkers) {
-    const size_t expected = std::min<size_t>(kConnections, kWorkers - arrived);
-    ASSERT_TRUE(run_until([&] { return asked() == expected; })) << arrived;
-    arrived += expected;
+  size_t received = 0;
+  while (received < kWorkers) {
+    const size_t expected = std::min<size_t>(kConnections, kWorkers - received);
+    ASSERT_TRUE(run_until([&] { return unanswered_requests() == expected; }))
+        << "expected " << expected << " more requests after " << received;
+    received += expected;
     answer_all();
   }
   EXPECT_EQ(executor.waiting_commands(), 0u);
 }
 
-TEST_F(OrdersToManyWorkers, AreNotSentOnceThisNodeLeadsNoMore) {
+TEST_F(ActionExecutorCommandQueue, QueuedCommandsAreNotSentAfterLosingLeadership) {
   constexpr int kWorkers = 3;
   add_workers(kWorkers);
-  for (const auto& worker : workers) batch(*worker);
-  ASSERT_TRUE(run_until([&] { return asked() == kConnections; }));
+  for (const auto& worker : workers) send_commands(*worker);
+  ASSERT_TRUE(run_until([&] { return unanswered_requests() == kConnections; }))
+      << "unanswered requests: " << unanswered_requests();
   election.observe_term(steady_now(), kTerm + 1);
   answer_all();
-  ASSERT_TRUE(run_until([&] { return executor.waiting_commands() == 0; }));
+  ASSERT_TRUE(run_until([&] { return executor.waiting_commands() == 0; }))
+      << "queued commands: " << executor.waiting_commands();
   io.restart();
   io.run_for(std::chrono::milliseconds(200));
-  EXPECT_EQ(asked(), 0u);
+  EXPECT_EQ(unanswered_requests(), 0u);
 }
 
-TEST_F(OrdersToManyWorkers, AreForgottenWhenTheNodeStepsDown) {
+TEST_F(ActionExecutorCommandQueue, StopDropsQueuedCommands) {
   add_workers(3);
-  for (const auto& worker : workers) batch(*worker);
+  for (const auto& worker : workers) send_commands(*worker);
   EXPECT_EQ(executor.waiting_commands(), 1u);
   executor.stop();
   EXPECT_EQ(executor.waiting_commands(), 0u);
--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -25,7 +25,7 @@
   return digests;
 }
 
-TEST(DecisionDigests, EqualTheStoredOnes) {
+TEST(DecisionDigests, MatchStoredDigests) {
   std::map<std::string, std::string> digests;
   for (const auto& scenario : testing::decision_scenarios())
     digests[scenario.name + " " + std::to_string(scenario.seed)] =
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -16,94 +16,96 @@
 
 using sumacquay::testing::holds;
 
-JobRecord pending(const std::string& id, std::vector<std::string> dependencies = {}) {
+JobRecord pending_record(const std::string& id, std::vector<std::string> dependencies = {}) {
   JobRecord record;
   record.spec.id = id;
   record.spec.dependencies = std::move(dependencies);
   return record;
 }
 
-JobRecord ended(const std::string& id, JobState state, uint64_t ended_ms = 0) {
-  JobRecord record = pending(id);
+JobRecord ended_record(const std::string& id, JobState state, uint64_t ended_ms = 0) {
+  JobRecord record = pending_record(id);
   record.state = state;
   record.ended_ms = ended_ms;
   return record;
 }
 
-TEST(DependencyGraph, AJobIsReadyOnceAllItsDependenciesAreDone) {
+TEST(DependencyGraph, JobIsReadyOnceAllDependenciesAreDone) {
   DependencyGraph graph;
-  graph.update(pending("job-1"));
-  graph.update(pending("job-2"));
-  graph.update(pending("job-3", {"job-1", "job-2"}));
+  graph.update(pending_record("job-1"));
+  graph.update(pending_record("job-2"));
+  graph.update(pending_record("job-3", {"job-1", "job-2"}));
   EXPECT_TRUE(graph.ready("job-1"));
   EXPECT_FALSE(graph.ready("job-3"));
-  graph.update(ended("job-2", JobState::Done, 70));
+  graph.update(ended_record("job-2", JobState::Done, 70));
   EXPECT_FALSE(graph.ready("job-3"));
   graph.finished("job-1", JobState::Done, 50);
   EXPECT_TRUE(graph.ready("job-3"));
-  EXPECT_EQ(graph.ready_ms("job-3"), 70u) << "when the last of them ended";
+  EXPECT_EQ(graph.ready_ms("job-3"), 70u) << "the time at which the last dependency ended";
 }
 
-TEST(DependencyGraph, ACancellationReachesAllThatDependOnTheJob) {
+TEST(DependencyGraph, CancellationPropagatesToAllDependents) {
   DependencyGraph graph;
-  graph.update(pending("job-1"));
-  graph.update(pending("job-2", {"job-1"}));
-  graph.update(pending("job-3", {"job-2"}));
-  graph.update(pending("job-4"));
-  graph.update(ended("job-1", JobState::Cancelled));
+  graph.update(pending_record("job-1"));
+  graph.update(pending_record("job-2", {"job-1"}));
+  graph.update(pending_record("job-3", {"job-2"}));
+  graph.update(pending_record("job-4"));
+  graph.update(ended_record("job-1", JobState::Cancelled));
   EXPECT_TRUE(graph.cancelled("job-2"));
   EXPECT_TRUE(graph.cancelled("job-3"));
   EXPECT_FALSE(graph.cancelled("job-4"));
-  graph.update(pending("job-5", {"job-4", "job-3"}));
-  EXPECT_TRUE(graph.cancelled("job-5")) << "it names a job that is being cancelled";
+  graph.update(pending_record("job-5", {"job-4", "job-3"}));
+  EXPECT_TRUE(graph.cancelled("job-5"))
+      << "it depends on job-3, which is cancelled through its own dependency";
   EXPECT_FALSE(graph.ready("job-5"));
 }
 
-TEST(DependencyGraph, AJobThatHasLeftIsUnknownUntilItsEndIsTold) {
+TEST(DependencyGraph, ForgottenDependencyIsUnknownUntilItsEndIsEntered) {
   DependencyGraph graph;
-  graph.update(pending("job-1"));
-  graph.update(pending("job-2", {"job-1"}));
-  graph.update(pending("job-3", {"job-2"}));
+  graph.update(pending_record("job-1"));
+  graph.update(pending_record("job-2", {"job-1"}));
+  graph.update(pending_record("job-3", {"job-2"}));
   graph.forget("job-1");
   EXPECT_EQ(graph.unknown(), std::set<std::string>{"job-1"});
   EXPECT_FALSE(graph.ready("job-2"));
-  EXPECT_FALSE(graph.certain("job-3")) << "it may be cancelled two steps away";
+  EXPECT_FALSE(graph.certain("job-3"))
+      << "job-1, on which it depends through job-2, may be cancelled";
   graph.finished("job-1", JobState::Done, 5);
   EXPECT_TRUE(graph.certain("job-3"));
   EXPECT_TRUE(graph.ready("job-2"));
 }
 
 /// A stale record must not reopen a job that has ended.
-TEST(DependencyGraph, AnEndIsFinal) {
+TEST(DependencyGraph, FinalStateIsNotOverwritten) {
   DependencyGraph graph;
-  graph.update(pending("job-1"));
-  graph.update(pending("job-2", {"job-1"}));
-  graph.update(ended("job-1", JobState::Cancelled));
-  graph.update(pending("job-1"));
+  graph.update(pending_record("job-1"));
+  graph.update(pending_record("job-2", {"job-1"}));
+  graph.update(ended_record("job-1", JobState::Cancelled));
+  graph.update(pending_record("job-1"));
   graph.finished("job-1", JobState::Done, 5);
   EXPECT_FALSE(graph.ready("job-2"));
   EXPECT_TRUE(graph.cancelled("job-2"));
 }
 
 /// A record that is written after the job became ready no longer lists its dependencies.
-TEST(DependencyGraph, ALaterRecordMayLeaveOutDependencies) {
+TEST(DependencyGraph, LaterRecordMayOmitDependencies) {
   DependencyGraph graph;
-  graph.update(pending("job-1"));
-  graph.update(pending("job-2", {"job-1"}));
-  graph.update(pending("job-2"));
+  graph.update(pending_record("job-1"));
+  graph.update(pending_record("job-2", {"job-1"}));
+  graph.update(pending_record("job-2"));
   EXPECT_FALSE(graph.ready("job-2"));
   graph.finished("job-1", JobState::Done, 5);
-  graph.update(pending("job-2"));
+  graph.update(pending_record("job-2"));
   EXPECT_TRUE(graph.ready("job-2"));
 }
 
-TEST(DependencyGraph, NothingIsKeptOfJobsThatAreOver) {
+TEST(DependencyGraph, DropsEndedJobs) {
   DependencyGraph graph;
   for (int i = 0; i < 100; ++i) {
     const std::string first = "job-" + std::to_string(2 * i);
     const std::string second = "job-" + std::to_string(2 * i + 1);
-    graph.update(pending(first));
-    graph.update(pending(second, {first}));
+    graph.update(pending_record(first));
+    graph.update(pending_record(second, {first}));
     graph.finished(first, JobState::Done, 1);
     graph.forget(first);
     graph.finished(second, i % 2 == 0 ? JobState::Done : JobState::Cancelled, 1);
@@ -114,20 +116,20 @@
 
 /// Guards against recursive and quadratic traversals: on these graphs they would overflow the stack
 /// or not finish.
-TEST(DependencyGraph, LongChainsAndWideFansAreCheap) {
+TEST(DependencyGraph, HandlesLongChainsAndWideFans) {
   constexpr int kJobs = 100000;
   DependencyGraph chain;
   DependencyGraph fan;
-  chain.update(pending("job-0"));
-  fan.update(pending("job-0"));
+  chain.update(pending_record("job-0"));
+  fan.update(pending_record("job-0"));
   for (int i = 1; i < kJobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
-    chain.update(pending(id, {"job-" + std::to_string(i - 1)}));
-    fan.update(pending(id, {"job-0"}));
+    chain.update(pending_record(id, {"job-" + std::to_string(i - 1)}));
+    fan.update(pending_record(id, {"job-0"}));
   }
   const std::string last = "job-" + std::to_string(kJobs - 1);
-  chain.update(ended("job-0", JobState::Cancelled));
-  fan.update(ended("job-0", JobState::Done));
+  chain.update(ended_record("job-0", JobState::Cancelled));
+  fan.update(ended_record("job-0", JobState::Done));
   EXPECT_TRUE(chain.cancelled(last));
   EXPECT_TRUE(fan.ready(last));
   for (int i = 0; i < kJobs; ++i) {
@@ -139,33 +141,33 @@
 }
 
 /// Reference model: the jobs and their known states, scanned in full for every query.
-class Model {
+class ReferenceModel {
  public:
-  enum class Known { Nothing, Pending, Done, Cancelled };
+  enum class State { Unknown, Pending, Done, Cancelled };
   struct Job {
     std::vector<size_t> dependencies;
-    Known known = Known::Nothing;
+    State state = State::Unknown;
   };
-  explicit Model(size_t jobs) : jobs_(jobs) {}
+  explicit ReferenceModel(size_t jobs) : jobs_(jobs) {}
   Job& job(size_t index) { return jobs_[index]; }
   size_t size() const { return jobs_.size(); }
 
   bool ready(size_t index) const {
     const auto& dependencies = jobs_[index].dependencies;
     return std::all_of(dependencies.begin(), dependencies.end(),
-                       [this](size_t d) { return jobs_[d].known == Known::Done; });
+                       [this](size_t d) { return jobs_[d].state == State::Done; });
   }
   bool cancelled(size_t index) const {
-    if (jobs_[index].known == Known::Cancelled) return true;
-    if (jobs_[index].known == Known::Nothing) return false;  // its dependencies are unknown too
+    if (jobs_[index].state == State::Cancelled) return true;
+    if (jobs_[index].state == State::Unknown) return false;  // its dependencies are unknown too
     const auto& dependencies = jobs_[index].dependencies;
     return std::any_of(dependencies.begin(), dependencies.end(),
                        [this](size_t d) { return cancelled(d); });
   }
   bool certain(size_t index) const {
     if (cancelled(index)) return true;
-    if (jobs_[index].known == Known::Nothing) return false;
-    if (jobs_[index].known == Known::Done) return true;
+    if (jobs_[index].state == State::Unknown) return false;
+    if (jobs_[index].state == State::Done) return true;
     const auto& dependencies = jobs_[index].dependencies;
     return std::all_of(dependencies.begin(), dependencies.end(),
                        [this](size_t d) { return certain(d); });
@@ -175,7 +177,7 @@
   std::vector<Job> jobs_;
 };
 
-std::string id_of(size_t index) {
+std::string job_id(size_t index) {
   return "job-" + std::to_string(index);
 }
 
@@ -183,38 +185,40 @@
 /// order, are updated again while they are pending, end, and are forgotten by the graph once they
 /// are cancelled. The known ends of a job's dependencies are entered again with each of its
 /// updates.
-void draw_event(DependencyGraph& graph, Model& model) {
+void draw_event(DependencyGraph& graph, ReferenceModel& model) {
   const auto index = *rc::gen::inRange<size_t>(0, model.size());
-  Model::Job& job = model.job(index);
-  const bool over = job.known == Model::Known::Done || job.known == Model::Known::Cancelled;
+  ReferenceModel::Job& job = model.job(index);
+  const bool has_ended =
+      job.state == ReferenceModel::State::Done || job.state == ReferenceModel::State::Cancelled;
   const int event = *rc::gen::inRange(0, 4);
-  if (over) return;
-  if (job.known == Model::Known::Nothing || event == 0) {
+  if (has_ended) return;
+  if (job.state == ReferenceModel::State::Unknown || event == 0) {
     std::vector<std::string> dependencies;
-    for (size_t d : job.dependencies) dependencies.push_back(id_of(d));
-    graph.update(pending(id_of(index), dependencies));
+    for (size_t d : job.dependencies) dependencies.push_back(job_id(d));
+    graph.update(pending_record(job_id(index), dependencies));
     for (size_t d : job.dependencies) {
-      const auto known = model.job(d).known;
-      if (known == Model::Known::Done) graph.finished(id_of(d), JobState::Done, d);
-      if (known == Model::Known::Cancelled) graph.finished(id_of(d), JobState::Cancelled, 0);
+      const auto state = model.job(d).state;
+      if (state == ReferenceModel::State::Done) graph.finished(job_id(d), JobState::Done, d);
+      if (state == ReferenceModel::State::Cancelled)
+        graph.finished(job_id(d), JobState::Cancelled, 0);
     }
-    job.known = Model::Known::Pending;
+    job.state = ReferenceModel::State::Pending;
   } else if (event == 1 && model.ready(index)) {
-    job.known = Model::Known::Done;
-    graph.update(ended(id_of(index), JobState::Done, index));
+    job.state = ReferenceModel::State::Done;
+    graph.update(ended_record(job_id(index), JobState::Done, index));
   } else if (event == 2) {
-    job.known = Model::Known::Cancelled;
-    graph.finished(id_of(index), JobState::Cancelled, 0);
-    graph.forget(id_of(index));
+    job.state = ReferenceModel::State::Cancelled;
+    graph.finished(job_id(index), JobState::Cancelled, 0);
+    graph.forget(job_id(index));
   }
 }
 
-TEST(DependencyGraph, TellsWhatAModelTells) {
+TEST(DependencyGraph, AgreesWithReferenceModel) {
   EXPECT_TRUE(holds(
       "graph and model agree",
       [] {
         const auto jobs = *rc::gen::inRange<size_t>(1, 12);
-        Model model(jobs);
+        ReferenceModel model(jobs);
         for (size_t i = 0; i < jobs; ++i)
           for (size_t d = 0; d < i; ++d)
             if (*rc::gen::inRange(0, 3) == 0) model.job(i).dependencies.push_back(d);
@@ -222,10 +226,10 @@
         for (int step = 0; step < 60; ++step) {
           draw_event(graph, model);
           for (size_t i = 0; i < jobs; ++i) {
-            if (model.job(i).known != Model::Known::Pending) continue;
-            RC_ASSERT(graph.ready(id_of(i)) == model.ready(i));
-            RC_ASSERT(graph.cancelled(id_of(i)) == model.cancelled(i));
-            RC_ASSERT(graph.certain(id_of(i)) == model.certain(i));
+            if (model.job(i).state != ReferenceModel::State::Pending) continue;
+            RC_ASSERT(graph.ready(job_id(i)) == model.ready(i));
+            RC_ASSERT(graph.cancelled(job_id(i)) == model.cancelled(i));
+            RC_ASSERT(graph.certain(job_id(i)) == model.certain(i));
           }
         }
       },
--- a/tests/dependents_leader_test.cpp
+++ b/tests/dependency_record_ingestion_test.cpp
@@ -12,21 +12,21 @@
 namespace {
 
 constexpr Seconds kNow = 1000;
-constexpr Seconds kFence = 1002;
-constexpr size_t kMostChanges = 12;
+constexpr Seconds kPreviousLeaderFencedAt = 1002;
+constexpr size_t kMaxChanges = 12;
 
-struct LeaderOfDependents : ::testing::Test {
+struct DependencyRecordIngestion : ::testing::Test {
   Settings settings;
   std::unique_ptr<Scheduler> scheduler;
 
-  LeaderOfDependents() {
+  DependencyRecordIngestion() {
     TeamSettings team;
     team.name = "t";
     settings.teams = {team};
-    scheduler = std::make_unique<Scheduler>(settings, 1, kNow, kFence);
+    scheduler = std::make_unique<Scheduler>(settings, 1, kNow, kPreviousLeaderFencedAt);
   }
 
-  static JobRecord job(const std::string& id, std::vector<std::string> dependencies = {}) {
+  static JobRecord job_record(const std::string& id, std::vector<std::string> dependencies = {}) {
     JobRecord record;
     record.spec.id = id;
     record.spec.team = "t";
@@ -35,8 +35,8 @@
     record.submitted_ms = 1;
     return record;
   }
-  static JobRecord ended(const std::string& id, JobState state) {
-    JobRecord record = job(id);
+  static JobRecord ended_record(const std::string& id, JobState state) {
+    JobRecord record = job_record(id);
     record.state = state;
     record.started = true;
     return record;
@@ -48,25 +48,25 @@
   }
 };
 
-TEST_F(LeaderOfDependents, WritesDownThatTheyAreCancelledWhicheverRecordItReadsFirst) {
+TEST_F(DependencyRecordIngestion, RecordsCancellationOfDependentsInAnyReadOrder) {
   add_silent_machine();
-  scheduler->on_job_record(ended("job-1", JobState::Cancelled), 1, kNow);
-  scheduler->on_job_record(job("job-3", {"job-2"}), 1, kNow);
-  scheduler->on_job_record(job("job-2", {"job-1"}), 1, kNow);
+  scheduler->on_job_record(ended_record("job-1", JobState::Cancelled), 1, kNow);
+  scheduler->on_job_record(job_record("job-3", {"job-2"}), 1, kNow);
+  scheduler->on_job_record(job_record("job-2", {"job-1"}), 1, kNow);
   EXPECT_TRUE(scheduler->unknown_dependencies().empty());
   std::set<std::string> cancelled;
-  for (const auto& write : scheduler->plan_writes(kNow, kMostChanges))
+  for (const auto& write : scheduler->plan_writes(kNow, kMaxChanges))
     if (write.finished && write.record->state == JobState::Cancelled) cancelled.insert(write.job);
   const std::set<std::string> dependents{"job-2", "job-3"};
-  EXPECT_EQ(cancelled, dependents) << "tasks of the first may still run";
+  EXPECT_EQ(cancelled, dependents) << "job-1 stays live, as its tasks may still run";
 }
 
-TEST_F(LeaderOfDependents, KnowsOfAnEndAmongTheLiveRecords) {
+TEST_F(DependencyRecordIngestion, FindsEndOfDependencyAmongLiveRecords) {
   add_silent_machine();
-  scheduler->on_job_record(ended("job-1", JobState::Done), 1, kNow);
-  scheduler->on_job_record(job("job-2", {"job-1"}), 1, kNow);
+  scheduler->on_job_record(ended_record("job-1", JobState::Done), 1, kNow);
+  scheduler->on_job_record(job_record("job-2", {"job-1"}), 1, kNow);
   EXPECT_TRUE(scheduler->unknown_dependencies().empty());
-  scheduler->on_job_record(job("job-3", {"job-9"}), 1, kNow);
+  scheduler->on_job_record(job_record("job-3", {"job-9"}), 1, kNow);
   EXPECT_EQ(scheduler->unknown_dependencies(), std::set<std::string>{"job-9"});
 }
 
--- a/tests/dependents_test.cpp
+++ b/tests/dependent_job_scheduling_test.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 /// A leader with one machine, whose worker sends a heartbeat with each call of `heartbeat`.
-class DependentJobs : public ::testing::Test {
+class DependentJobScheduling : public ::testing::Test {
  protected:
-  DependentJobs() {
+  DependentJobScheduling() {
     settings_.heartbeat_period_s = 1;
     settings_.lease_s = 10;
     TeamSettings team;
@@ -27,17 +27,17 @@
     type_.name = "g";
     type_.capacity = {8, 4, 64};
     type_.zones = {"e"};
-    new_leader(1);
+    start_leader(1);
   }
 
-  void new_leader(uint64_t term) {
+  void start_leader(uint64_t term) {
     scheduler_ = std::make_unique<Scheduler>(settings_, term, now_, now_);
     scheduler_->set_machine_types({type_});
     heartbeat();
     heartbeat();
   }
 
-  static JobRecord job(const std::string& id, std::vector<std::string> dependencies = {}) {
+  static JobRecord job_record(const std::string& id, std::vector<std::string> dependencies = {}) {
     JobRecord record;
     record.spec.id = id;
     record.spec.team = "t";
@@ -49,7 +49,9 @@
     return record;
   }
 
-  void store(const JobRecord& record) { scheduler_->on_job_record(record, ++revision_, now_); }
+  void read_record(const JobRecord& record) {
+    scheduler_->on_job_record(record, ++revision_, now_);
+  }
 
   void heartbeat(std::vector<TaskStatus> tasks = {}) {
     WorkerHeartbeat worker;
@@ -65,7 +67,7 @@
   }
 
   /// Runs a placement round and commits the record writes that the leader plans after it.
-  void round() {
+  void run_round() {
     now_ += 0.5;
     scheduler_->request_round();
     scheduler_->tick(now_);
@@ -76,12 +78,12 @@
       }
   }
 
-  bool assignments(const std::string& id) const {
+  bool placed(const std::string& id) const {
     const auto found = scheduler_->jobs().find(id);
     return found != scheduler_->jobs().end() && !found->second.possible_placements.empty();
   }
 
-  size_t being_stopped(const std::string& id) const {
+  size_t tasks_being_stopped(const std::string& id) const {
     const auto& attempts = scheduler_->machines().at("i-1").attempts;
     return static_cast<size_t>(
         std::count_if(attempts.begin(), attempts.end(), [&](const auto& entry) {
@@ -90,11 +92,11 @@
   }
 
   /// Reports all tasks of a placed job as done.
-  void finish(const std::string& id) {
+  void report_done(const std::string& id) {
     std::vector<TaskStatus> tasks;
-    for (const auto& [task, places] : scheduler_->jobs().at(id).possible_placements)
-      for (const auto& place : places)
-        tasks.push_back({{id, task}, place.attempt, TaskState::Exited, ExitCause::Done});
+    for (const auto& [task, placements] : scheduler_->jobs().at(id).possible_placements)
+      for (const auto& placement : placements)
+        tasks.push_back({{id, task}, placement.attempt, TaskState::Exited, ExitCause::Done});
     heartbeat(tasks);
   }
 
@@ -117,40 +119,40 @@
 
 /// It is not enough that the leader has been told of the end of the last task: the write of the
 /// job's record may still fail.
-TEST_F(DependentJobs, StartOnceTheLastDependencyIsDurablyDone) {
-  store(job("job-1"));
-  store(job("job-2", {"job-1"}));
-  round();
-  EXPECT_TRUE(assignments("job-1"));
-  EXPECT_FALSE(assignments("job-2"));
-  finish("job-1");
+TEST_F(DependentJobScheduling, StartsJobOnceLastDependencyIsDurablyDone) {
+  read_record(job_record("job-1"));
+  read_record(job_record("job-2", {"job-1"}));
+  run_round();
+  EXPECT_TRUE(placed("job-1"));
+  EXPECT_FALSE(placed("job-2"));
+  report_done("job-1");
   scheduler_->request_round();
   scheduler_->tick(now_ += 0.5);
-  EXPECT_FALSE(assignments("job-2")) << "nothing of it is durable yet";
-  round();
-  round();
-  EXPECT_TRUE(assignments("job-2"));
+  EXPECT_FALSE(placed("job-2")) << "the end of job-1 is not durable yet";
+  run_round();
+  run_round();
+  EXPECT_TRUE(placed("job-2"));
 }
 
-TEST_F(DependentJobs, StartTheSameWayUnderALeaderThatNeverSawTheDependency) {
-  new_leader(2);
-  store(job("job-2", {"job-1"}));
-  round();
-  EXPECT_FALSE(assignments("job-2"));
+TEST_F(DependentJobScheduling, StartsJobUnderLeaderWithoutRecordOfDependency) {
+  start_leader(2);
+  read_record(job_record("job-2", {"job-1"}));
+  run_round();
+  EXPECT_FALSE(placed("job-2"));
   EXPECT_EQ(scheduler_->unknown_dependencies(), std::set<std::string>{"job-1"});
   scheduler_->on_dependency_finished("job-1", {JobState::Done, 2, 5000});
-  round();
-  EXPECT_TRUE(assignments("job-2"));
+  run_round();
+  EXPECT_TRUE(placed("job-2"));
 }
 
-TEST_F(DependentJobs, AreWrittenDownAsCancelledWithTheirDependency) {
-  store(job("job-1"));
-  store(job("job-2", {"job-1"}));
-  store(job("job-3", {"job-2"}));
-  auto cancelled = job("job-1");
+TEST_F(DependentJobScheduling, RecordsDependentsOfCancelledJobAsCancelled) {
+  read_record(job_record("job-1"));
+  read_record(job_record("job-2", {"job-1"}));
+  read_record(job_record("job-3", {"job-2"}));
+  auto cancelled = job_record("job-1");
   cancelled.state = JobState::Cancelled;
-  store(cancelled);
-  round();
+  read_record(cancelled);
+  run_round();
   for (const std::string id : {"job-2", "job-3"}) {
     ASSERT_NE(last_write_of(id), nullptr) << id;
     EXPECT_EQ(last_write_of(id)->record->state, JobState::Cancelled);
@@ -161,10 +163,10 @@
 
 /// When the job starts, its record drops the dependencies and keeps only the time at which it
 /// became ready.
-TEST_F(DependentJobs, KeepTheTimeWhenTheyWereReadyInTheirRecord) {
-  store(job("job-2", {"job-1"}));
+TEST_F(DependentJobScheduling, RecordOfStartedJobKeepsReadyTime) {
+  read_record(job_record("job-2", {"job-1"}));
   scheduler_->on_dependency_finished("job-1", {JobState::Done, 2, 900000});
-  round();
+  run_round();
   ASSERT_NE(last_write_of("job-2"), nullptr);
   const JobRecord& record = *last_write_of("job-2")->record;
   EXPECT_TRUE(record.started);
@@ -172,11 +174,11 @@
   EXPECT_TRUE(record.spec.dependencies.empty());
 }
 
-TEST_F(DependentJobs, TellWhenTheyWereDone) {
-  store(job("job-1"));
-  round();
-  finish("job-1");
-  round();
+TEST_F(DependentJobScheduling, RecordOfDoneJobHasItsEndTime) {
+  read_record(job_record("job-1"));
+  run_round();
+  report_done("job-1");
+  run_round();
   ASSERT_NE(last_write_of("job-1"), nullptr);
   EXPECT_EQ(last_write_of("job-1")->record->state, JobState::Done);
   EXPECT_EQ(last_write_of("job-1")->record->ended_ms, static_cast<uint64_t>(now_ * 1000));
@@ -184,63 +186,63 @@
 
 /// A job that waits for its dependencies uses nothing of its team's fair share. Otherwise the
 /// younger job would exceed the fair share of four CPUs and could not preempt.
-TEST_F(DependentJobs, HoldNothingOfTheGuaranteeWhileTheyWait) {
+TEST_F(DependentJobScheduling, WaitingJobUsesNothingOfFairShare) {
   TeamSettings other;
   other.name = "other";
   other.cpus_max = 100;
   settings_.teams.push_back(other);
-  auto borrowed = job("job-1");
-  borrowed.spec.team = "other";
-  borrowed.spec.tasks = 8;
-  store(borrowed);
-  round();
+  auto borrower = job_record("job-1");
+  borrower.spec.team = "other";
+  borrower.spec.tasks = 8;
+  read_record(borrower);
+  run_round();
   ASSERT_EQ(scheduler_->jobs().at("job-1").possible_placements.size(), 8u);
-  auto waits = job("job-2", {"job-9"});
-  waits.spec.tasks = 4;
-  store(waits);
-  auto younger = job("job-3");
+  auto waiting = job_record("job-2", {"job-9"});
+  waiting.spec.tasks = 4;
+  read_record(waiting);
+  auto younger = job_record("job-3");
   younger.submitted_ms = 2;
-  store(younger);
-  round();
-  round();  // each round preempts for one task
-  EXPECT_EQ(being_stopped("job-1"), 2u)
-      << "job-3 is within the guarantee, and borrowed work yields";
+  read_record(younger);
+  run_round();
+  run_round();  // each round preempts for one task
+  EXPECT_EQ(tasks_being_stopped("job-1"), 2u)
+      << "job-3 is within its team's fair share, so borrowed tasks are preempted";
 }
 
 /// The younger job goes first: the older one's waiting time counts from when it became ready.
-TEST_F(DependentJobs, ArriveWhenTheyAreReady) {
-  auto older = job("job-2", {"job-1"});
+TEST_F(DependentJobScheduling, QueuesJobByTheTimeItBecameReady) {
+  auto older = job_record("job-2", {"job-1"});
   older.spec.tasks = 6;
-  auto younger = job("job-3");
+  auto younger = job_record("job-3");
   younger.spec.tasks = 6;
   younger.submitted_ms = 500000;
-  store(older);
-  store(younger);
+  read_record(older);
+  read_record(younger);
   scheduler_->on_dependency_finished("job-1", {JobState::Done, 2, 900000});
-  round();
-  EXPECT_TRUE(assignments("job-3"));
-  EXPECT_FALSE(assignments("job-2"));
+  run_round();
+  EXPECT_TRUE(placed("job-3"));
+  EXPECT_FALSE(placed("job-2"));
 }
 
 /// Users set the priority on the last job of a pipeline only, so its dependencies have to inherit
 /// it.
-TEST_F(DependentJobs, LendTheirPriorityThroughAnyNumberOfSteps) {
-  auto last = job("job-4", {"job-3"});
+TEST_F(DependentJobScheduling, DependenciesInheritPriorityTransitively) {
+  auto last = job_record("job-4", {"job-3"});
   last.spec.priority = Priority::High;
-  store(job("job-1"));
-  store(job("job-2", {"job-1"}));
-  store(last);  // after a failover, records are read in any order
-  store(job("job-3", {"job-2"}));
+  read_record(job_record("job-1"));
+  read_record(job_record("job-2", {"job-1"}));
+  read_record(last);  // after a failover, records are read in any order
+  read_record(job_record("job-3", {"job-2"}));
   for (const std::string id : {"job-1", "job-2", "job-3"})
     EXPECT_EQ(scheduler_->jobs().at(id).priority, Priority::High) << id;
-  auto plain = job("job-5");
-  plain.spec.tasks = 6;
-  plain.submitted_ms = 0;
-  store(plain);
-  round();
-  EXPECT_TRUE(assignments("job-1"));
+  auto unrelated = job_record("job-5");
+  unrelated.spec.tasks = 6;
+  unrelated.submitted_ms = 0;
+  read_record(unrelated);
+  run_round();
+  EXPECT_TRUE(placed("job-1"));
   EXPECT_EQ(scheduler_->jobs().at("job-5").possible_placements.size(), 4u)
-      << "what the limit of 6 CPUs leaves";
+      << "4 of the team's 6 CPUs are left beside job-1";
 }
 
 }  // namespace
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -18,7 +18,7 @@
 namespace sumacquay {
 namespace {
 
-using Texts = std::map<std::string, std::string>;
+using NamedTexts = std::map<std::string, std::string>;
 
 constexpr const char* kDataFolder = SUMACQUAY_TEST_DATA "/";
 
@@ -29,7 +29,7 @@
   return out.str();
 }
 
-std::string bytes_of(std::string_view hex) {
+std::string bytes_from_hex(std::string_view hex) {
   constexpr int kBase = 16;
   std::string bytes;
   for (size_t at = 0; at < hex.size(); at += 2)
@@ -37,7 +37,7 @@
   return bytes;
 }
 
-std::string contents(const std::string& name) {
+std::string read_file(const std::string& name) {
   std::ifstream file(kDataFolder + name);
   std::ostringstream text;
   text << file.rdbuf();
@@ -45,8 +45,8 @@
 }
 
 /// Parses lines that consist of a name and a value.
-Texts lines_of(const std::string& text) {
-  Texts lines;
+NamedTexts parse_lines(const std::string& text) {
+  NamedTexts lines;
   std::istringstream in(text);
   std::string line;
   while (std::getline(in, line)) {
@@ -166,13 +166,13 @@
   return {{"sq/term", 7}, {"sq/live/job-1", 0}};
 }
 
-std::vector<wire::Mutation> changes() {
+std::vector<wire::Mutation> mutations() {
   const std::string value = wire::encode_finished({JobState::Done, 1});
   return {{"sq/over/job-1", value, 0}, {"sq/leader", value, 41}, {"sq/live/job-1", "", 0}};
 }
 
 /// All messages and records, encoded from the examples.
-Texts encoded_examples() {
+NamedTexts encoded_examples() {
   const std::string leader = wire::encode_leader({"n0", 0x1122334455667788, 9, 41});
   const std::string host = wire::encode_host({"m-1", "10.0.0.1:9000", "small", "east", true});
   const uint64_t fencing_token = (uint64_t{9} << 20) | 5;
@@ -201,7 +201,7 @@
       {"store.item", hex(simulators::item_body(stored_items()[0]))},
       {"store.page", hex(simulators::items_body(stored_items(), true, 15))},
       {"store.changes", hex(simulators::changes_body(stored_items(), 15))},
-      {"store.transaction", hex(wire::transaction_body(preconditions(), changes()))},
+      {"store.transaction", hex(wire::transaction_body(preconditions(), mutations()))},
       {"store.revision", hex(simulators::revision_body(70000))},
       {"store.conflict", hex(simulators::conflict_body({"sq/term"}, 70000))},
       {"store.grant", hex(wire::grant_body(2000))},
@@ -211,15 +211,16 @@
 
 // ---------------------------------------------------------------- round trip
 
-simulators::StoredChange stored(const wire::StoreItem& item, uint64_t lease) {
+simulators::StoredChange stored_change(const wire::StoreItem& item, uint64_t lease) {
   msgpack::sbuffer value;
   msgpack::pack(value, *item.value.object());
   return {item.key, {value.data(), value.size()}, lease, item.version};
 }
 
-std::vector<simulators::StoredChange> stored(const wire::StorePage& page) {
+std::vector<simulators::StoredChange> stored_changes(const wire::StorePage& page) {
   std::vector<simulators::StoredChange> out;
-  for (const auto& item : page.items) out.push_back(stored(item, item.key == "sq/leader" ? 41 : 0));
+  for (const auto& item : page.items)
+    out.push_back(stored_change(item, item.key == "sq/leader" ? 41 : 0));
   return out;
 }
 
@@ -228,28 +229,28 @@
 }
 
 /// Decodes each golden message and encodes it again. Messages that can't be decoded are left out.
-class ReadBack {
+class RoundTrip {
  public:
-  explicit ReadBack(const Texts& golden) : golden_(golden) {}
-
-  Texts all() {
-    read_records();
-    read_worker_messages();
-    read_user_messages();
-    read_cloud_messages();
-    read_store_pages();
-    read_store_answers();
-    return std::move(out_);
+  explicit RoundTrip(const NamedTexts& golden) : golden_(golden) {}
+
+  NamedTexts all() {
+    round_trip_records();
+    round_trip_worker_messages();
+    round_trip_user_messages();
+    round_trip_cloud_messages();
+    round_trip_store_pages();
+    round_trip_store_answers();
+    return std::move(encoded_);
   }
 
  private:
-  std::string bytes(const std::string& name) const { return bytes_of(golden_.at(name)); }
+  std::string bytes(const std::string& name) const { return bytes_from_hex(golden_.at(name)); }
   std::shared_ptr<wire::Document> document(const std::string& name) const {
     return wire::Document::parse(bytes(name));
   }
-  void put(const std::string& name, const std::string& encoded) { out_[name] = hex(encoded); }
+  void put(const std::string& name, const std::string& encoded) { encoded_[name] = hex(encoded); }
 
-  void read_records() {
+  void round_trip_records() {
     if (const auto job = wire::decode_job(root_of(document("record.job"))))
       put("record.job", wire::encode_job(*job));
     if (const auto finished = wire::decode_finished(root_of(document("record.finished"))))
@@ -262,7 +263,7 @@
       put("heartbeat", wire::encode_peer_heartbeat(*heartbeat));
   }
 
-  void read_worker_messages() {
+  void round_trip_worker_messages() {
     if (const auto heartbeat = wire::parse_worker_heartbeat(bytes("worker.report")))
       put("worker.report", simulators::worker_heartbeat_body(*heartbeat));
     if (const auto answer = simulators::parse_worker_commands(bytes("worker.report_answer")))
@@ -274,7 +275,7 @@
           wire::worker_commands_body(sent->fencing_token, sent->agent_epoch, sent->commands));
   }
 
-  void read_user_messages() {
+  void round_trip_user_messages() {
     if (const auto job = wire::parse_job(bytes("user.submission")); job.spec)
       put("user.submission", simulators::submission_body(*job.spec));
     if (const auto status = simulators::parse_job_status(bytes("user.job_status")))
@@ -285,7 +286,7 @@
     put("user.error", wire::error_body(root_of(document("user.error"))["error"].text_or("")));
   }
 
-  void read_cloud_messages() {
+  void round_trip_cloud_messages() {
     if (const auto types = wire::parse_types(bytes("cloud.types")))
       put("cloud.types", simulators::types_body(*types));
     if (const auto page = wire::parse_machines(bytes("cloud.machines")))
@@ -299,21 +300,21 @@
       put("cloud.release", wire::release_body(*release));
   }
 
-  void read_store_pages() {
+  void round_trip_store_pages() {
     if (const auto page = wire::parse_item(bytes("store.item")))
-      put("store.item", simulators::item_body(stored(*page)[0]));
+      put("store.item", simulators::item_body(stored_changes(*page)[0]));
     if (const auto page = wire::parse_page(bytes("store.page")))
-      put("store.page", simulators::items_body(stored(*page), page->more, page->revision));
+      put("store.page", simulators::items_body(stored_changes(*page), page->more, page->revision));
     if (const auto page = wire::parse_changes(bytes("store.changes")))
-      put("store.changes", simulators::changes_body(stored(*page), page->revision));
+      put("store.changes", simulators::changes_body(stored_changes(*page), page->revision));
   }
 
-  void read_store_answers() {
+  void round_trip_store_answers() {
     if (const auto transaction = simulators::parse_transaction(bytes("store.transaction"))) {
-      std::vector<wire::Mutation> made;
+      std::vector<wire::Mutation> mutations;
       for (const auto& change : transaction->mutations)
-        made.push_back({change.key, change.value, change.lease});
-      put("store.transaction", wire::transaction_body(transaction->preconditions, made));
+        mutations.push_back({change.key, change.value, change.lease});
+      put("store.transaction", wire::transaction_body(transaction->preconditions, mutations));
     }
     if (const auto revision = wire::parse_revision(bytes("store.revision")))
       put("store.revision", simulators::revision_body(*revision));
@@ -326,17 +327,17 @@
       put("store.lease", simulators::lease_body(*lease));
   }
 
-  const Texts& golden_;
-  Texts out_;
+  const NamedTexts& golden_;
+  NamedTexts encoded_;
 };
 
-Texts read_back(const Texts& golden) {
-  return ReadBack(golden).all();
+NamedTexts round_trip(const NamedTexts& golden) {
+  return RoundTrip(golden).all();
 }
 
 // ---------------------------------------------------------------- settings
 
-std::string described(const Settings& settings) {
+std::string describe(const Settings& settings) {
   std::ostringstream out;
   out << "node " << settings.node << "\nzone " << settings.zone << "\nlisten "
       << settings.listen.text() << "\npeer_listen " << settings.peer_listen.text() << "\ncloud "
@@ -360,7 +361,7 @@
   return out.str();
 }
 
-std::string described(const Tuning& tuning) {
+std::string describe(const Tuning& tuning) {
   std::ostringstream out;
   out << "leader_lease " << tuning.leader_lease << "\nrenew " << tuning.renew << "\ngrace "
       << tuning.grace << "\nround " << tuning.round << "\nsuspect " << tuning.suspect << "\nidle "
@@ -370,23 +371,23 @@
   return out.str();
 }
 
-TEST(GoldenMessages, AreWhatTheEncodersWrite) {
-  EXPECT_EQ(encoded_examples(), lines_of(contents("golden_messages.txt")));
+TEST(GoldenMessages, EncodersReproduceGoldenBytes) {
+  EXPECT_EQ(encoded_examples(), parse_lines(read_file("golden_messages.txt")));
 }
 
-TEST(GoldenMessages, AreReadBackWhole) {
-  const Texts golden = lines_of(contents("golden_messages.txt"));
-  EXPECT_EQ(read_back(golden), golden);
+TEST(GoldenMessages, RoundTripWithoutLoss) {
+  const NamedTexts golden = parse_lines(read_file("golden_messages.txt"));
+  EXPECT_EQ(round_trip(golden), golden);
 }
 
-TEST(GoldenSettings, AreReadAsBefore) {
-  const Settings settings = parse_settings(contents("golden_settings.toml"), "settings");
-  EXPECT_EQ(described(settings), contents("golden_settings.txt"));
+TEST(GoldenSettings, PlatformSettingsParseToGoldenValues) {
+  const Settings settings = parse_settings(read_file("golden_settings.toml"), "settings");
+  EXPECT_EQ(describe(settings), read_file("golden_settings.txt"));
 }
 
-TEST(GoldenSettings, OfOperatorsAreReadAsBefore) {
-  const Tuning tuning = parse_tuning(contents("golden_tuning.conf"), "tuning");
-  EXPECT_EQ(described(tuning), contents("golden_tuning.txt"));
+TEST(GoldenSettings, TuningParsesToGoldenValues) {
+  const Tuning tuning = parse_tuning(read_file("golden_tuning.conf"), "tuning");
+  EXPECT_EQ(describe(tuning), read_file("golden_tuning.txt"));
 }
 
 }  // namespace
--- a/tests/host_record_writes_test.cpp
+++ b/tests/host_record_writes_test.cpp
@@ -7,7 +7,7 @@
 namespace sumacquay {
 namespace {
 
-TEST(HostRecordWrites, OneWriteOfARecordIsUnderWayAtATime) {
+TEST(HostRecordWrites, AllowsOneWriteInFlightPerRecord) {
   HostRecordWrites writes;
   EXPECT_TRUE(writes.begin("i-1"));
   EXPECT_FALSE(writes.begin("i-1"));
@@ -16,17 +16,18 @@
   EXPECT_TRUE(writes.begin("i-1"));
 }
 
-TEST(HostRecordWrites, ADeletionIsWantedUntilItWasCarriedOut) {
+TEST(HostRecordWrites, DeletionStaysRequestedUntilExecuted) {
   HostRecordWrites writes;
   writes.request_deletion("i-1");
   EXPECT_TRUE(writes.begin("i-1"));
   writes.end("i-1");
-  EXPECT_EQ(writes.to_delete(), std::set<std::string>{"i-1"}) << "the write was lost";
+  EXPECT_EQ(writes.to_delete(), std::set<std::string>{"i-1"})
+      << "the write has ended without being executed";
   writes.deleted("i-1");
   EXPECT_TRUE(writes.to_delete().empty());
 }
 
-TEST(Machine, ADurableRecordIsNotWantedAgain) {
+TEST(Machine, DurableHostRecordIsNotRequestedAgain) {
   Machine machine;
   EXPECT_EQ(machine.record, HostRecordState::None);
   machine.request_host_record();
--- a/tests/json_size_test.cpp
+++ b/tests/json_size_test.cpp
@@ -40,7 +40,7 @@
 void add_text(Forms& forms) {
   std::string text;
   forms.json += '"';
-  for (int left = *rc::gen::inRange(0, 40); left > 0; --left) {
+  for (int remaining = *rc::gen::inRange(0, 40); remaining > 0; --remaining) {
     const Character& character = *rc::gen::elementOf(characters());
     text += character.text;
     forms.json += character.json;
@@ -72,7 +72,7 @@
   forms.json += json;
 }
 
-void add_word(Forms& forms) {
+void add_literal(Forms& forms) {
   switch (*rc::gen::inRange(0, 3)) {
     case 0:
       Packer(forms.packed).pack_nil();
@@ -115,10 +115,10 @@
 }
 
 void add_value(Forms& forms, int depth) {
-  constexpr int kMostDepth = 5;
-  switch (*rc::gen::inRange(0, depth < kMostDepth ? 6 : 4)) {
+  constexpr int kMaxDepth = 5;
+  switch (*rc::gen::inRange(0, depth < kMaxDepth ? 6 : 4)) {
     case 0:
-      return add_word(forms);
+      return add_literal(forms);
     case 1:
       return add_integer(forms);
     case 2:
@@ -132,7 +132,7 @@
   }
 }
 
-TEST(JsonSize, IsThatOfTheTextThatAPlainWriterMakes) {
+TEST(JsonSize, EqualsSizeOfReferenceText) {
   EXPECT_TRUE(holds("sizes agree", [] {
     Forms forms;
     add_value(forms, 0);
@@ -148,7 +148,7 @@
   return wire::json_size(wire::View(&object));
 }
 
-TEST(JsonSize, OfNumbersIsThatOfTheLongestUsualForm) {
+TEST(JsonSize, CountsLongestUsualFormOfRealNumbers) {
   EXPECT_EQ(size_of_real(0), std::string("0.0").size());
   EXPECT_EQ(size_of_real(1e12), std::string("1000000000000.0").size());
   EXPECT_EQ(size_of_real(1e-5), std::string("0.00001").size());
@@ -157,7 +157,7 @@
   EXPECT_GE(size_of_real(5e-324), std::string("5e-324").size());
 }
 
-TEST(JsonSize, OfATextWithBrokenCharactersCountsEachAsReplaced) {
+TEST(JsonSize, CountsInvalidUtf8AsReplacementCharacters) {
   constexpr size_t kQuotes = 2;
   constexpr size_t kEscape = 6;
   EXPECT_EQ(wire::json_size(std::string_view("\x80\x80")), kQuotes + 2 * kEscape);
@@ -167,7 +167,7 @@
             kQuotes + kEscape + 1);
 }
 
-TEST(JsonSize, TakesNoStackForNestedValues) {
+TEST(JsonSize, DoesNotRecurseIntoNestedValues) {
   constexpr int kDepth = 200000;
   std::vector<msgpack::object> lists(kDepth);
   for (int i = 0; i < kDepth; ++i) {
@@ -178,7 +178,7 @@
   EXPECT_EQ(wire::json_size(wire::View(lists.data())), 2u * kDepth);
 }
 
-TEST(JsonSize, OfNothingIsNothing) {
+TEST(JsonSize, OfMissingValueIsZero) {
   EXPECT_EQ(wire::json_size(wire::View()), 0u);
 }
 
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -24,32 +24,33 @@
     new_scheduler();
   }
 
-  static std::string machine(int i) { return "i-" + std::to_string(100000 + i); }
+  static std::string machine_id(int i) { return "i-" + std::to_string(100000 + i); }
   static std::string job_id(int i) { return "job-" + std::to_string(100000 + i); }
 
-  WorkerHeartbeat next_heartbeat(int i, uint64_t user_visible, std::vector<TaskStatus> tasks = {}) {
-    return heartbeat(machine(i), ++heartbeats, user_visible, std::move(tasks));
+  WorkerHeartbeat next_heartbeat(int i, uint64_t reported_token,
+                                 std::vector<TaskStatus> tasks = {}) {
+    return heartbeat(machine_id(i), ++heartbeats, reported_token, std::move(tasks));
   }
 
   void add_machines(int count) {
-    for (int i = 0; i < count; ++i) add_machine(machine(i));
+    for (int i = 0; i < count; ++i) add_machine(machine_id(i));
     heartbeats += 2;
   }
 
-  size_t assignments(int i) const {
+  size_t placements(int i) const {
     return scheduler->jobs().at(job_id(i)).possible_placements.size();
   }
 
   uint64_t heartbeats = 0;
 };
 
-TEST_F(LargeFleet, AJobOfAnySizeIsPlacedInOneRoundAsFarAsThereIsRoom) {
+TEST_F(LargeFleet, PlacesJobOfAnySizeInOneRoundUpToCapacity) {
   struct Case {
     JobKind kind;
     int machines;
     uint32_t tasks;
     Resources request;
-    size_t assignments;
+    size_t placements;
   };
   constexpr Resources kSmall{1, 1, 1};
   constexpr Resources kWholeMachine{4, 4, 4};
@@ -58,57 +59,59 @@
       {JobKind::Gang, kMachines, kMachines, kWholeMachine, kMachines},
       {JobKind::Array, 10, 100000, kSmall, 40},
   };
-  for (const Case& c : cases) {
+  for (const Case& test_case : cases) {
     new_scheduler();
-    add_machines(c.machines);
-    JobRecord record = job(job_id(1), c.tasks);
-    record.spec.kind = c.kind;
-    record.spec.request = c.request;
+    add_machines(test_case.machines);
+    JobRecord record = job(job_id(1), test_case.tasks);
+    record.spec.kind = test_case.kind;
+    record.spec.request = test_case.request;
     scheduler->on_job_record(record, 5, kNow);
     scheduler->tick(kNow);
-    EXPECT_EQ(assignments(1), c.assignments) << c.machines << " machines, " << c.tasks << " tasks";
+    EXPECT_EQ(placements(1), test_case.placements)
+        << test_case.machines << " machines, " << test_case.tasks << " tasks";
   }
 }
 
-TEST_F(LargeFleet, RentsInProportionToTheFleetInRequestsThatTheCloudTakes) {
+TEST_F(LargeFleet, ScalesOutInProportionToFleetWithinRequestLimit) {
   add_machines(kMachines);
   scheduler->on_job_record(job(job_id(1), 4 * kMachines), 5, kNow);
   scheduler->on_job_record(job(job_id(2), 4 * kMachines), 6, kNow);
   const auto requests = rented(scheduler->tick(kNow));
-  int all = 0;
+  int total = 0;
   for (const int request : requests) {
-    EXPECT_LE(request, 50) << "the protocol's limit";
-    all += request;
+    EXPECT_LE(request, 50) << "the cloud protocol's limit on machines of a request";
+    total += request;
   }
-  EXPECT_EQ(all, static_cast<int>(settings.tuning.rent * kMachines));
+  EXPECT_EQ(total, static_cast<int>(settings.tuning.rent * kMachines));
 }
 
-TEST_F(LargeFleet, ManyMachinesAreReturnedInSeveralRequests) {
+TEST_F(LargeFleet, ScalesInManyMachinesInSeveralRequests) {
   constexpr int kIdle = 250;
   add_machines(kIdle);
-  std::set<std::string> returned;
+  std::set<std::string> released;
   double now = kNow;
-  for (int step = 0; step < 40 && returned.size() < kIdle; ++step) {
+  for (int step = 0; step < 40 && released.size() < kIdle; ++step) {
     now += settings.heartbeat_period_s;
     for (int i = 0; i < kIdle; ++i)
-      if (!returned.contains(machine(i)))
+      if (!released.contains(machine_id(i)))
         scheduler->on_heartbeat(next_heartbeat(i, fencing_token), true, now);
     for (const auto& action : scheduler->tick(now)) {
       const auto* release = std::get_if<ScaleIn>(&action);
       if (!release) continue;
-      EXPECT_LE(release->machines.size(), 100u) << "the protocol's limit";
-      returned.insert(release->machines.begin(), release->machines.end());
+      EXPECT_LE(release->machines.size(), 100u)
+          << "the cloud protocol's limit on machines of a request";
+      released.insert(release->machines.begin(), release->machines.end());
       scheduler->on_scale_in_answered(*release, true, now);
     }
   }
-  EXPECT_EQ(returned.size(), size_t{kIdle});
+  EXPECT_EQ(released.size(), size_t{kIdle});
 }
 
 // All workers send heartbeats to a new leader at once: it reconciles each of them, stops tasks of
 // cancelled jobs in the answer that renews the lease, and places the jobs that waited.
-TEST_F(LargeFleet, ThatComesBackAllAtOnceIsTakenIn) {
+TEST_F(LargeFleet, ReconcilesAllWorkersReconnectingAtOnce) {
   EXPECT_TRUE(testing::holds(
-      "fleet that comes back",
+      "all workers reconnect at once",
       [this] {
         new_scheduler();
         const int cancelled = *rc::gen::inRange(0, kMachines);
@@ -116,14 +119,14 @@
         std::mt19937_64 random(static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 30)));
         for (int i = 0; i < kMachines; ++i) {
           HostRecord host;
-          host.id = machine(i);
+          host.id = machine_id(i);
           host.addr = "10.0.0.2:9";
           host.type = "g";
           host.zone = "e";
           scheduler->restore_machine(host, kNow);
           auto record = job(job_id(i), 1);
           record.started = true;
-          record.hosts = std::vector<std::string>{machine(i)};
+          record.hosts = std::vector<std::string>{machine_id(i)};
           if (i < cancelled) record.state = JobState::Cancelled;
           scheduler->on_job_record(record, ++revision, kNow);
         }
@@ -148,18 +151,18 @@
         RC_ASSERT(scheduler->all_reconciled());
         scheduler->tick(kNow);
         size_t started = 0;
-        for (int i = 0; i < waiting; ++i) started += assignments(kMachines + i);
+        for (int i = 0; i < waiting; ++i) started += placements(kMachines + i);
         RC_ASSERT(started == static_cast<size_t>(waiting));
       },
       3));
 }
 
-TEST_F(LargeFleet, ATermWhoseTokensRunOutIsGivenUpInTime) {
+TEST_F(LargeFleet, ReportsTermNearlyExhaustedBeforeItsTokensRunOut) {
   add_machines(1);
-  constexpr uint64_t kFewLeft = kFencingTokenCounterEnd * 95 / 100;
-  for (uint64_t i = 0; i < kFewLeft; ++i) {
+  constexpr uint64_t kTokensUsed = kFencingTokenCounterEnd * 95 / 100;
+  for (uint64_t i = 0; i < kTokensUsed; ++i) {
     ASSERT_TRUE(i >= kFencingTokenCounterEnd / 2 || !scheduler->term_nearly_exhausted());
-    scheduler->on_commands_answered(machine(0), std::nullopt, false, kNow);
+    scheduler->on_commands_answered(machine_id(0), std::nullopt, false, kNow);
   }
   EXPECT_TRUE(scheduler->term_nearly_exhausted());
   EXPECT_EQ(
@@ -169,21 +172,23 @@
 }
 
 // An attempt number past the end of the counter would belong to the next term.
-TEST(FencingTokenAllocator, EndBeforeTheNextTermsNumbersAndSayInTimeThatTheyDo) {
-  FencingTokenAllocator numbers(kTerm);
+TEST(FencingTokenAllocator, StaysWithinItsTermAndWarnsBeforeExhaustion) {
+  FencingTokenAllocator allocator(kTerm);
   uint64_t last = 0;
-  size_t handed_out = 0;
-  size_t left_when_told = 0;
-  while (numbers.attempts_left() > 0) {
-    const uint64_t attempt = numbers.new_attempt();
+  size_t allocated = 0;
+  size_t left_at_warning = 0;
+  while (allocator.attempts_left() > 0) {
+    const uint64_t attempt = allocator.new_attempt();
     ASSERT_GT(attempt, last);
     ASSERT_EQ(term_of_fencing_token(attempt), kTerm);
     last = attempt;
-    ++handed_out;
-    if (numbers.nearly_exhausted() && left_when_told == 0) left_when_told = numbers.attempts_left();
+    ++allocated;
+    if (allocator.nearly_exhausted() && left_at_warning == 0)
+      left_at_warning = allocator.attempts_left();
   }
-  EXPECT_EQ(handed_out, kFencingTokenCounterEnd - 1);
-  EXPECT_GT(left_when_told, size_t{100000}) << "an array of the protocol's largest size";
+  EXPECT_EQ(allocated, kFencingTokenCounterEnd - 1);
+  EXPECT_GT(left_at_warning, size_t{100000})
+      << "enough attempts are left for an array of the largest size";
 }
 
 }  // namespace
--- a/tests/loadtest_test.cpp
+++ b/tests/loadtest_test.cpp
@@ -21,7 +21,7 @@
 };
 
 /// The error with which the settings are rejected; empty if they are accepted.
-std::string refusal_of(const LoadSettings& settings) {
+std::string settings_error(const LoadSettings& settings) {
   try {
     check_fits_this_machine(settings, "load.conf");
   } catch (const SettingsError& error) {
@@ -30,7 +30,7 @@
   return "";
 }
 
-TEST(LoadSettings, AreReadCheckedAndNameTheFieldThatIsWrong) {
+TEST(LoadSettings, ParsesFileAndRejectsInvalidValues) {
   const TemporaryDirectory directory;
   const std::string path = directory.path + "/load.conf";
   std::ofstream(path) << "machines = 12 # few\ngang_size = 3\n";
@@ -45,20 +45,20 @@
   EXPECT_THROW(load_settings_file(directory.path + "/none"), SettingsError);
 }
 
-TEST(LoadSettings, ThatDontFitThisMachineAreRefused) {
+TEST(LoadSettings, RejectsLoadBeyondThisMachine) {
   LoadSettings settings;
-  EXPECT_EQ(refusal_of(settings), "");
+  EXPECT_EQ(settings_error(settings), "");
   settings.machines = 60000;
   settings.tasks_per_machine = 1000;
-  EXPECT_NE(refusal_of(settings).find("machines"), std::string::npos);
+  EXPECT_NE(settings_error(settings).find("machines"), std::string::npos);
   settings = {};
   settings.controller_sockets = 999999;
-  EXPECT_NE(refusal_of(settings).find("controller_sockets"), std::string::npos);
+  EXPECT_NE(settings_error(settings).find("controller_sockets"), std::string::npos);
   EXPECT_THROW(check_plan({"no_such_thing", {1}}, {}, "sweep"), SettingsError);
   EXPECT_THROW(check_plan({"machines", {10, 1e9}}, {}, "sweep"), SettingsError);
 }
 
-TEST(Workload, FillsTheFleetExactly) {
+TEST(Workload, FillsFleetExactly) {
   LoadSettings settings;
   settings.machines = 37;
   settings.gang_size = 5;
@@ -73,12 +73,12 @@
   EXPECT_EQ(gangs, 2u);
 }
 
-TEST(PowerFit, FindsExponentsAndTheirResiduals) {
+TEST(PowerFit, FindsExponentAndResidual) {
   std::vector<double> x;
   std::vector<double> y;
-  for (const double at : {1, 2, 4, 8, 16}) {
-    x.push_back(at);
-    y.push_back(3 * std::pow(at, 1.7));
+  for (const double point : {1, 2, 4, 8, 16}) {
+    x.push_back(point);
+    y.push_back(3 * std::pow(point, 1.7));
   }
   const PowerFit exact = fit_power(x, y);
   EXPECT_NEAR(exact.exponent, 1.7, 1e-9);
@@ -90,7 +90,7 @@
   EXPECT_EQ(fit_power({1}, {1}).exponent, 0) << "one point has no slope";
 }
 
-TEST(Table, IsReadBackAndKeepsWhatAnInterruptedSweepHas) {
+TEST(MeasurementTable, RoundTripsAndResumesInterruptedSweep) {
   const TemporaryDirectory directory;
   const std::string path = directory.path + "/table.csv";
   Measurement row;
@@ -111,7 +111,7 @@
   EXPECT_EQ(read_table(path).size(), 2u);
 }
 
-TEST(Quantiles, AreThoseOfWhatWasObserved) {
+TEST(Quantiles, MatchObservations) {
   Quantiles quantiles;
   EXPECT_TRUE(std::isnan(quantiles.quantile(0.5)));
   for (int i = 1; i <= 1000; ++i) quantiles.observe(i);
@@ -139,15 +139,16 @@
 
 /// Ends the leader, then a follower, then silences a zone. Expects that urgent jobs start through
 /// each fault and that no rule is broken.
-std::vector<Measurement> faults_survived(LoadTest& load_test) {
+std::vector<Measurement> measure_faults_without_violations(LoadTest& load_test) {
   auto faults = load_test.measure_faults();
   EXPECT_EQ(faults.size(), 3u);
-  for (const auto& fault : faults) EXPECT_GT(fault.urgent_started, 0) << fault.quantity;
+  for (const auto& fault : faults)
+    EXPECT_GT(fault.urgent_started, 0) << "fault: " << fault.quantity;
   EXPECT_EQ(load_test.violations(), std::vector<std::string>{});
   return faults;
 }
 
-TEST(LoopbackDeployment, BreaksNoRuleWhenControllersEndAndAZoneIsSilent) {
+TEST(LoopbackDeployment, BreaksNoRuleUnderControllerFailuresAndSilentZone) {
   const TemporaryDirectory directory;
   LoadSettings settings = small_deployment(12, 500, 20900);
   settings.gang_size = 2;
@@ -155,13 +156,13 @@
   const Measurement load = load_test.measure_load();
   EXPECT_EQ(load.filled, 1);
   EXPECT_GT(load.leader_sockets, settings.machines);
-  faults_survived(load_test);
+  measure_faults_without_violations(load_test);
 }
 
 /// The sockets left for workers are about half as many as the workers. They share the connections
 /// in turn, both in steady state and when all workers reconnect at once, to a new leader or from a
 /// zone that was silent.
-TEST(LoopbackDeployment, KeepsEveryLeaseWithHalfAsManySocketsAsWorkers) {
+TEST(LoopbackDeployment, KeepsAllLeasesWithHalfAsManySocketsAsWorkers) {
   const TemporaryDirectory directory;
   const LoadSettings settings = small_deployment(120, 130, 20500);
   LoadTest load_test(settings, {SUMACQUAY_PROGRAM, directory.path, ""});
@@ -169,9 +170,9 @@
   EXPECT_EQ(load.filled, 1);
   EXPECT_LT(load.leader_sockets, settings.controller_sockets);
   EXPECT_EQ(load.leases_lost, 0);
-  for (const auto& fault : faults_survived(load_test)) {
-    EXPECT_EQ(fault.leases_lost, 0) << fault.quantity;
-    EXPECT_LT(fault.leader_sockets, settings.controller_sockets) << fault.quantity;
+  for (const auto& fault : measure_faults_without_violations(load_test)) {
+    EXPECT_EQ(fault.leases_lost, 0) << "fault: " << fault.quantity;
+    EXPECT_LT(fault.leader_sockets, settings.controller_sockets) << "fault: " << fault.quantity;
   }
 }
 
--- a/tests/log_event_test.cpp
+++ b/tests/log_event_test.cpp
@@ -27,20 +27,20 @@
   std::shared_ptr<spdlog::logger> previous_;
 };
 
-TEST_F(LogEvent, IsOneLineWithItsFieldsInOrder) {
+TEST_F(LogEvent, WritesOneLineWithFieldsInOrder) {
   log_info("job_preempted", log_field("job", std::string("job-1")), log_field("task", 7u),
            log_field("waited_s", 1.25));
   EXPECT_EQ(written_.str(), "info event=job_preempted job=job-1 task=7 waited_s=1.250\n");
 }
 
-TEST_F(LogEvent, QuotesTextsThatAreNotOneWord) {
+TEST_F(LogEvent, QuotesValuesThatAreNotOneWord) {
   log_warning("resigned", log_field("reason", "no \"worker\"\ngets through"),
               log_field("zone", ""));
   EXPECT_EQ(written_.str(),
             "warning event=resigned reason=\"no \\\"worker\\\" gets through\" zone=\"\"\n");
 }
 
-TEST_F(LogEvent, BelowTheLevelIsNotWritten) {
+TEST_F(LogEvent, DropsEventsBelowLevel) {
   log_debug("task_attempt_state_changed");
   log_error("record_unreadable");
   EXPECT_EQ(written_.str(), "error event=record_unreadable\n");
--- a/tests/node_parts_test.cpp
+++ b/tests/node_components_test.cpp
@@ -17,7 +17,7 @@
   WorkerClients clients{io, 2};
 };
 
-TEST_F(WorkerClientsTest, AClientIsKeptForItsAddress) {
+TEST_F(WorkerClientsTest, ReusesClientOfAnAddress) {
   const auto first = clients.find_or_open("127.0.0.1:1");
   ASSERT_TRUE(first);
   EXPECT_EQ(clients.find_or_open("127.0.0.1:1"), first);
@@ -25,35 +25,35 @@
   EXPECT_EQ(clients.size(), 2u);
 }
 
-TEST_F(WorkerClientsTest, AtTheLimitTheLongestUnusedIsDropped) {
-  const auto used_again = clients.find_or_open("127.0.0.1:1");
+TEST_F(WorkerClientsTest, DropsLeastRecentlyUsedClientAtLimit) {
+  const auto recently_used = clients.find_or_open("127.0.0.1:1");
   const std::weak_ptr<HttpClient> unused = clients.find_or_open("127.0.0.1:2");
   clients.find_or_open("127.0.0.1:1");
   EXPECT_TRUE(clients.find_or_open("127.0.0.1:3"));
   EXPECT_EQ(clients.size(), 2u);
   EXPECT_TRUE(unused.expired());
-  EXPECT_EQ(clients.find_or_open("127.0.0.1:1"), used_again);
+  EXPECT_EQ(clients.find_or_open("127.0.0.1:1"), recently_used);
 }
 
-TEST_F(WorkerClientsTest, AClientWithARequestUnderWayIsKept) {
+TEST_F(WorkerClientsTest, KeepsClientWithRequestInFlight) {
   const auto busy = clients.find_or_open("127.0.0.1:1");
   busy->request("POST", "/", "", 5, [](const HttpResult&) {});
   clients.find_or_open("127.0.0.1:2");
-  EXPECT_TRUE(clients.find_or_open("127.0.0.1:3")) << "in place of the idle one";
+  EXPECT_TRUE(clients.find_or_open("127.0.0.1:3")) << "it replaces the idle client";
   EXPECT_EQ(clients.find_or_open("127.0.0.1:1"), busy);
 }
 
-TEST_F(WorkerClientsTest, ThereIsNoneWhileAllAreBusy) {
+TEST_F(WorkerClientsTest, ReturnsNoneWhileAllClientsAreBusy) {
   for (const std::string address : {"127.0.0.1:1", "127.0.0.1:2"})
     clients.find_or_open(address)->request("POST", "/", "", 5, [](const HttpResult&) {});
   EXPECT_FALSE(clients.find_or_open("127.0.0.1:3"));
   EXPECT_EQ(clients.size(), 2u);
 }
 
-TEST_F(WorkerClientsTest, ThereIsNoneForAnAddressThatCannotBeUsed) {
+TEST_F(WorkerClientsTest, ReturnsNoneForInvalidAddress) {
   for (const std::string address : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:1x",
                                     "127.0.0.1:0", "127.0.0.1:65537", "a name:1"})
-    EXPECT_FALSE(clients.find_or_open(address)) << address;
+    EXPECT_FALSE(clients.find_or_open(address)) << "address: " << address;
   EXPECT_EQ(clients.size(), 0u);
 }
 
@@ -61,7 +61,7 @@
   return std::make_unique<Scheduler>(settings, 1, 1000, 1000);
 }
 
-TEST(ActiveScheduler, IsFoundByCallbacksOfItsOwnGenerationAlone) {
+TEST(ActiveScheduler, IsReturnedOnlyForItsOwnGeneration) {
   const Settings settings;
   ActiveScheduler scheduler;
   EXPECT_FALSE(scheduler);
@@ -71,20 +71,20 @@
   EXPECT_TRUE(scheduler.get(first));
 
   const uint64_t ended = scheduler.end();
-  EXPECT_FALSE(scheduler.get(first)) << "stepped down";
-  EXPECT_TRUE(scheduler) << "kept until it is released: one of its calls may be under way";
+  EXPECT_FALSE(scheduler.get(first)) << "the node has stepped down";
+  EXPECT_TRUE(scheduler) << "kept until it is released: one of its calls may still be running";
 
   scheduler.begin(new_scheduler(settings));
-  EXPECT_FALSE(scheduler.get(first)) << "leads anew";
+  EXPECT_FALSE(scheduler.get(first)) << "a later generation has begun";
   EXPECT_TRUE(scheduler.get(scheduler.generation()));
   scheduler.release(ended);
-  EXPECT_TRUE(scheduler) << "this node leads anew";
+  EXPECT_TRUE(scheduler) << "releasing an ended generation keeps the current one";
   scheduler.release(scheduler.end());
   EXPECT_FALSE(scheduler);
   EXPECT_FALSE(scheduler.get(scheduler.generation()));
 }
 
-Settings with_state_limits(int transaction_changes, double changes_per_second) {
+Settings settings_with_store_limits(int transaction_changes, double changes_per_second) {
   Settings settings;
   settings.heartbeat_period_s = 2;
   settings.state_txn_ops = transaction_changes;
@@ -92,24 +92,26 @@
   return settings;
 }
 
-TEST(WritePacing, TransactionsHaveAsManyChangesAsTheServiceTakes) {
-  EXPECT_EQ(WritePacing(with_state_limits(24, 30)).most_changes(0), 24u);
-  EXPECT_EQ(WritePacing(with_state_limits(24, 7.5)).most_changes(0), 7u) << "all in one second";
-  EXPECT_EQ(WritePacing(with_state_limits(24, 1)).most_changes(0), 2u) << "a job that moves";
-  EXPECT_EQ(WritePacing(with_state_limits(2, 30)).most_changes(0), 2u);
+TEST(WritePacing, TransactionSizeFollowsStoreLimits) {
+  EXPECT_EQ(WritePacing(settings_with_store_limits(24, 30)).most_changes(0), 24u);
+  EXPECT_EQ(WritePacing(settings_with_store_limits(24, 7.5)).most_changes(0), 7u)
+      << "no more changes than the store allows in one second";
+  EXPECT_EQ(WritePacing(settings_with_store_limits(24, 1)).most_changes(0), 2u)
+      << "finishing a job takes two changes";
+  EXPECT_EQ(WritePacing(settings_with_store_limits(2, 30)).most_changes(0), 2u);
 }
 
-TEST(WritePacing, AfterARefusalForItsSizeTransactionsPauseAndStaySmallForAWhile) {
-  WritePacing pacing(with_state_limits(24, 30));
+TEST(WritePacing, PausesAndShrinksTransactionsAfterSizeRefusal) {
+  WritePacing pacing(settings_with_store_limits(24, 30));
   EXPECT_TRUE(pacing.may_write(100));
   pacing.too_large(100);
-  EXPECT_FALSE(pacing.may_write(101.9)) << "a report period";
+  EXPECT_FALSE(pacing.may_write(101.9)) << "writes pause for a heartbeat period";
   EXPECT_TRUE(pacing.may_write(102));
   EXPECT_EQ(pacing.most_changes(102), 2u);
   pacing.too_large(102);
-  EXPECT_FALSE(pacing.may_write(103.9)) << "again";
+  EXPECT_FALSE(pacing.may_write(103.9)) << "writes pause again";
   EXPECT_EQ(pacing.most_changes(161.9), 2u);
-  EXPECT_EQ(pacing.most_changes(162), 24u) << "it was tried long enough";
+  EXPECT_EQ(pacing.most_changes(162), 24u) << "the smaller limit has expired";
 }
 
 HttpResult answer(int status, const std::string& body = "") {
@@ -120,7 +122,7 @@
   return result;
 }
 
-TEST(RentAnswer, IsARefusalOnlyWhereTheCloudSaysSo) {
+TEST(ScaleOutAnswer, IsRefusedOnlyIfTheCloudRefuses) {
   using Outcome = Scheduler::ScaleOutOutcome;
   EXPECT_EQ(read_scale_out_answer(answer(503)).outcome, Outcome::Refused);
   EXPECT_EQ(read_scale_out_answer(answer(400)).outcome, Outcome::Refused);
@@ -129,10 +131,11 @@
   EXPECT_EQ(read_scale_out_answer(answer(200, "not an answer")).outcome, Outcome::Unknown);
   HttpResult none = answer(503);
   none.answered = false;
-  EXPECT_EQ(read_scale_out_answer(none).outcome, Outcome::Unknown) << "it may still be carried out";
+  EXPECT_EQ(read_scale_out_answer(none).outcome, Outcome::Unknown)
+      << "without an answer the request may still be executed";
 }
 
-TEST(LeaderHintsSource, TellOfImagesAndOfMachinesThatBoot) {
+TEST(LeaderHintsSource, AddsCachedImagesAndBootingMachines) {
   const Settings settings;
   const auto scheduler = new_scheduler(settings);
   scheduler->restore_machine({"i-1", "10.0.0.1:9", "g", "east", false}, 1000);
@@ -155,10 +158,10 @@
   EXPECT_EQ(heartbeat.booting[0].id, "i-2");
   EXPECT_EQ(heartbeat.booting[0].zone, "west");
   EXPECT_TRUE(heartbeat.booting[0].spot);
-  EXPECT_EQ(heartbeat.booting[0].age_s, 8) << "as of now";
+  EXPECT_EQ(heartbeat.booting[0].age_s, 8) << "its age at the time of the peer heartbeat";
 }
 
-TEST(LeaderHintsSource, CountWhatRunsOfJobsThatAreKnown) {
+TEST(LeaderHintsSource, CountsTasksOfKnownJobsOnly) {
   const Settings settings;
   const auto scheduler = new_scheduler(settings);
   JobRecord record;
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -10,10 +10,11 @@
 
 // The dynamic linker's search for the symbols of shared C++ libraries took four fifths of each
 // start.
-TEST(Program, LoadsNoSharedLibraryOfCpp) {
+TEST(Program, LinksNoSharedCppLibrary) {
   std::ifstream file(SUMACQUAY_PROGRAM, std::ios::binary);
   const std::string program{std::istreambuf_iterator<char>(file), {}};
-  ASSERT_NE(program.find("libc.so.6"), std::string::npos) << "names of libraries are found";
+  ASSERT_NE(program.find("libc.so.6"), std::string::npos)
+      << "the search has to find the names of linked libraries";
   for (const char* library : {"libstdc++.so", "libspdlog.so", "libfmt.so", "libtomlplusplus.so"})
     EXPECT_EQ(program.find(library), std::string::npos) << library;
 }
--- a/tests/prompt_dispatch_test.cpp
+++ b/tests/prompt_dispatch_test.cpp
@@ -17,14 +17,14 @@
 // ---------------------------------------------------------------- pending queue
 
 /// Reference model of the queue that scans all entries.
-class PlainQueue {
+class ReferenceQueue {
  public:
   void put(const std::string& name, size_t priority) {
-    const auto known = std::find_if(waiting_.begin(), waiting_.end(),
-                                    [&](const Entry& entry) { return entry.name == name; });
-    if (known != waiting_.end()) {
-      if (known->priority == priority) return;
-      waiting_.erase(known);
+    const auto queued = std::find_if(waiting_.begin(), waiting_.end(),
+                                     [&](const Entry& entry) { return entry.name == name; });
+    if (queued != waiting_.end()) {
+      if (queued->priority == priority) return;
+      waiting_.erase(queued);
     }
     waiting_.push_back({name, priority});
   }
@@ -48,22 +48,22 @@
   std::deque<Entry> waiting_;
 };
 
-TEST(PendingQueue, HandsOutNamesOnceByUrgencyAndAge) {
+TEST(PendingQueue, PopsEachNameOnceByPriorityAndAge) {
   EXPECT_TRUE(testing::holds("pending queue", [] {
     PendingQueue queue;
-    PlainQueue plain;
+    ReferenceQueue reference;
     for (int step = *rc::gen::inRange(0, 60); step > 0; --step) {
       if (*rc::gen::inRange(0, 3) > 0) {
         const std::string name(1, *rc::gen::inRange('a', 'h'));
         const auto priority = *rc::gen::inRange<size_t>(0, PendingQueue::kPriorities);
         queue.put(name, priority);
-        plain.put(name, priority);
+        reference.put(name, priority);
       } else {
-        RC_ASSERT(queue.pop() == plain.pop());
+        RC_ASSERT(queue.pop() == reference.pop());
       }
-      RC_ASSERT(queue.size() == plain.size());
+      RC_ASSERT(queue.size() == reference.size());
     }
-    while (const auto name = plain.pop()) RC_ASSERT(queue.pop() == name);
+    while (const auto name = reference.pop()) RC_ASSERT(queue.pop() == name);
     RC_ASSERT(queue.empty());
   }));
 }
@@ -73,17 +73,19 @@
 constexpr uint64_t kTerm = 1;
 constexpr uint64_t kFencingToken = kTerm << kFencingTokenCounterBits;
 
-struct PromptLeader : testing::LeaderFixture {
-  PromptLeader() : LeaderFixture(kTerm, 1, 10) { settings.tuning.prompt_dispatch = true; }
+struct PromptDispatchScheduler : testing::LeaderFixture {
+  PromptDispatchScheduler() : LeaderFixture(kTerm, 1, 10) {
+    settings.tuning.prompt_dispatch = true;
+  }
 
-  std::vector<RecordWrite> writes(size_t most = 20) const {
-    return scheduler->plan_writes(kNow, most);
+  std::vector<RecordWrite> writes(size_t max_changes = 20) const {
+    return scheduler->plan_writes(kNow, max_changes);
   }
-  void write_all() {
+  void commit_all_writes() {
     for (auto batch = writes(); !batch.empty(); batch = writes())
       for (const auto& write : batch) scheduler->on_write_answered(write, true, ++revision, kNow);
   }
-  std::vector<SendCommands> dispatched() const {
+  std::vector<SendCommands> dispatched_commands() const {
     std::vector<SendCommands> out;
     for (const auto& action : scheduler->dispatch(kNow))
       if (const auto* batch = std::get_if<SendCommands>(&action)) out.push_back(*batch);
@@ -91,19 +93,19 @@
   }
 };
 
-TEST_F(PromptLeader, OrdersStartsAsSoonAsTheirRecordsAreWrittenWithoutATick) {
+TEST_F(PromptDispatchScheduler, SendsStartsOnceTheirRecordsAreDurableWithoutATick) {
   add_machine("i-1");
   scheduler->on_job_record(job("job-1", 3), 5, kNow);
   scheduler->tick(kNow);
-  EXPECT_TRUE(dispatched().empty()) << "nothing of it is durable";
-  write_all();
-  const auto worker_commands = dispatched();
+  EXPECT_TRUE(dispatched_commands().empty()) << "its records are not durable yet";
+  commit_all_writes();
+  const auto worker_commands = dispatched_commands();
   ASSERT_EQ(worker_commands.size(), 1u);
   EXPECT_EQ(worker_commands[0].commands.size(), 3u);
-  EXPECT_TRUE(dispatched().empty()) << "they are under way";
+  EXPECT_TRUE(dispatched_commands().empty()) << "the commands are in flight";
 }
 
-TEST_F(PromptLeader, OrdersNothingWhileOneOfTheTwoRecordsIsMissing) {
+TEST_F(PromptDispatchScheduler, SendsNothingUntilJobAndHostRecordsAreDurable) {
   for (const std::string last : {"job", "machine"}) {
     const std::string machine = "i-1-" + last;
     const std::string id = last == "job" ? "job-1" : "job-2";
@@ -111,18 +113,19 @@
     scheduler->on_job_record(job(id, 4), ++revision, kNow);
     scheduler->request_round();
     scheduler->tick(kNow);
-    auto both = writes();
-    ASSERT_EQ(both.size(), 2u);
-    if (both.back().host.empty() != (last == "job")) std::swap(both.front(), both.back());
-    for (const auto& write : both) {
-      EXPECT_TRUE(dispatched().empty()) << last << " last";
+    auto both_writes = writes();
+    ASSERT_EQ(both_writes.size(), 2u);
+    if (both_writes.back().host.empty() != (last == "job"))
+      std::swap(both_writes.front(), both_writes.back());
+    for (const auto& write : both_writes) {
+      EXPECT_TRUE(dispatched_commands().empty()) << "record written last: " << last;
       scheduler->on_write_answered(write, true, ++revision, kNow);
     }
-    EXPECT_EQ(dispatched().size(), 1u) << last << " last";
+    EXPECT_EQ(dispatched_commands().size(), 1u) << "record written last: " << last;
   }
 }
 
-TEST_F(PromptLeader, WritesNothingThatTheRecordHasComeToSayMeanwhile) {
+TEST_F(PromptDispatchScheduler, DoesNotRewriteRecordThatIsAlreadyStored) {
   add_machine("i-1");
   scheduler->on_job_record(job("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
@@ -135,43 +138,47 @@
   for (const auto& write : writes()) EXPECT_EQ(write.host, "i-1") << write.job;
 }
 
-TEST_F(PromptLeader, WantsAWriteAgainThatFailedBeforeTheNextRound) {
+TEST_F(PromptDispatchScheduler, PlansFailedWriteAgainBeforeTheNextRound) {
   add_machine("i-1");
   scheduler->on_job_record(job("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
   const auto first = writes();
   ASSERT_EQ(first.size(), 2u);
-  EXPECT_TRUE(writes().empty()) << "each is under way once";
+  EXPECT_TRUE(writes().empty()) << "each write is in flight once";
   for (const auto& write : first) scheduler->on_write_answered(write, false, 0, kNow);
   EXPECT_EQ(writes().size(), 2u);
 }
 
-TEST_F(PromptLeader, StartsNothingWhereAnOrderMayStillBeCarriedOutLate) {
+TEST_F(PromptDispatchScheduler, SendsNoStartWhileAnEarlierCommandMayStillExecute) {
   add_machine("i-1");
   scheduler->on_job_record(job("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
-  write_all();
-  ASSERT_EQ(dispatched().size(), 1u);
+  commit_all_writes();
+  ASSERT_EQ(dispatched_commands().size(), 1u);
   scheduler->on_job_record(job("job-2", 1), 5, kNow);
   scheduler->request_round();
   scheduler->tick(kNow);
-  write_all();
-  EXPECT_TRUE(dispatched().empty()) << "one order at a time";
+  commit_all_writes();
+  EXPECT_TRUE(dispatched_commands().empty())
+      << "one batch of commands at a time is in flight to a machine";
   scheduler->on_commands_answered("i-1", std::nullopt, false, kNow);
-  EXPECT_TRUE(dispatched().empty()) << "the token has been raised and was not shown yet";
+  EXPECT_TRUE(dispatched_commands().empty())
+      << "the worker has not reported the raised fencing token yet";
   const double later = kNow + 2 * settings.heartbeat_period_s;
   for (const auto& action : scheduler->tick(later))
-    EXPECT_FALSE(std::holds_alternative<SendCommands>(action)) << "nor later, by a round";
+    EXPECT_FALSE(std::holds_alternative<SendCommands>(action))
+        << "a later round sends no commands either";
   scheduler->on_heartbeat(heartbeat("i-1", 3, kFencingToken + 1), true, later);
-  EXPECT_EQ(scheduler->dispatch(later).size(), 0u) << "the answer to the report carried the start";
+  EXPECT_EQ(scheduler->dispatch(later).size(), 0u)
+      << "the start went out with the answer to the heartbeat";
 }
 
-TEST_F(PromptLeader, OrdersStopsOfACancelledJobWithoutATick) {
+TEST_F(PromptDispatchScheduler, SendsStopsOfCancelledJobWithoutATick) {
   add_machine("i-1");
   scheduler->on_job_record(job("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
-  write_all();
-  const auto started = dispatched();
+  commit_all_writes();
+  const auto started = dispatched_commands();
   ASSERT_EQ(started.size(), 1u);
   const auto attempt = started[0].commands[0].attempt;
   scheduler->on_commands_answered(
@@ -179,21 +186,21 @@
       heartbeat("i-1", 3, kFencingToken,
                 {{{"job-1", 0}, attempt, TaskState::Running, ExitCause::None}}),
       true, kNow);
-  dispatched();
+  dispatched_commands();
   JobRecord cancelled = scheduler->jobs().at("job-1").stored;
   cancelled.state = JobState::Cancelled;
   scheduler->on_job_record(cancelled, ++revision, kNow);
-  const auto stopped = dispatched();
+  const auto stopped = dispatched_commands();
   ASSERT_EQ(stopped.size(), 1u);
   EXPECT_EQ(stopped[0].commands[0].verb, Verb::Stop);
 }
 
-TEST_F(PromptLeader, FindsWithTheNextRoundWhatBecameDueByTimeAlone) {
+TEST_F(PromptDispatchScheduler, NextRoundPlansWritesThatBecameDueByTime) {
   add_machine("i-1");
   scheduler->on_job_record(job("job-1", 2), 5, kNow);
   scheduler->tick(kNow);
-  write_all();
-  const auto worker_commands = dispatched();
+  commit_all_writes();
+  const auto worker_commands = dispatched_commands();
   ASSERT_EQ(worker_commands.size(), 1u);
   ASSERT_EQ(worker_commands[0].commands.size(), 2u);
   std::vector<TaskStatus> tasks;
@@ -210,11 +217,11 @@
   EXPECT_EQ(progress[0].record->done.count(), 1u);
 }
 
-TEST_F(PromptLeader, WritesStartsBeforeProgressAndWhatIsTidiedUp) {
+TEST_F(PromptDispatchScheduler, WritesStartsBeforeFinishedJobs) {
   add_machine("i-1");
-  JobRecord over = job("job-1", 1);
-  over.state = JobState::Cancelled;
-  scheduler->on_job_record(over, 5, kNow);
+  JobRecord cancelled = job("job-1", 1);
+  cancelled.state = JobState::Cancelled;
+  scheduler->on_job_record(cancelled, 5, kNow);
   scheduler->on_job_record(job("job-2", 1), 6, kNow);
   scheduler->tick(kNow);
   std::vector<std::string> jobs;
@@ -224,41 +231,42 @@
 }
 
 /// Starts one more task and returns how many machines and jobs were examined for it.
-size_t checks_of_one_start(PromptLeader& leader, size_t machines, size_t jobs) {
-  const auto many = [](size_t i) { return std::to_string(1000 + i); };
-  for (size_t i = 0; i < machines; ++i) leader.add_machine("i-" + many(i));
+size_t checks_to_start_one_task(PromptDispatchScheduler& leader, size_t machines, size_t jobs) {
+  const auto number = [](size_t i) { return std::to_string(1000 + i); };
+  for (size_t i = 0; i < machines; ++i) leader.add_machine("i-" + number(i));
   for (size_t i = 0; i < jobs; ++i)
-    leader.scheduler->on_job_record(PromptLeader::job("job-" + many(i), 1), 5 + i,
-                                    PromptLeader::kNow);
-  leader.scheduler->tick(PromptLeader::kNow);
-  leader.write_all();
-  leader.dispatched();
-  leader.scheduler->on_job_record(PromptLeader::job("job-1", 1), 500, PromptLeader::kNow);
+    leader.scheduler->on_job_record(PromptDispatchScheduler::job("job-" + number(i), 1), 5 + i,
+                                    PromptDispatchScheduler::kNow);
+  leader.scheduler->tick(PromptDispatchScheduler::kNow);
+  leader.commit_all_writes();
+  leader.dispatched_commands();
+  leader.scheduler->on_job_record(PromptDispatchScheduler::job("job-1", 1), 500,
+                                  PromptDispatchScheduler::kNow);
   leader.scheduler->request_round();
-  leader.scheduler->tick(PromptLeader::kNow);
+  leader.scheduler->tick(PromptDispatchScheduler::kNow);
   const size_t before = leader.scheduler->work().dispatch_checks;
-  leader.write_all();
-  EXPECT_EQ(leader.dispatched().size(), 1u);
+  leader.commit_all_writes();
+  EXPECT_EQ(leader.dispatched_commands().size(), 1u);
   return leader.scheduler->work().dispatch_checks - before;
 }
 
-TEST_F(PromptLeader, CostsWhatItSendsAndNotALookAtTheFleet) {
+TEST_F(PromptDispatchScheduler, WorkDoesNotGrowWithTheFleet) {
   const size_t machines = 800;
   const size_t jobs = 400;
-  EXPECT_LE(checks_of_one_start(*this, machines, jobs), 10u);
+  EXPECT_LE(checks_to_start_one_task(*this, machines, jobs), 10u);
 }
 
-TEST_F(PromptLeader, IsOffByDefault) {
+TEST_F(PromptDispatchScheduler, IsOffByDefault) {
   settings.tuning.prompt_dispatch = Tuning{}.prompt_dispatch;
   add_machine("i-1");
   scheduler->on_job_record(job("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
-  write_all();
-  EXPECT_TRUE(dispatched().empty());
-  EXPECT_FALSE(scheduler->tick(kNow).empty()) << "with the next tick";
+  commit_all_writes();
+  EXPECT_TRUE(dispatched_commands().empty());
+  EXPECT_FALSE(scheduler->tick(kNow).empty()) << "commands are sent with the next tick";
 }
 
-TEST_F(PromptLeader, RentsAtThePaceOfTheFleetInRequestsThatTheCloudTakes) {
+TEST_F(PromptDispatchScheduler, ScalesOutInProportionToFleetWithinRequestLimit) {
   for (int i = 0; i < 100; ++i) add_machine("i-" + std::to_string(1000 + i));
   scheduler->on_job_record(job("job-1", 400), 5, kNow);
   scheduler->on_job_record(job("job-2", 480), 6, kNow);
@@ -266,7 +274,7 @@
   EXPECT_EQ(rented(scheduler->tick(kNow)), (std::vector<int>{50, 20}));
 }
 
-TEST_F(PromptLeader, RentsAFewAtOnceUnlessToldOtherwise) {
+TEST_F(PromptDispatchScheduler, ScalesOutInSmallStepsByDefault) {
   for (int i = 0; i < 100; ++i) add_machine("i-" + std::to_string(1000 + i));
   scheduler->on_job_record(job("job-1", 400), 5, kNow);
   scheduler->on_job_record(job("job-2", 480), 6, kNow);
@@ -275,7 +283,7 @@
 
 // ---------------------------------------------------------------- several controllers
 
-TEST(PromptDispatch, KeepsTheRulesThroughTroublesOfAllKinds) {
+TEST(PromptDispatchSimulation, BreaksNoRuleUnderRandomFaults) {
   size_t starts = 0;
   size_t terms = 0;
   constexpr uint64_t kSeeds = 40;
@@ -295,7 +303,7 @@
   EXPECT_GT(terms, 400u);
 }
 
-TEST(PromptDispatch, LosesAndDoublesNoStartWhenLeadersEndInTheMiddleOfStarting) {
+TEST(PromptDispatchSimulation, NeitherLosesNorRepeatsStartsWhenLeadersEndDuringDispatch) {
   constexpr uint64_t kSeeds = 30;
   size_t starts = 0;
   for (uint64_t seed = 1; seed <= kSeeds && !::testing::Test::HasFailure(); ++seed) {
--- a/tests/record_capacity_test.cpp
+++ b/tests/record_capacity_test.cpp
@@ -19,7 +19,7 @@
 }
 
 /// Numbers of done tasks with gaps of random sizes between them.
-Ranges scattered(uint32_t tasks) {
+Ranges scattered_task_numbers(uint32_t tasks) {
   Ranges done;
   const auto widest = *rc::gen::element<uint32_t>(2, 3, 12, 130, 1100);
   uint32_t task = *rc::gen::inRange<uint32_t>(0, widest);
@@ -30,7 +30,7 @@
   return done;
 }
 
-std::vector<std::string> many_hosts() {
+std::vector<std::string> random_hosts() {
   const std::string name =
       *rc::gen::element<std::string>("i-", "\"\\", "\xc3\xa9", "machine-name-");
   std::vector<std::string> hosts;
@@ -39,7 +39,7 @@
   return hosts;
 }
 
-JobRecord hostile_record() {
+JobRecord random_record() {
   JobRecord record;
   record.spec = *testing::job_spec();
   // Dependencies are removed from a record before it gets hosts or numbers of done tasks.
@@ -48,36 +48,36 @@
   record.state = *rc::gen::element(JobState::Pending, JobState::Cancelled, JobState::Done);
   record.started = *rc::gen::arbitrary<bool>();
   record.submitted_ms = *rc::gen::arbitrary<uint64_t>();
-  if (*rc::gen::arbitrary<bool>()) record.hosts = many_hosts();
-  record.done = scattered(record.spec.tasks);
+  if (*rc::gen::arbitrary<bool>()) record.hosts = random_hosts();
+  record.done = scattered_task_numbers(record.spec.tasks);
   return record;
 }
 
-TEST(RecordCapacity, WhatFitsIsWithinTheLimitWhateverItHolds) {
-  int with_room = 0;
-  for (const size_t most_bytes : {size_t{2048}, size_t{8192}})
+TEST(RecordCapacity, FittingRecordIsWithinLimitForAnyContent) {
+  int with_capacity = 0;
+  for (const size_t max_bytes : {size_t{2048}, size_t{8192}})
     EXPECT_TRUE(holds("records fit", [&] {
-      const JobRecord record = hostile_record();
-      const wire::RecordCapacity room = wire::record_capacity(record, most_bytes);
-      RC_ASSERT(room.any() || 2 * room.described > most_bytes);
-      if (!room.any()) return;
-      ++with_room;
-      const JobRecord fitting = wire::fitting_record(record, most_bytes);
-      RC_ASSERT(size_of(fitting) <= most_bytes);
-      RC_ASSERT(size_of(fitting) <= room.taken_by(fitting));
-      RC_ASSERT(wire::fitting_record(fitting, most_bytes) == fitting);
+      const JobRecord record = random_record();
+      const wire::RecordCapacity capacity = wire::record_capacity(record, max_bytes);
+      RC_ASSERT(capacity.any() || 2 * capacity.described > max_bytes);
+      if (!capacity.any()) return;
+      ++with_capacity;
+      const JobRecord fitting = wire::fitting_record(record, max_bytes);
+      RC_ASSERT(size_of(fitting) <= max_bytes);
+      RC_ASSERT(size_of(fitting) <= capacity.taken_by(fitting));
+      RC_ASSERT(wire::fitting_record(fitting, max_bytes) == fitting);
       // Hosts and numbers of done tasks both take up all the space that they may.
       JobRecord fullest = record;
       fullest.hosts.emplace();
-      while (room.holds(*fullest.hosts)) fullest.hosts->push_back("i-1234");
+      while (capacity.holds(*fullest.hosts)) fullest.hosts->push_back("i-1234");
       fullest.hosts->pop_back();
       fullest.done = fitting.done;
-      RC_ASSERT(size_of(fullest) <= most_bytes);
+      RC_ASSERT(size_of(fullest) <= max_bytes);
     }));
-  EXPECT_GT(with_room, 200);
+  EXPECT_GT(with_capacity, 200);
 }
 
-TEST(RecordCapacity, ASmallJobsRecordHoldsAllOfIt) {
+TEST(RecordCapacity, SmallRecordIsKeptWhole) {
   JobRecord record;
   record.spec.id = "job-000398";
   record.spec.tasks = 100;
@@ -87,7 +87,7 @@
   EXPECT_EQ(wire::fitting_record(record, 2048), record) << "50 spans and 60 hosts";
 }
 
-TEST(RecordCapacity, WhereTheDescriptionTakesAllThereIsNone) {
+TEST(RecordCapacity, NoneIfTheDescriptionLeavesNoRoom) {
   JobRecord record;
   record.spec.id = "job-1";
   record.spec.types = std::vector<std::string>(10, std::string(200, 'x'));
@@ -95,7 +95,7 @@
   EXPECT_TRUE(wire::record_capacity(record, 8192).any());
 }
 
-TEST(Ranges, WhatIsKeptGoesFirst) {
+TEST(Ranges, FirstSpansPrefersKeptNumbers) {
   EXPECT_TRUE(holds("what is kept stays", [] {
     Ranges kept;
     Ranges all;
@@ -103,14 +103,14 @@
       all.add(n);
       if (*rc::gen::arbitrary<bool>()) kept.add(n);
     }
-    const auto most = *rc::gen::inRange<size_t>(0, 20);
-    const Ranges chosen = all.first_spans(most, kept);
-    RC_ASSERT(chosen.spans() == std::min(most, all.spans()));
+    const auto max_spans = *rc::gen::inRange<size_t>(0, 20);
+    const Ranges chosen = all.first_spans(max_spans, kept);
+    RC_ASSERT(chosen.spans() == std::min(max_spans, all.spans()));
     uint32_t count = 0;
     for (uint32_t n = 0; n < 80; ++n) {
       count += chosen.contains(n);
       RC_ASSERT(all.contains(n) || !chosen.contains(n));
-      if (kept.spans() <= most) RC_ASSERT(chosen.contains(n) || !kept.contains(n));
+      if (kept.spans() <= max_spans) RC_ASSERT(chosen.contains(n) || !kept.contains(n));
     }
     RC_ASSERT(chosen.count() == count);
   }));
@@ -118,8 +118,8 @@
 
 // A leader that reads records stored by earlier versions under larger limits.
 
-struct LoweredLimits : ::testing::Test {
-  static constexpr size_t kMostBytes = 2048;
+struct LoweredValueLimit : ::testing::Test {
+  static constexpr size_t kMaxBytes = 2048;
   static constexpr uint64_t kFencingToken = uint64_t{2} << 20;
   Settings settings;
   JobRecord record;
@@ -127,7 +127,7 @@
   uint64_t revision = 100;
   std::unique_ptr<Scheduler> scheduler;
 
-  LoweredLimits() {
+  LoweredValueLimit() {
     settings.state_value_kb = 2;
     TeamSettings team;
     team.name = "t";
@@ -155,21 +155,21 @@
     record.hosts.emplace();
     for (int i = 100; i < 500; ++i) record.hosts->push_back("i-" + std::to_string(i));
     record.hosts->push_back("i-9");
-    ASSERT_GT(size_of(record), kMostBytes);
+    ASSERT_GT(size_of(record), kMaxBytes);
     scheduler->on_job_record(record, ++revision, now);
   }
 
   void heartbeat(uint64_t sequence_number, std::vector<TaskStatus> tasks) const {
-    WorkerHeartbeat r;
-    r.machine = "i-9";
-    r.addr = "10.0.0.1:9";
-    r.type = "g";
-    r.zone = "e";
-    r.agent_epoch = 1;
-    r.sequence_number = sequence_number;
-    r.fencing_token = kFencingToken;
-    r.tasks = std::move(tasks);
-    scheduler->on_heartbeat(r, true, now);
+    WorkerHeartbeat worker;
+    worker.machine = "i-9";
+    worker.addr = "10.0.0.1:9";
+    worker.type = "g";
+    worker.zone = "e";
+    worker.agent_epoch = 1;
+    worker.sequence_number = sequence_number;
+    worker.fencing_token = kFencingToken;
+    worker.tasks = std::move(tasks);
+    scheduler->on_heartbeat(worker, true, now);
   }
 
   static TaskStatus done(uint32_t task) {
@@ -186,7 +186,7 @@
       for (const auto& write : scheduler->plan_writes(now, 20)) {
         if (write.host.empty() && !write.finished) {
           ++writes;
-          EXPECT_LE(size_of(*write.record), kMostBytes);
+          EXPECT_LE(size_of(*write.record), kMaxBytes);
         }
         scheduler->on_write_answered(write, true, ++revision, now);
       }
@@ -197,36 +197,36 @@
   const Job& job() const { return scheduler->jobs().at("job-1"); }
 };
 
-TEST_F(LoweredLimits, ARecordThatIsTooLargeIsNotRewrittenForNothing) {
+TEST_F(LoweredValueLimit, OversizedRecordIsNotRewrittenIfThatLosesProgress) {
   store_oversized();
   heartbeat(1, {done(1)});
-  EXPECT_EQ(writes_within(5), 0) << "it would lose more than it gains";
+  EXPECT_EQ(writes_within(5), 0) << "a rewrite would lose more done tasks than it adds";
   EXPECT_EQ(job().stored.done.count(), 1000u);
 }
 
-TEST_F(LoweredLimits, ARecordThatIsTooLargeFitsOnceItIsWritten) {
+TEST_F(LoweredValueLimit, OversizedRecordFitsOnceRewritten) {
   store_oversized();
-  std::vector<TaskStatus> most;
-  for (uint32_t task = 0; task < 3800; ++task) most.push_back(done(task));
-  heartbeat(1, most);
+  std::vector<TaskStatus> done_tasks;
+  for (uint32_t task = 0; task < 3800; ++task) done_tasks.push_back(done(task));
+  heartbeat(1, done_tasks);
   EXPECT_EQ(writes_within(20), 1);
-  EXPECT_LE(size_of(job().stored), kMostBytes);
+  EXPECT_LE(size_of(job().stored), kMaxBytes);
   EXPECT_GE(job().stored.done.count(), 3800u);
-  EXPECT_EQ(job().done.count(), 3850u) << "the leader forgets nothing";
+  EXPECT_EQ(job().done.count(), 3850u) << "the leader keeps all done tasks in memory";
 }
 
-TEST_F(LoweredLimits, HostsThatFindNoRoomAreLeftOut) {
+TEST_F(LoweredValueLimit, HostsThatDoNotFitAreOmitted) {
   for (int i = 100; i < 400; ++i)
     scheduler->restore_machine({"i-" + std::to_string(i), "10.0.0.1:9", "g", "e", false}, now);
   record.hosts.emplace();
   for (int i = 100; i < 400; ++i) record.hosts->push_back("i-" + std::to_string(i));
   scheduler->on_job_record(record, ++revision, now);
   heartbeat(1, {done(0)});
-  EXPECT_EQ(writes_within(2), 1) << "all of them are still unaccounted for";
-  EXPECT_FALSE(job().stored.hosts) << "its tasks may be anywhere";
+  EXPECT_EQ(writes_within(2), 1) << "none of these hosts has been reconciled yet";
+  EXPECT_FALSE(job().stored.hosts) << "without hosts its tasks may be on any machine";
 }
 
-TEST_F(LoweredLimits, AJobThatIsOverIsFinishedWithAllItsDoneNumbers) {
+TEST_F(LoweredValueLimit, EndedJobIsFinishedWithAllItsDoneTasks) {
   record.state = JobState::Cancelled;
   store_oversized();
   heartbeat(1, {});
@@ -236,24 +236,24 @@
   EXPECT_EQ(writes[0].record->done.count(), 1000u);
 }
 
-TEST_F(LoweredLimits, WhatIsStoredStaysStoredAsTheGapsFill) {
+TEST_F(LoweredValueLimit, StoredProgressIsKeptAsGapsFill) {
   scheduler->on_job_record(record, ++revision, now);
   std::vector<TaskStatus> tasks;
   for (uint32_t task = 3999; task > 1000; task -= 7) tasks.push_back(done(task));
   heartbeat(1, tasks);
   EXPECT_EQ(writes_within(5), 1);
   const Ranges stored = job().stored.done;
-  ASSERT_LT(stored.count(), tasks.size()) << "there is no room for all";
+  ASSERT_LT(stored.count(), tasks.size()) << "not all done tasks fit into the record";
   for (uint32_t task = 0; task < 1000; task += 3) tasks.push_back(done(task));
   heartbeat(2, tasks);
-  EXPECT_EQ(writes_within(5), 0) << "the room is taken";
+  EXPECT_EQ(writes_within(5), 0) << "no space is left in the record";
   for (uint32_t task = 1; task < 4000; ++task) tasks.push_back(done(task));
   heartbeat(3, tasks);
   EXPECT_EQ(writes_within(5), 1);
   EXPECT_EQ(job().stored.done.count(), 4000u);
 }
 
-TEST_F(LoweredLimits, AJobThatLeavesNoRoomKeepsNobodyBack) {
+TEST_F(LoweredValueLimit, JobWithoutRoomDoesNotBlockOtherJobs) {
   record.started = false;
   record.spec.types = std::vector<std::string>(12, std::string(190, 'x'));
   record.spec.types->push_back("g");
--- a/tests/upgrade_test.cpp
+++ b/tests/record_compatibility_test.cpp
@@ -31,7 +31,7 @@
     "646f6e6590";
 constexpr std::string_view kOldFinished = "82a57374617465a4646f6e65a4646f6e65cd012c";
 
-std::string bytes_of(std::string_view hex) {
+std::string bytes_from_hex(std::string_view hex) {
   constexpr int kBase = 16;
   std::string bytes;
   for (size_t at = 0; at < hex.size(); at += 2)
@@ -71,8 +71,8 @@
   }
 }
 
-TEST(Upgrade, RecordsOfTheOldVersionAreRead) {
-  const JobRecord full = decoded_job(bytes_of(kOldJobWithEveryField));
+TEST(RecordCompatibility, ReadsRecordsOfOldVersion) {
+  const JobRecord full = decoded_job(bytes_from_hex(kOldJobWithEveryField));
   EXPECT_EQ(full.spec.id, "job-17");
   EXPECT_EQ(full.state, JobState::Cancelled);
   EXPECT_EQ(full.hosts, (std::vector<std::string>{"m-1", "m-2"}));
@@ -80,25 +80,25 @@
   EXPECT_TRUE(full.spec.dependencies.empty());
   EXPECT_EQ(full.ready_ms, 0u);
   EXPECT_EQ(full.ended_ms, 0u);
-  const JobRecord least = decoded_job(bytes_of(kOldJobWithoutOptionalFields));
-  EXPECT_EQ(least.spec.id, "job-1");
-  EXPECT_FALSE(least.started);
-  const std::string finished = bytes_of(kOldFinished);
+  const JobRecord minimal = decoded_job(bytes_from_hex(kOldJobWithoutOptionalFields));
+  EXPECT_EQ(minimal.spec.id, "job-1");
+  EXPECT_FALSE(minimal.started);
+  const std::string finished = bytes_from_hex(kOldFinished);
   const auto record = wire::decode_finished(wire::Document::parse(finished)->root());
   EXPECT_EQ(record, (FinishedRecord{JobState::Done, 300, 0}));
 }
 
 /// As long as the new fields are not used, both versions write the same bytes.
-TEST(Upgrade, RecordsOfJobsWithoutDependenciesAreWrittenAsTheOldVersionDid) {
+TEST(RecordCompatibility, WritesJobsWithoutDependenciesInOldFormat) {
   for (const auto old : {kOldJobWithEveryField, kOldJobWithoutOptionalFields}) {
-    const std::string bytes = bytes_of(old);
+    const std::string bytes = bytes_from_hex(old);
     EXPECT_EQ(wire::encode_job(decoded_job(bytes)), bytes);
   }
-  EXPECT_EQ(wire::encode_finished({JobState::Done, 300}), bytes_of(kOldFinished));
+  EXPECT_EQ(wire::encode_finished({JobState::Done, 300}), bytes_from_hex(kOldFinished));
 }
 
-TEST(Upgrade, WhatIsNewComesOnTopOfAllThatTheOldVersionRequires) {
-  const std::string old = bytes_of(kOldJobWithEveryField);
+TEST(RecordCompatibility, NewFieldsAreAddedToAllOldFields) {
+  const std::string old = bytes_from_hex(kOldJobWithEveryField);
   JobRecord record = decoded_job(old);
   record.spec.dependencies = {"job-3", "job-5"};
   record.ready_ms = 1700000000200;
@@ -106,19 +106,19 @@
   const std::string written = wire::encode_job(record);
   expect_all_fields(old, written);
   EXPECT_EQ(decoded_job(written), record);
-  expect_all_fields(bytes_of(kOldFinished), wire::encode_finished({JobState::Done, 300, 17}));
+  expect_all_fields(bytes_from_hex(kOldFinished), wire::encode_finished({JobState::Done, 300, 17}));
 }
 
 /// When the old version rewrites a record, it drops the fields that it doesn't have. Only the times
 /// at which a job became ready or ended are lost; no job starts or ends because of that.
-TEST(Upgrade, ARecordThatTheOldVersionHasRewrittenIsWhole) {
-  JobRecord record = decoded_job(bytes_of(kOldJobWithEveryField));
+TEST(RecordCompatibility, RecordRewrittenByOldVersionLosesOnlyTimes) {
+  JobRecord record = decoded_job(bytes_from_hex(kOldJobWithEveryField));
   record.ready_ms = 1700000000200;
   record.ended_ms = 1700000000300;
   JobRecord rewritten = record;
   rewritten.ready_ms = 0;
   rewritten.ended_ms = 0;
-  EXPECT_EQ(wire::encode_job(rewritten), bytes_of(kOldJobWithEveryField));
+  EXPECT_EQ(wire::encode_job(rewritten), bytes_from_hex(kOldJobWithEveryField));
 }
 
 }  // namespace
--- a/tests/record_tables_test.cpp
+++ b/tests/record_tables_test.cpp
@@ -60,13 +60,13 @@
   ChangeEffect apply(const wire::StoreItem& item) { return tables.apply(item).effect; }
 };
 
-TEST_F(RecordTablesTest, EachChangeAgainstWhatIsKnown) {
+TEST_F(RecordTablesTest, AppliesChangesByVersion) {
   const auto job = [&](uint64_t version) { return changes.job(job_record("job-1"), version); };
   const std::string live = keys::kLive + "job-1";
   const std::string host = keys::kHost + "i-1";
   struct Case {
-    const char* what;
-    std::vector<wire::StoreItem> known;
+    const char* description;
+    std::vector<wire::StoreItem> applied_before;
     wire::StoreItem change;
     ChangeEffect effect;
   };
@@ -95,21 +95,22 @@
       {"a term is never deleted", {}, Changes::deleted(keys::kTerm, 5), ChangeEffect::None},
       {"another key", {}, changes.leader("sq/other", 5), ChangeEffect::None},
   };
-  for (const auto& test : cases) {
+  for (const auto& test_case : cases) {
     RecordTables fresh(kMaxFinished);
-    for (const auto& item : test.known) EXPECT_NE(fresh.apply(item).effect, ChangeEffect::None);
-    EXPECT_EQ(fresh.apply(test.change).effect, test.effect) << test.what;
+    for (const auto& item : test_case.applied_before)
+      EXPECT_NE(fresh.apply(item).effect, ChangeEffect::None);
+    EXPECT_EQ(fresh.apply(test_case.change).effect, test_case.effect) << test_case.description;
   }
 }
 
-TEST_F(RecordTablesTest, AnUnreadableRecordLeavesTheOldOne) {
+TEST_F(RecordTablesTest, UnreadableRecordKeepsThePreviousOne) {
   EXPECT_EQ(apply(changes.job(job_record("job-1"), 5)), ChangeEffect::JobUpdated);
   EXPECT_EQ(apply(changes.leader(keys::kLive + "job-1", 6)), ChangeEffect::Unreadable);
   ASSERT_NE(tables.live("job-1"), nullptr);
   EXPECT_EQ(tables.live("job-1")->version, 5u);
 }
 
-TEST_F(RecordTablesTest, ChangesOfAPageAreAppliedByVersionAndOnlyNewerOnes) {
+TEST_F(RecordTablesTest, ChangesOfAPageAreFilteredAndOrderedByVersion) {
   tables.set_revision(4);
   wire::StorePage page;
   page.items = {Changes::deleted(keys::kLive + "job-1", 6), changes.job(job_record("job-1"), 5),
@@ -123,7 +124,7 @@
   EXPECT_TRUE(tables.live().empty());
 }
 
-TEST_F(RecordTablesTest, TheRevisionNeverGoesBackExceptToASnapshots) {
+TEST_F(RecordTablesTest, RevisionDecreasesOnlyWithASnapshot) {
   tables.set_revision(4);
   tables.advance_revision(9);
   tables.advance_revision(7);
@@ -132,13 +133,14 @@
   EXPECT_EQ(tables.revision(), 3u);
 }
 
-TEST_F(RecordTablesTest, OwnWritesCountOnlyIfTheyAreNewer) {
+TEST_F(RecordTablesTest, OwnWritesApplyOnlyIfNewer) {
   tables.set_revision(10);
-  EXPECT_FALSE(tables.wrote_job(job_record("job-1"), 10)) << "the watch has delivered it";
+  EXPECT_FALSE(tables.wrote_job(job_record("job-1"), 10)) << "the watch has delivered it already";
   EXPECT_TRUE(tables.wrote_job(job_record("job-1"), 12));
-  EXPECT_FALSE(tables.wrote_job(job_record("job-1"), 11)) << "an answer that came late";
+  EXPECT_FALSE(tables.wrote_job(job_record("job-1"), 11)) << "the late answer to an older write";
   tables.add_finished("job-2", {JobState::Done, 1, 50});
-  EXPECT_FALSE(tables.wrote_job(job_record("job-2"), 13)) << "a finished job stays so";
+  EXPECT_FALSE(tables.wrote_job(job_record("job-2"), 13))
+      << "a finished job does not become live again";
 
   const HostRecord host{"i-1", "10.0.0.1:9", "g", "e", false};
   tables.wrote_host("i-1", &host, 10);
@@ -153,23 +155,24 @@
   EXPECT_EQ(tables.term().version, 11u);
 }
 
-TEST_F(RecordTablesTest, AHostThatThisNodeDeletedDoesNotComeBackByAnOlderChange) {
+TEST_F(RecordTablesTest, OlderChangeDoesNotRestoreDeletedHost) {
   tables.wrote_host("i-1", nullptr, 7);
   EXPECT_EQ(apply(changes.host(6)), ChangeEffect::None);
   EXPECT_EQ(apply(changes.host(8)), ChangeEffect::HostChanged);
 }
 
-TEST_F(RecordTablesTest, TheFinishedJobsThatBecameKnownLastAreKept) {
+TEST_F(RecordTablesTest, KeepsMostRecentlyAddedFinishedJobs) {
   for (const auto* id : {"job-1", "job-2", "job-3"})
     EXPECT_EQ(apply(changes.finished(id, 5)), ChangeEffect::JobEnded);
   EXPECT_EQ(tables.finished("job-1"), nullptr);
   EXPECT_NE(tables.finished("job-2"), nullptr);
   EXPECT_NE(tables.finished("job-3"), nullptr);
   tables.clear();
-  EXPECT_NE(tables.finished("job-3"), nullptr) << "a new snapshot does not bring them";
+  EXPECT_NE(tables.finished("job-3"), nullptr)
+      << "kept by clear(), since a new snapshot does not contain finished jobs";
 }
 
-TEST_F(RecordTablesTest, DependenciesAreKnownFromLiveAndFinishedJobsOrUnknown) {
+TEST_F(RecordTablesTest, ResolvesDependenciesFromLiveAndFinishedJobs) {
   tables.add_finished("job-1", {JobState::Done, 1, 50});
   EXPECT_TRUE(tables.wrote_job(job_record("job-2"), 1));
   EXPECT_TRUE(tables.wrote_job(job_record("job-4", {"job-1", "job-2", "job-3"}), 2));
@@ -179,7 +182,7 @@
   EXPECT_FALSE(tables.dependencies().ready("job-4"));
   tables.add_finished("job-2", {JobState::Done, 1, 70});
   EXPECT_TRUE(tables.dependencies().ready("job-4"));
-  EXPECT_EQ(tables.finished("job-1"), nullptr) << "two others were finished since";
+  EXPECT_EQ(tables.finished("job-1"), nullptr) << "evicted by two jobs that finished later";
   ASSERT_TRUE(tables.dependency_end("job-1"));
   EXPECT_EQ(tables.dependency_end("job-1")->ended_ms, 50u);
 }
--- a/tests/record_transaction_test.cpp
+++ b/tests/record_transaction_test.cpp
@@ -52,60 +52,63 @@
 }
 
 /// Whether the key-value store would commit the transaction while the keys have these versions.
-bool passes(const RecordTransaction& transaction, const std::map<std::string, uint64_t>& versions) {
+bool commits(const RecordTransaction& transaction,
+             const std::map<std::string, uint64_t>& versions) {
   return std::all_of(transaction.preconditions.begin(), transaction.preconditions.end(),
                      [&](const auto& precondition) {
-                       const auto held = versions.find(precondition.key);
-                       const uint64_t version = held == versions.end() ? 0 : held->second;
+                       const auto stored = versions.find(precondition.key);
+                       const uint64_t version = stored == versions.end() ? 0 : stored->second;
                        return version == precondition.version;
                      });
 }
 
-using Encoded = std::map<std::string, std::string>;
-Encoded encoded(const RecordTransaction& transaction) {
-  Encoded values;
+using EncodedValues = std::map<std::string, std::string>;
+EncodedValues encoded(const RecordTransaction& transaction) {
+  EncodedValues values;
   for (const auto& change : encode(transaction.mutations)) {
-    EXPECT_EQ(change.lease, 0u) << "records outlive the leader's lease: " << change.key;
-    EXPECT_TRUE(values.emplace(change.key, change.value).second) << "twice: " << change.key;
+    EXPECT_EQ(change.lease, 0u) << "record attached to a lease: " << change.key;
+    EXPECT_TRUE(values.emplace(change.key, change.value).second)
+        << "key written twice: " << change.key;
   }
   return values;
 }
 
-TEST(RecordTransaction, IsRefusedOnceAnotherLeaderHasBeenElected) {
+TEST(RecordTransaction, FailsOnceAnotherLeaderIsElected) {
   for (const auto& write :
        {job_write("a", 4), finished_write("a", 4), host_write("i-1"), host_deletion("i-1")}) {
     const auto transaction = record_transaction({write}, kTermVersion);
-    EXPECT_TRUE(passes(transaction, {{keys::kTerm, kTermVersion}, {keys::kLive + "a", 4}}));
-    EXPECT_FALSE(passes(transaction, {{keys::kTerm, kTermVersion + 1}, {keys::kLive + "a", 4}}));
+    EXPECT_TRUE(commits(transaction, {{keys::kTerm, kTermVersion}, {keys::kLive + "a", 4}}));
+    EXPECT_FALSE(commits(transaction, {{keys::kTerm, kTermVersion + 1}, {keys::kLive + "a", 4}}));
   }
 }
 
-TEST(RecordTransaction, IsRefusedOnceARecordOfItHasChanged) {
-  const std::map<std::string, uint64_t> as_decided{
+TEST(RecordTransaction, FailsOnceOneOfItsRecordsHasChanged) {
+  const std::map<std::string, uint64_t> versions_at_planning{
       {keys::kTerm, kTermVersion}, {keys::kLive + "a", 4}, {keys::kLive + "b", 9}};
   const auto transaction =
       record_transaction({job_write("a", 4), finished_write("b", 9)}, kTermVersion);
-  EXPECT_TRUE(passes(transaction, as_decided));
+  EXPECT_TRUE(commits(transaction, versions_at_planning));
   for (const std::string job : {"a", "b"}) {
-    auto changed = as_decided;
+    auto changed = versions_at_planning;
     ++changed[keys::kLive + job];
-    EXPECT_FALSE(passes(transaction, changed)) << job << " was cancelled in between";
+    EXPECT_FALSE(commits(transaction, changed))
+        << job << " changed after the transaction was planned";
     changed.erase(keys::kLive + job);
-    EXPECT_FALSE(passes(transaction, changed)) << job << " has left the live records";
+    EXPECT_FALSE(commits(transaction, changed)) << job << " has left the live records";
   }
 }
 
-TEST(RecordTransaction, MovesAFinishedJobOutOfTheLiveRecordsInOneStep) {
+TEST(RecordTransaction, MovesFinishedJobOutOfLiveRecordsAtomically) {
   const auto write = finished_write("a", 4);
-  const Encoded expected{{keys::kLive + "a", ""},
-                         {keys::kFinished + "a", wire::encode_finished({JobState::Done, 2})}};
+  const EncodedValues expected{{keys::kLive + "a", ""},
+                               {keys::kFinished + "a", wire::encode_finished({JobState::Done, 2})}};
   EXPECT_EQ(encoded(record_transaction({write}, kTermVersion)), expected);
 }
 
-TEST(RecordTransaction, HoldsEveryWriteOnce) {
+TEST(RecordTransaction, ContainsEveryWriteOnce) {
   const std::vector<RecordWrite> writes{job_write("a", 4), finished_write("b", 9),
                                         host_write("i-1"), host_deletion("i-2")};
-  const Encoded expected{
+  const EncodedValues expected{
       {keys::kLive + "a", wire::encode_job(job_record("a"))},
       {keys::kLive + "b", ""},
       {keys::kFinished + "b", wire::encode_finished({JobState::Done, 2})},
@@ -115,7 +118,7 @@
 }
 
 /// The leader relies on this count when it fills a transaction up to the key-value store's limit.
-TEST(RecordTransaction, HasAsManyChangesAsItsWritesSay) {
+TEST(RecordTransaction, MutationCountMatchesItsWrites) {
   for (const auto& write :
        {job_write("a", 4), finished_write("a", 4), host_write("i-1"), host_deletion("i-1")})
     EXPECT_EQ(record_transaction({write}, kTermVersion).mutations.size(), write.changes());
--- a/tests/scale_out_requests_test.cpp
+++ b/tests/scale_out_requests_test.cpp
@@ -7,48 +7,48 @@
 
 const OfferingKey kOffering{"g", "e", false};
 
-TEST(ScaleOutRequests, EachRequestHasItsOwnNameInItsOwnTerm) {
+TEST(ScaleOutRequests, RequestNamesAreUniqueWithinAndAcrossTerms) {
   ScaleOutRequests requests(7);
-  ScaleOutRequests next_leaders(8);
+  ScaleOutRequests requests_of_next_term(8);
   const ScaleOut first = requests.open(kOffering, 2);
   const ScaleOut second = requests.open(kOffering, 2);
   EXPECT_NE(first.request, second.request);
-  EXPECT_NE(first.request, next_leaders.open(kOffering, 2).request);
+  EXPECT_NE(first.request, requests_of_next_term.open(kOffering, 2).request);
   EXPECT_EQ(first.type, "g");
   EXPECT_EQ(first.zone, "e");
   EXPECT_EQ(first.count, 2);
 }
 
-TEST(ScaleOutRequests, OneOfUnknownOutcomeIsRepeatedUnderItsName) {
+TEST(ScaleOutRequests, RetriesRequestOfUnknownOutcomeUnderItsName) {
   ScaleOutRequests requests(1);
-  const ScaleOut rent = requests.open(kOffering, 1);
-  EXPECT_TRUE(requests.due_for_retry(1e6).empty()) << "its answer is awaited";
-  requests.retry_after(rent, 100, 2);
+  const ScaleOut scale_out = requests.open(kOffering, 1);
+  EXPECT_TRUE(requests.due_for_retry(1e6).empty()) << "the request is in flight";
+  requests.retry_after(scale_out, 100, 2);
   EXPECT_TRUE(requests.due_for_retry(101).empty());
   const auto due = requests.due_for_retry(102);
   ASSERT_EQ(due.size(), 1u);
-  EXPECT_EQ(due[0].request, rent.request);
-  EXPECT_TRUE(requests.due_for_retry(1e6).empty()) << "once";
+  EXPECT_EQ(due[0].request, scale_out.request);
+  EXPECT_TRUE(requests.due_for_retry(1e6).empty()) << "each retry is due once";
   EXPECT_TRUE(requests.any_in_flight());
-  EXPECT_TRUE(requests.complete(rent, 1, 110));
+  EXPECT_TRUE(requests.complete(scale_out, 1, 110));
   EXPECT_FALSE(requests.any_in_flight());
-  EXPECT_FALSE(requests.complete(rent, 1, 111)) << "the answer to a repeat";
+  EXPECT_FALSE(requests.complete(scale_out, 1, 111)) << "the answer to a retry";
 }
 
-TEST(ScaleOutRequests, RefusalsBackOffFromTheirOfferAloneUpToALimit) {
+TEST(ScaleOutRequests, RefusalsBackOffOnlyTheirOfferingUpToALimit) {
   ScaleOutRequests requests(1);
   Seconds now = 100;
-  for (const Seconds pause : {5, 10, 20, 40, 80, 80}) {
+  for (const Seconds backoff : {5, 10, 20, 40, 80, 80}) {
     EXPECT_FALSE(requests.backing_off(kOffering, now));
     requests.complete(requests.open(kOffering, 1), 0, now);
-    EXPECT_TRUE(requests.backing_off(kOffering, now + pause - 0.1)) << pause;
+    EXPECT_TRUE(requests.backing_off(kOffering, now + backoff - 0.1)) << backoff;
     EXPECT_FALSE(requests.backing_off({"g", "w", false}, now));
     EXPECT_FALSE(requests.backing_off({"g", "e", true}, now));
-    now += pause;
+    now += backoff;
   }
 }
 
-TEST(ScaleOutRequests, FewerThanAskedForAreARefusalAndAFilledRequestEndsTheRow) {
+TEST(ScaleOutRequests, PartialGrantCountsAsRefusalAndFullGrantResetsBackoff) {
   ScaleOutRequests requests(1);
   requests.complete(requests.open(kOffering, 3), 2, 100);
   EXPECT_TRUE(requests.backing_off(kOffering, 104));
@@ -56,7 +56,8 @@
   EXPECT_FALSE(requests.backing_off(kOffering, 105));
   requests.complete(requests.open(kOffering, 3), 0, 110);
   EXPECT_TRUE(requests.backing_off(kOffering, 114));
-  EXPECT_FALSE(requests.backing_off(kOffering, 115)) << "the first of a new row";
+  EXPECT_FALSE(requests.backing_off(kOffering, 115))
+      << "the backoff starts from its first step again";
 }
 
 }  // namespace
--- a/tests/simulators_test.cpp
+++ b/tests/simulators_test.cpp
@@ -19,13 +19,13 @@
 
 using testing::holds;
 
-TaskKey any_key() {
+TaskKey random_task_key() {
   return {"job-" + std::to_string(*rc::gen::inRange(0, 1000)),
           static_cast<uint32_t>(*rc::gen::inRange(0, 100))};
 }
 
-TEST(StandInMessages, AreReadByTheControllersAsTheyWereSent) {
-  EXPECT_TRUE(holds("reports", [] {
+TEST(SimulatorMessages, AreDecodedByControllers) {
+  EXPECT_TRUE(holds("worker heartbeats", [] {
     WorkerHeartbeat sent;
     sent.machine = "i-" + std::to_string(*rc::gen::inRange(0, 1000));
     sent.addr = "127.0.0.1:9000";
@@ -37,10 +37,10 @@
     sent.fencing_token = *rc::gen::arbitrary<uint64_t>();
     if (*rc::gen::arbitrary<bool>()) sent.preemption_notice_s = *rc::gen::inRange(0, 100) * 0.5;
     for (int i = *rc::gen::inRange(0, 5); i > 0; --i)
-      sent.tasks.push_back({any_key(), *rc::gen::arbitrary<uint64_t>(),
+      sent.tasks.push_back({random_task_key(), *rc::gen::arbitrary<uint64_t>(),
                             *rc::gen::element(TaskState::Fetching, TaskState::Running),
                             ExitCause::None});
-    sent.tasks.push_back({any_key(), 1, TaskState::Exited,
+    sent.tasks.push_back({random_task_key(), 1, TaskState::Exited,
                           *rc::gen::element(ExitCause::Done, ExitCause::Error, ExitCause::Alone)});
     const auto read = wire::parse_worker_heartbeat(worker_heartbeat_body(sent));
     RC_ASSERT(read.has_value());
@@ -52,12 +52,12 @@
   }));
 }
 
-TEST(StandInMessages, ReadWhatTheControllersSend) {
-  EXPECT_TRUE(holds("orders", [] {
+TEST(SimulatorMessages, DecodeMessagesOfControllers) {
+  EXPECT_TRUE(holds("commands", [] {
     std::vector<Command> commands;
     for (int i = *rc::gen::inRange(0, 5); i > 0; --i) {
       const Verb verb = *rc::gen::element(Verb::Start, Verb::Stop, Verb::Forget);
-      commands.push_back({verb, any_key(), *rc::gen::arbitrary<uint64_t>(),
+      commands.push_back({verb, random_task_key(), *rc::gen::arbitrary<uint64_t>(),
                           verb == Verb::Stop ? *rc::gen::inRange(0, 10) * 0.5 : 0});
     }
     const auto fencing_token = *rc::gen::arbitrary<uint64_t>();
@@ -71,11 +71,12 @@
     RC_ASSERT(answer && answer->commands == commands);
   }));
   EXPECT_FALSE(parse_worker_commands("").has_value());
-  EXPECT_FALSE(parse_worker_commands(wire::redirect_body("n1")).has_value()) << "no token";
+  EXPECT_FALSE(parse_worker_commands(wire::redirect_body("n1")).has_value())
+      << "a redirect has no fencing token";
   EXPECT_EQ(parse_redirect(wire::redirect_body("n1")), "n1");
 }
 
-TEST(RateLimit, AllowsABurstAndThenTheRate) {
+TEST(RateLimit, AllowsBurstThenRate) {
   RateLimit limit(10, 2);
   EXPECT_TRUE(limit.take(20, 100));
   EXPECT_FALSE(limit.take(1, 100));
@@ -84,7 +85,7 @@
 }
 
 /// The simulated key-value store and the controllers' client for it, on the loopback interface.
-struct StateOnLoopback : ::testing::Test {
+struct SimulatedKeyValueStore : ::testing::Test {
   asio::io_context io{1};
   Settings settings;
   std::unique_ptr<StateServer> server;
@@ -98,23 +99,23 @@
     server = std::make_unique<StateServer>(io, settings.state, options);
     client = std::make_unique<KeyValueStoreClient>(io, settings);
   }
-  template <class Result, class Ask>
-  Result answer_to(Ask&& ask) {
+  template <class Result, class Send>
+  Result wait_for_answer(Send&& send) {
     std::optional<Result> answer;
-    ask([&](Result result) { answer = std::move(result); });
+    send([&](Result result) { answer = std::move(result); });
     const Seconds end = steady_now() + 10;
     while (!answer && steady_now() < end) io.run_one_for(std::chrono::milliseconds(50));
     return answer ? *answer : Result{};
   }
   TransactionResult compare_and_swap(std::vector<wire::Precondition> preconditions,
                                      std::vector<wire::Mutation> changes) {
-    return answer_to<TransactionResult>([&](auto done) {
+    return wait_for_answer<TransactionResult>([&](auto done) {
       client->compare_and_swap(RequestPriority::Record, preconditions, changes, done);
     });
   }
 };
 
-TEST_F(StateOnLoopback, KeepsGuardsLeasesPagesAndWatches) {
+TEST_F(SimulatedKeyValueStore, ChecksPreconditionsAndServesLeasesPagesAndWatches) {
   start({10000, 10000, 0.001});
   const std::string value = wire::encode_host({"i-1", "10.0.0.1:9", "g", "e", false});
   const auto first = compare_and_swap({{"a/1", 0}}, {{"a/1", value, 0}, {"a/2", value, 0}});
@@ -123,11 +124,11 @@
   EXPECT_EQ(conflict.outcome, TransactionOutcome::PreconditionFailed);
   EXPECT_EQ(conflict.failed, std::vector<std::string>{"a/1"});
   const auto lease =
-      answer_to<std::optional<uint64_t>>([&](auto done) { client->grant(0.3, done); });
+      wait_for_answer<std::optional<uint64_t>>([&](auto done) { client->grant(0.3, done); });
   ASSERT_TRUE(lease.has_value());
   ASSERT_EQ(compare_and_swap({}, {{"a/3", value, *lease}}).outcome, TransactionOutcome::Committed);
 
-  const auto page = answer_to<HttpResult>([&](auto done) {
+  const auto page = wait_for_answer<HttpResult>([&](auto done) {
     client->read(RequestPriority::Background, wire::page_path("a/", "a/1", 1), done);
   });
   const auto items = wire::parse_page(page.body);
@@ -137,9 +138,9 @@
   EXPECT_TRUE(items->more);
 
   // The lease expires, and the watch delivers the deletion of its key.
-  const auto news = answer_to<HttpResult>(
+  const auto watch_answer = wait_for_answer<HttpResult>(
       [&](auto done) { client->watch(wire::changes_path("a/", items->revision, 5000), 5, done); });
-  const auto changes = wire::parse_changes(news.body);
+  const auto changes = wire::parse_changes(watch_answer.body);
   ASSERT_TRUE(changes.has_value());
   ASSERT_EQ(changes->items.size(), 1u);
   EXPECT_EQ(changes->items[0].key, "a/3");
@@ -147,12 +148,12 @@
   EXPECT_EQ(compare_and_swap({}, {{"a/4", value, *lease}}).outcome, TransactionOutcome::NoLease);
 }
 
-TEST_F(StateOnLoopback, RefusesWritesOverItsLimit) {
+TEST_F(SimulatedKeyValueStore, RefusesWritesAboveRateLimit) {
   start({10000, 2, 0.001});
   const std::string value = wire::encode_host({"i-1", "10.0.0.1:9", "g", "e", false});
   HttpClient raw(io, settings.state, 1, 10);
   const auto post = [&] {
-    return answer_to<HttpResult>([&](auto done) {
+    return wait_for_answer<HttpResult>([&](auto done) {
       raw.request("POST", wire::path::kTransaction,
                   wire::transaction_body({}, {{"b/1", value, 0}, {"b/2", value, 0}}), 5, done);
     });
@@ -162,12 +163,12 @@
 }
 
 /// Two zones with one machine each, and a job of a team with a limit of two GPUs.
-struct Judged {
+struct CheckedDeployment {
   JobBook jobs;
   WorkerState east, west;
   std::unique_ptr<RuleChecker> checker;
 
-  Judged() {
+  CheckedDeployment() {
     TeamSettings team;
     team.name = "t";
     team.gpus_max = 2;
@@ -185,9 +186,9 @@
   }
 };
 
-TEST(RuleChecker, FindsNothingWhileATaskMovesAndEnds) {
-  Judged judged;
-  auto& [jobs, east, west, checker] = judged;
+TEST(RuleChecker, AcceptsTaskThatMovesAndEnds) {
+  CheckedDeployment deployment;
+  auto& [jobs, east, west, checker] = deployment;
   checker->task_arrived(east, {"job-1", 0}, 1);
   checker->task_left(east, {"job-1", 0});
   checker->task_arrived(west, {"job-1", 0}, 2);
@@ -199,48 +200,58 @@
   checker->task_left(west, {"job-1", 0});
   checker->task_left(east, {"job-1", 1});
   checker->check_cancelled(100);
-  EXPECT_EQ(judged.first_violation(), "");
+  EXPECT_EQ(deployment.first_violation(), "");
   EXPECT_EQ(checker->starts(), 3u);
 }
 
-TEST(RuleChecker, FindsEachBrokenRule) {
-  const auto broken = [](const std::string& rule, auto&& events) {
-    Judged judged;
-    events(judged);
-    const std::string found = judged.first_violation();
-    EXPECT_TRUE(found.starts_with(rule)) << rule << ": " << found;
+TEST(RuleChecker, DetectsEachBrokenRule) {
+  const auto expect_violation = [](const std::string& rule, auto&& events) {
+    CheckedDeployment deployment;
+    events(deployment);
+    const std::string found = deployment.first_violation();
+    EXPECT_TRUE(found.starts_with(rule))
+        << "expected a violation of " << rule << ", found: " << found;
   };
-  broken("ran_twice", [](Judged& j) {
-    j.checker->task_arrived(j.east, {"job-1", 0}, 1);
-    j.checker->task_arrived(j.west, {"job-1", 0}, 2);
+  expect_violation("ran_twice", [](CheckedDeployment& deployment) {
+    deployment.checker->task_arrived(deployment.east, {"job-1", 0}, 1);
+    deployment.checker->task_arrived(deployment.west, {"job-1", 0}, 2);
   });
-  broken("quota", [](Judged& j) {
-    for (uint32_t task = 0; task < 3; ++task) j.checker->task_arrived(j.east, {"job-1", task}, 1);
+  expect_violation("quota", [](CheckedDeployment& deployment) {
+    for (uint32_t task = 0; task < 3; ++task)
+      deployment.checker->task_arrived(deployment.east, {"job-1", task}, 1);
   });
-  broken("wrong_place", [](Judged& j) {
-    j.jobs["job-1"].spec.one_zone = true;
-    j.checker->task_arrived(j.east, {"job-1", 0}, 1);
-    j.checker->task_arrived(j.west, {"job-1", 1}, 1);
+  expect_violation("wrong_place", [](CheckedDeployment& deployment) {
+    deployment.jobs["job-1"].spec.one_zone = true;
+    deployment.checker->task_arrived(deployment.east, {"job-1", 0}, 1);
+    deployment.checker->task_arrived(deployment.west, {"job-1", 1}, 1);
   });
-  broken("wrong_place", [](Judged& j) {
-    j.jobs["job-1"].spec.types = std::vector<std::string>{"other"};
-    j.checker->task_arrived(j.east, {"job-1", 0}, 1);
+  expect_violation("wrong_place", [](CheckedDeployment& deployment) {
+    deployment.jobs["job-1"].spec.types = std::vector<std::string>{"other"};
+    deployment.checker->task_arrived(deployment.east, {"job-1", 0}, 1);
   });
-  broken("ran_cancelled", [](Judged& j) {
-    j.jobs["job-1"].cancel_asked_at = 1;
-    j.checker->user_told_cancelled("job-1", 1);
-    j.checker->task_arrived(j.east, {"job-1", 0}, 1);
-    j.checker->check_cancelled(12);
+  expect_violation("ran_cancelled", [](CheckedDeployment& deployment) {
+    deployment.jobs["job-1"].cancel_asked_at = 1;
+    deployment.checker->user_told_cancelled("job-1", 1);
+    deployment.checker->task_arrived(deployment.east, {"job-1", 0}, 1);
+    deployment.checker->check_cancelled(12);
   });
-  broken("not_done", [](Judged& j) { j.checker->user_told_done("job-1", 1); });
-  broken("went_back", [](Judged& j) { j.checker->user_told_cancelled("job-1", 1); });
-  broken("went_back", [](Judged& j) {
-    j.jobs["job-1"].done = {0, 1, 2};
-    j.checker->user_told_done("job-1", 1);
-    j.checker->user_told_unfinished("job-1", 2);
+  expect_violation("not_done", [](CheckedDeployment& deployment) {
+    deployment.checker->user_told_done("job-1", 1);
+  });
+  expect_violation("went_back", [](CheckedDeployment& deployment) {
+    deployment.checker->user_told_cancelled("job-1", 1);
+  });
+  expect_violation("went_back", [](CheckedDeployment& deployment) {
+    deployment.jobs["job-1"].done = {0, 1, 2};
+    deployment.checker->user_told_done("job-1", 1);
+    deployment.checker->user_told_unfinished("job-1", 2);
+  });
+  expect_violation("forgotten", [](CheckedDeployment& deployment) {
+    deployment.checker->user_told_unknown("job-1", 1);
+  });
+  expect_violation("invented", [](CheckedDeployment& deployment) {
+    deployment.checker->task_arrived(deployment.east, {"job-2", 0}, 1);
   });
-  broken("forgotten", [](Judged& j) { j.checker->user_told_unknown("job-1", 1); });
-  broken("invented", [](Judged& j) { j.checker->task_arrived(j.east, {"job-2", 0}, 1); });
 }
 
 }  // namespace
--- a/tests/socket_budget_test.cpp
+++ b/tests/socket_budget_test.cpp
@@ -19,7 +19,7 @@
 }
 
 /// The error with which the settings are rejected; empty if they are accepted.
-std::string refusal_of(const Settings& settings) {
+std::string settings_error(const Settings& settings) {
   try {
     check_sockets(settings, "f.toml");
   } catch (const SettingsError& error) {
@@ -28,15 +28,15 @@
   return "";
 }
 
-TEST(SocketBudget, NeverGivesOutMoreThanThereAreAndLeavesEachItsShare) {
+TEST(SocketBudget, StaysWithinLimitAndLeavesEachPartAShare) {
   EXPECT_TRUE(testing::holds("socket budget", [] {
     Settings settings = with_sockets(*rc::gen::inRange(1, 20000), *rc::gen::inRange(0, 20));
     settings.tuning.sockets = *rc::gen::inRange(10, 71) / 100.0;
     const SocketBudget budget = socket_budget(settings);
-    if (!refusal_of(settings).empty()) return;
-    const auto out =
+    if (!settings_error(settings).empty()) return;
+    const auto allocated =
         static_cast<double>(budget.fixed + budget.served_and_refused + budget.worker_commands);
-    RC_ASSERT(out <= settings.max_sockets);
+    RC_ASSERT(allocated <= settings.max_sockets);
     const size_t served = budget.served_and_refused - budget.refusals;
     RC_ASSERT(budget.refusals > 0u && budget.worker_commands > 0u);
     RC_ASSERT(budget.kept_open > 0u && budget.kept_open < served);
@@ -44,40 +44,40 @@
   }));
 }
 
-TEST(SocketBudget, TheLimitsOfTodaysDeploymentsServeManyAtOnce) {
+TEST(SocketBudget, CurrentDeploymentLimitServesManyConnections) {
   const SocketBudget budget = socket_budget(with_sockets(2208, 4));
   EXPECT_EQ(budget.served_and_refused, 1545u);
   EXPECT_GT(budget.kept_open, 1300u);
   EXPECT_EQ(budget.worker_commands, 441u);
 }
 
-TEST(SocketBudget, TooFewAreRefusedAndTightOnesSayWhatTheyCostWithTheFieldsName) {
+TEST(SocketBudget, RejectsTooFewSocketsAndWarnsOfFewWithTheFieldName) {
   const std::string field = "params.quota.fd_limit: ";
   struct Case {
     double sockets;
-    std::string refusal, cost;  ///< their beginnings; empty if there is none
+    std::string error, warning;  ///< their beginnings; empty if there is none
   };
   const std::vector<Case> cases = {
       {60, "f.toml: " + field + "too few", ""}, {120, "", field + "120 sockets"}, {2208, "", ""}};
-  for (const Case& c : cases) {
-    const Settings settings = with_sockets(c.sockets, 4);
-    const std::string refusal = refusal_of(settings);
-    EXPECT_EQ(refusal.empty(), c.refusal.empty()) << refusal;
-    EXPECT_TRUE(refusal.starts_with(c.refusal)) << refusal;
-    EXPECT_EQ(refusal.find('\n'), std::string::npos) << refusal;
-    if (!refusal.empty()) continue;
-    const std::string cost = cost_of_few_sockets(settings).value_or("");
-    EXPECT_EQ(cost.empty(), c.cost.empty()) << cost;
-    EXPECT_TRUE(cost.starts_with(c.cost)) << cost;
+  for (const Case& test_case : cases) {
+    const Settings settings = with_sockets(test_case.sockets, 4);
+    const std::string error = settings_error(settings);
+    EXPECT_EQ(error.empty(), test_case.error.empty()) << error;
+    EXPECT_TRUE(error.starts_with(test_case.error)) << error;
+    EXPECT_EQ(error.find('\n'), std::string::npos) << error;
+    if (!error.empty()) continue;
+    const std::string warning = cost_of_few_sockets(settings).value_or("");
+    EXPECT_EQ(warning.empty(), test_case.warning.empty()) << warning;
+    EXPECT_TRUE(warning.starts_with(test_case.warning)) << warning;
   }
 }
 
-TEST(ConnectionLog, TellsOnceInASpanAndOnlyOfWhatIsNew) {
+TEST(ConnectionLog, ReportsNewCountsOnceInAnInterval) {
   ConnectionLog log(10);
   EXPECT_FALSE(log.observe(100, {5, 0, 0}));
-  EXPECT_FALSE(log.observe(105, {5, 3, 0})) << "not before the pause is over";
+  EXPECT_FALSE(log.observe(105, {5, 3, 0})) << "the interval has not passed yet";
   EXPECT_TRUE(log.observe(110, {5, 3, 0}));
-  EXPECT_FALSE(log.observe(120, {5, 3, 0})) << "nothing new";
+  EXPECT_FALSE(log.observe(120, {5, 3, 0})) << "no new counts";
   EXPECT_TRUE(log.observe(130, {5, 3, 1}));
 }
 
--- a/tests/encodings_test.cpp
+++ b/tests/wire_encoding_test.cpp
@@ -13,12 +13,12 @@
 
 std::string hex(const std::string& bytes) {
   constexpr std::string_view kDigits = "0123456789abcdef";
-  std::string out;
+  std::string digits;
   for (const unsigned char byte : bytes) {
-    out += kDigits[byte >> 4];
-    out += kDigits[byte & 15];
+    digits += kDigits[byte >> 4];
+    digits += kDigits[byte & 15];
   }
-  return out;
+  return digits;
 }
 
 JobRecord job_with_every_field() {
@@ -93,7 +93,7 @@
   return {start, stop, forget};
 }
 
-TEST(Encodings, OfOurRecordsStayTheSame) {
+TEST(WireEncoding, RecordBytesAreUnchanged) {
   EXPECT_EQ(hex(wire::encode_job(job_with_every_field())),
             "86a473706563de0014a26964a66a6f622d3137a77061747465726ea5747261696ea56775696c64a4"
             "626c7565a57765617665a8656e73656d626c65a7757267656e6379ab626573745f6566666f7274a7"
@@ -122,7 +122,7 @@
             "84a46e6f6465a26e30a56e6f6e6365cf1122334455667788a47465726d09a56c6561736529");
 }
 
-TEST(Encodings, OfHeartbeatsStayTheSame) {
+TEST(WireEncoding, PeerHeartbeatBytesAreUnchanged) {
   EXPECT_EQ(hex(wire::encode_peer_heartbeat(heartbeat_with_every_field())),
             "8ba46e6f6465a26e30a47465726dce00011170a76c656164696e67c3a6736572766564c3a4706172"
             "7402a673746174757394cf112233445566778809ce0012d687cb3fe0000000000000aa64656c6567"
@@ -136,7 +136,7 @@
             "74757393000000a6636f756e747390a6696d6167657390a468656c6490a7626f6f74696e6790");
 }
 
-TEST(Encodings, OfAnswersToUsersStayTheSame) {
+TEST(WireEncoding, UserAnswerBytesAreUnchanged) {
   EXPECT_EQ(hex(wire::job_answer("job-1", wire::UserVisibleState::Pending)),
             "82a26964a56a6f622d31a57374616765a770656e64696e67");
   EXPECT_EQ(hex(wire::job_status("job-1", wire::UserVisibleState::Running, 3, 400)),
@@ -145,7 +145,7 @@
   EXPECT_EQ(hex(wire::error_body("no such job")), "81a56572726f72ab6e6f2073756368206a6f62");
 }
 
-TEST(Encodings, OfMessagesToWorkersStayTheSame) {
+TEST(WireEncoding, WorkerMessageBytesAreUnchanged) {
   EXPECT_EQ(hex(wire::heartbeat_answer(70000, one_command_of_each_verb())),
             "82a56261746f6ece00011170a66f72646572739383a476657262a57374617274a6746872656164a7"
             "6a6f622d312f30a3747279ce0001117084a476657262a46b696c6ca6746872656164a86a6f622d32"
@@ -160,7 +160,7 @@
   EXPECT_EQ(hex(wire::redirect_body("")), "80");
 }
 
-TEST(Encodings, OfRequestsToTheCloudStayTheSame) {
+TEST(WireEncoding, CloudRequestsAreUnchanged) {
   EXPECT_EQ(hex(wire::rent_body("r-1", "small", "east", true, 3)),
             "85a468697265a3722d31a56672616d65a5736d616c6ca468616c6ca465617374a8626f72726f7765"
             "64c3a8686f775f6d616e7903");
@@ -169,7 +169,7 @@
   EXPECT_EQ(wire::machines_path("m-1", 500), "/hosts?most=500&after=m-1");
 }
 
-TEST(Encodings, OfRequestsToTheStateServiceStayTheSame) {
+TEST(WireEncoding, KeyValueStoreRequestsAreUnchanged) {
   const std::string value = wire::encode_finished({JobState::Done, 1});
   EXPECT_EQ(hex(wire::transaction_body(
                 {{"sq/term", 7}, {"sq/live/job-1", 0}},
@@ -190,23 +190,23 @@
 }
 
 /// Records and heartbeats that another version has written are decoded without loss.
-TEST(Encodings, OfOurRecordsAreReadBack) {
+TEST(WireEncoding, RecordsAndHeartbeatsRoundTrip) {
   const auto job = wire::Document::parse(wire::encode_job(job_with_every_field()));
   EXPECT_EQ(wire::decode_job(job->root()), job_with_every_field());
   const HostRecord host{"m-1", "10.0.0.1:9000", "small", "east", true};
   EXPECT_EQ(wire::decode_host(wire::Document::parse(wire::encode_host(host))->root()), host);
   const auto leader = wire::Document::parse(wire::encode_leader({"n0", 77, 9, 41}));
-  const auto leader_back = wire::decode_leader(leader->root());
-  ASSERT_TRUE(leader_back.has_value());
-  EXPECT_EQ(leader_back->node, "n0");
-  EXPECT_EQ(leader_back->nonce, 77u);
-  EXPECT_EQ(leader_back->term, 9u);
-  EXPECT_EQ(leader_back->lease, 41u);
+  const auto decoded_leader = wire::decode_leader(leader->root());
+  ASSERT_TRUE(decoded_leader.has_value());
+  EXPECT_EQ(decoded_leader->node, "n0");
+  EXPECT_EQ(decoded_leader->nonce, 77u);
+  EXPECT_EQ(decoded_leader->term, 9u);
+  EXPECT_EQ(decoded_leader->lease, 41u);
   const auto finished = wire::Document::parse(wire::encode_finished({JobState::Cancelled, 12}));
-  const auto finished_back = wire::decode_finished(finished->root());
-  ASSERT_TRUE(finished_back.has_value());
-  EXPECT_EQ(finished_back->state, JobState::Cancelled);
-  EXPECT_EQ(finished_back->done, 12u);
+  const auto decoded_finished = wire::decode_finished(finished->root());
+  ASSERT_TRUE(decoded_finished.has_value());
+  EXPECT_EQ(decoded_finished->state, JobState::Cancelled);
+  EXPECT_EQ(decoded_finished->done, 12u);
   const auto heartbeat =
       wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(heartbeat_with_every_field()));
   ASSERT_TRUE(heartbeat.has_value());
