--- a/tests/dependent_job_scheduling_test.cpp
+++ b/tests/dependent_job_scheduling_test.cpp
@@ -117,8 +117,8 @@
   uint64_t fencing_token_ = 0;
 };
 
-/// It is not enough that the leader has been told of the end of the last task: the write of the
-/// job's record may still fail.
+/// A worker's report that the last task is done is not enough: the write of the job's record may
+/// still fail.
 TEST_F(DependentJobScheduling, StartsJobOnceLastDependencyIsDurablyDone) {
   read_record(job_record("job-1"));
   read_record(job_record("job-2", {"job-1"}));
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -112,8 +112,8 @@
   EXPECT_EQ(handled, 0);
 }
 
-// Every further handler costs another poll of all sockets, and on a machine with few cores another
-// wait.
+// Every further handler costs another poll of all sockets, and on a machine with few cores also
+// another wait.
 TEST_F(HttpLoopback, RequestOnOpenConnectionRunsOneServerAndTwoClientHandlers) {
   serve();
   asio::io_context client_io;
@@ -183,7 +183,7 @@
       << "kept connections are reused, and none is closed for another peer";
 }
 
-// This happens when all workers reconnect at once while some answers are slow.
+// The case of all workers reconnecting at once while some answers are slow.
 TEST_F(HttpLoopback, RefusesPeerBeyondLimitWithRetryAfter) {
   limits.connections = 4;
   limits.refusals = 2;
--- a/tests/simulators_test.cpp
+++ b/tests/simulators_test.cpp
@@ -196,7 +196,7 @@
   checker->user_told_unfinished("job-1", 3);
   jobs["job-1"].cancel_asked_at = 4;
   checker->user_told_cancelled("job-1", 5);
-  checker->user_told_unfinished("job-1", 4);  // asked before the answer above
+  checker->user_told_unfinished("job-1", 4);  // the request preceded that answer
   checker->task_left(west, {"job-1", 0});
   checker->task_left(east, {"job-1", 1});
   checker->check_cancelled(100);
