--- a/apps/loadtest/main.cpp
+++ b/apps/loadtest/main.cpp
@@ -13,8 +13,10 @@
 
 using namespace sumacquay::loadtest;
 
-constexpr int kUnusable = 2;     ///< status if settings, or what they name, can't be used
-constexpr int kRulesBroken = 3;  ///< status if the checker found a broken rule
+/// Exit status if the settings, or files in them, can't be used.
+constexpr int kUnusable = 2;
+/// Exit status if the rule checker found a violation.
+constexpr int kRulesBroken = 3;
 
 struct Arguments {
   std::string settings, program = "target/sumacquay", tuning, table;
@@ -30,7 +32,8 @@
   return settings;
 }
 
-/// A directory for the controllers' settings and logs, which stays: its logs tell what happened.
+/// Options with a new directory for the controllers' settings and logs. The directory is not
+/// removed, so that the logs are available for diagnosis.
 LoadTestOptions options_of(const Arguments& arguments) {
   std::string directory = (std::filesystem::temp_directory_path() / "loadtest-XXXXXX").string();
   if (!mkdtemp(directory.data())) throw std::runtime_error("no directory can be made for the logs");
--- a/apps/sumacquay/main.cpp
+++ b/apps/sumacquay/main.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-constexpr int kUnusable = 2;  ///< status if the settings, or what they name, can't be used
+/// Exit status if the settings, or files or addresses in them, can't be used.
+constexpr int kUnusable = 2;
 
 bool set_up_log() {
   auto logger = std::make_shared<spdlog::logger>("sumacquay",
--- a/src/config/number_file.cpp
+++ b/src/config/number_file.cpp
@@ -13,7 +13,7 @@
 
 using Parser = std::unique_ptr<cfg_t, decltype(&cfg_free)>;
 
-/// libconfuse passes its error message to a callback that has no place for data of ours.
+/// libconfuse reports errors to a callback without a user data parameter, so the text is static.
 std::string& parser_error() {
   static std::string text;
   return text;
@@ -26,7 +26,7 @@
   parser_error() = "line " + std::to_string(line) + ": " + text.data();
 }
 
-/// The options as the library wants them: the list ends with an empty one.
+/// The fields as libconfuse options, terminated by an end marker as the library requires.
 std::vector<cfg_opt_t> options_of(const std::vector<NumberField>& fields) {
   std::vector<cfg_opt_t> options;
   options.reserve(fields.size() + 1);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,7 +11,7 @@
 namespace sumacquay {
 namespace {
 
-// What a sensible file can hold; anything else is taken for a mistake.
+// Plausible values; anything outside these ranges is treated as a mistake in the file.
 constexpr double kMaxSeconds = 36000;
 constexpr double kMaxAmount = 1e9;
 constexpr SettingRange kAnyAmount{0, kMaxAmount};
@@ -23,7 +23,8 @@
 constexpr SettingRange kCloudRateRange{0.01, kMaxAmount};
 constexpr SettingRange kValueSizeRange{1, 1e6};
 constexpr SettingRange kTransactionOpsRange{2, 1e6};
-constexpr SettingRange kSocketsRange{1, kMaxAmount};  ///< the least depends on the peers
+constexpr SettingRange kSocketsRange{1, kMaxAmount};  ///< check_sockets() has the actual minimum,
+                                                      ///< which depends on the number of peers
 
 toml::table parse_toml(const std::string& text, const std::string& source) {
   try {
@@ -70,15 +71,15 @@
   settings.cancel_s = workers.number("cancel_s", kAnySpan);
 }
 
-/// The stricter of the limit now and of the one to come, if there is one of this name.
+/// The lower of the current limit and the upcoming limit of this name, if there is one.
 double stricter(const TomlTable& now, const std::optional<TomlTable>& to_come, const char* name,
                 SettingRange range) {
   const double limit = now.number(name, range);
   return to_come ? std::min(limit, to_come->number_or(name, limit, range)) : limit;
 }
 
-/// The key-value store lowers its limits without notice, so everything written keeps to both from
-/// the start.
+/// The key-value store switches to its upcoming limits without notice, so writes comply with both
+/// sets of limits from the start.
 void read_state_limits(const TomlTable& state, Settings& settings) {
   const std::optional<TomlTable> to_come = state.optional_child("next");
   settings.state_rps = stricter(state, to_come, "rps", kStateRateRange);
@@ -93,7 +94,7 @@
   settings.list_lag_s = cloud.number("list_lag_s", kAnySpan);
 }
 
-/// The platform's parameters, which are the same on all nodes.
+/// Reads the platform's parameters, which are the same on all nodes.
 void read_params(const TomlTable& params, Settings& settings) {
   settings.zones = params.texts("zones");
   for (const TomlTable& team : params.children("teams")) settings.teams.push_back(read_team(team));
@@ -114,17 +115,18 @@
 }
 
 double Settings::answers_s() const {
-  // Both clocks may drift; the slack, in seconds, is for what the arithmetic leaves out.
+  // The clocks of this node and of the worker may each drift. The slack, in seconds, covers delays
+  // that the formula does not include.
   constexpr double kDrift = 0.002;
   constexpr double kSlack = 0.3;
-  // Where a cancellation has less time than a leader's lease, no setting could make it succeed.
+  // If a cancellation has less time than a leader lease lasts, no setting could meet its limit.
   const double min_answers_s = leader_lease_s();
   return std::max(min_answers_s,
                   tuning.grace * (cancel_s * (1 - kDrift) - lease_s * (1 + kDrift) - kSlack));
 }
 
 bool Settings::finds_delegated_responder(const std::string& of_zone) const {
-  // The protocol's: a worker waits 4 s for an answer and turns to the next node 1 s later.
+  // From the worker protocol: a worker waits 4 s for a response and tries the next node 1 s later.
   constexpr double kSecondsPerNode = 4 + 1;
   size_t elsewhere = zone == of_zone ? 0 : 1;
   for (const auto& peer : peers)
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -7,32 +7,33 @@
 #include "config/settings_error.h"
 #include "config/tuning.h"
 
-/// A node's settings: the platform's TOML file, and the operators' own (tuning.h). They are read
-/// once at the start and constant from then on. Names ending in _s are seconds, in _rps requests a
-/// second.
+/// A node's settings: the platform's TOML file and the operators' tuning file (tuning.h). They are
+/// read once at startup and do not change afterwards. Names ending in _s are in seconds, those in
+/// _rps in requests per second.
 namespace sumacquay {
 
-/// The address that something listens on.
+/// A network address: host and port.
 struct Endpoint {
   std::string host;
   unsigned short port = 0;
   std::string text() const { return host + ":" + std::to_string(port); }
 };
 
-/// Another node of the control plane.
+/// Another controller node.
 struct PeerSettings {
   std::string node;
   std::string zone;
   Endpoint addr;
 };
 
-/// A team's fair share and its quota, on what its jobs take together.
+/// A team's fair share (cpus, gpus) and quota (cpus_max, gpus_max) of the resources that its jobs
+/// use in total.
 struct TeamSettings {
   std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  ///< 0: none
+  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  ///< 0: no share, no quota
 };
 
-/// What the platform is to achieve for a class of jobs.
+/// A service level objective (SLO) of the platform for a class of jobs.
 struct ServiceLevelObjective {
   std::string kind;
   std::string job_class;
@@ -40,8 +41,8 @@
   double share = 0;
 };
 
-/// All settings of a node. Fields that the platform's file has to set have defaults for tests
-/// alone.
+/// All settings of a node. Defaults of fields that are required in the platform's file are used
+/// only by tests.
 struct Settings {
   std::string node;
   std::string zone;
@@ -54,45 +55,47 @@
   std::vector<TeamSettings> teams;
   std::vector<ServiceLevelObjective> objectives;
   double heartbeat_period_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 5, cancel_s = 40;
-  /// Limits of the key-value store: requests and mutations a second, KiB of a value in JSON form,
-  /// and mutations of a transaction. Where the platform announces others to come, each is the
-  /// stricter of the two: the store may change over at any moment.
+  /// Limits of the key-value store: requests and mutations per second, KiB of a value in JSON form,
+  /// and mutations per transaction. If the platform announces upcoming limits, each is the lower of
+  /// the current and the upcoming one, since the store may switch at any time.
   double state_rps = 100, state_write_rps = 30, state_value_kb = 8;
   int state_txn_ops = 24;
   double cloud_rps = 3, list_lag_s = 8;
   double max_sockets = 600;
   Tuning tuning;
 
-  /// The most preconditions that a transaction may have.
+  /// The maximum number of preconditions in a transaction.
   size_t max_preconditions() const {
     constexpr size_t kPreconditionsPerMutation = 4;
     return kPreconditionsPerMutation * static_cast<size_t>(state_txn_ops);
   }
-  /// The most bytes of a value in JSON form.
+  /// The maximum size of a value in JSON form, in bytes.
   size_t state_value_bytes() const { return static_cast<size_t>(state_value_kb * 1024); }
 
-  /// Null if there is no such team.
+  /// Returns null if there is no such team.
   const TeamSettings* team(const std::string& name) const;
-  /// For how long after the last answer of the key-value store workers may be answered. A job may
-  /// have been cancelled since, and an answer keeps its tasks alive for another lease of the
-  /// worker: both together stay within the time that a cancellation may take.
+  /// The time after the last response of the key-value store during which this node may respond to
+  /// workers. A job may have been cancelled since, and a response renews the worker's lease and so
+  /// keeps the job's tasks running: the grace period and one worker lease together must not exceed
+  /// the time that a cancellation may take.
   double answers_s() const;
-  /// The leader's lease, and the pause between its renewals, which is also the one between
-  /// peer heartbeats.
+  /// The duration of the leader's lease, and the interval between its renewals, which is also the
+  /// interval between peer heartbeats.
   double leader_lease_s() const { return tuning.leader_lease * lease_s; }
   double renew_s() const { return tuning.renew * leader_lease_s(); }
-  /// Whether a worker of a partitioned zone reaches a node of its zone before its lease expires,
-  /// after it has waited for every node elsewhere. If not, delegated responders keep nothing alive,
-  /// and the leader would only wait for them.
+  /// Whether a worker in a partitioned zone reaches a node of its own zone before its lease
+  /// expires, even if it tries all nodes of other zones first and each attempt times out. If not,
+  /// lease delegation can't keep the zone's tasks running and would only delay the leader.
   bool finds_delegated_responder(const std::string& of_zone) const;
-  /// How long a node waits for the leader's next heartbeat before it answers workers in its place.
+  /// The time without a heartbeat from the leader after which a delegate responds to workers in the
+  /// leader's place.
   double delegation_after_s() const { return 2.5 * renew_s(); }
 };
 
-/// Reads and checks the platform's file; throws SettingsError. Unknown fields are ignored. `source`
-/// names the file in errors.
+/// Parses and validates the platform's settings; throws SettingsError. Unknown fields are ignored.
+/// `source` is the file name for error messages.
 Settings parse_settings(const std::string& toml_text, const std::string& source);
-/// The same from a file, which has to be readable.
+/// Reads the file and parses it; throws SettingsError, also if the file can't be read.
 Settings load_settings(const std::string& path);
 
 }  // namespace sumacquay
--- a/src/config/settings_error.h
+++ b/src/config/settings_error.h
@@ -2,30 +2,30 @@
 #include <stdexcept>
 #include <string>
 
-/// How a settings file is refused. The readers of both files share it; the program prints the error
-/// and does not start.
+/// Errors in settings files, shared by the readers of the platform's and the operators' files. The
+/// program prints the error and does not start.
 namespace sumacquay {
 
-/// A settings file that can't be used; what() is one line that names the field.
+/// A settings file can't be used; what() is one line that names the field.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// The values that a number may have, both ends included.
+/// The valid values of a number, both bounds included.
 struct SettingRange {
   double min;
   double max;
 };
 
-/// Throws the error of a field. `source` names the file.
+/// Throws a SettingsError for a field. `source` is the file name.
 [[noreturn]] void refuse_setting(const std::string& source, const std::string& field,
                                  const std::string& why);
 
-/// Throws unless the value is a number in the range.
+/// Throws SettingsError unless the value is finite and in the range.
 void check_range(const std::string& source, const std::string& field, double value,
                  SettingRange range);
 
-/// The whole file; throws SettingsError if it can't be read.
+/// Returns the content of the file; throws SettingsError if it can't be read.
 std::string read_settings_file(const std::string& path);
 
 }  // namespace sumacquay
--- a/src/config/socket_budget.cpp
+++ b/src/config/socket_budget.cpp
@@ -7,17 +7,20 @@
 namespace sumacquay {
 namespace {
 
-/// The share of all sockets that is for commands to workers.
+/// Sockets for commands to workers, as a fraction of all sockets.
 constexpr double kCommandShare = 0.2;
-/// The share of the served connections that is left for those that come and go.
+/// Served connections that are not kept open between requests, as a fraction of all served ones:
+/// the reserve for peers that connect for a single request.
 constexpr double kTurnoverShare = 0.1;
-/// The share of the connections that only get a refusal, with the time to come back.
+/// Connections reserved for rejecting requests with Retry-After, as a fraction of those of users
+/// and workers.
 constexpr double kRefusalShare = 0.05;
-/// The share of the served connections that users' requests may occupy while they are handled: in
-/// an outage of the key-value store they do so for long, and workers must not lose their leases.
+/// Served connections that users' requests may occupy while being handled, as a fraction of all
+/// served ones. In an outage of the key-value store these requests take long, and the rest must
+/// suffice for the heartbeats of workers, which would otherwise lose their leases.
 constexpr double kUserShare = 0.75;
 
-/// Enough for a handful of workers, and for commands to some of them at once.
+/// Minimums that suffice for a handful of workers and for commands to several of them at a time.
 constexpr size_t kMinServed = 16;
 constexpr size_t kMinCommandConnections = 4;
 constexpr size_t kMinTurnover = 4;
@@ -44,7 +47,8 @@
   return static_cast<size_t>(settings.max_sockets);
 }
 
-/// What the fixed sockets and the commands leave, and no more than the operators' share.
+/// Sockets for users and workers: those not taken by fixed sockets and worker commands, up to the
+/// operators' limit (Tuning::sockets).
 size_t sockets_to_serve(const Settings& settings, const SocketBudget& budget) {
   const size_t sockets = all_sockets(settings);
   const size_t left = remaining(sockets, budget.fixed + budget.worker_commands);
--- a/src/config/socket_budget.h
+++ b/src/config/socket_budget.h
@@ -5,11 +5,11 @@
 
 #include "config/settings.h"
 
-/// How the sockets that the platform grants a node are shared out. Every part of the node that
-/// opens sockets gets its limit from here, so that none can starve another.
+/// The allocation of the sockets that the platform grants a node. Every component that opens
+/// sockets gets its limit from here, so that none can starve another.
 namespace sumacquay {
 
-/// Sockets that a node needs whatever the size of the fleet.
+/// Sockets that a node needs regardless of the size of the fleet.
 namespace fixed_sockets {
 inline constexpr size_t kUrgentStateConnections = 3;
 inline constexpr size_t kStateConnections = 8;
@@ -17,31 +17,32 @@
 inline constexpr size_t kCloudConnections = 4;
 inline constexpr size_t kClientConnectionsPerPeer = 2;
 inline constexpr size_t kServerConnectionsPerPeer = 4;
-/// For whoever mistakes the address that peers use.
+/// For clients that connect to the address for peers by mistake.
 inline constexpr size_t kServerConnectionsSpare = 8;
-/// Two listening sockets, the standard streams, and what the event loop needs.
+/// Two listening sockets, the standard streams, and the event loop's descriptors.
 inline constexpr size_t kOfTheProcess = 8;
 }  // namespace fixed_sockets
 
-/// The shares of one node. `kept_open` and `refusals` are parts of `served_and_refused`.
+/// The numbers of sockets for each purpose on one node. `kept_open` and `refusals` are parts of
+/// `served_and_refused`.
 struct SocketBudget {
   size_t fixed = 0;               ///< for the key-value store, the cloud, the peers and the process
   size_t served_and_refused = 0;  ///< connections of users and workers
-  size_t refusals = 0;            ///< of these, for those that are only refused
-  size_t kept_open = 0;           ///< of these, between requests
-  size_t users_in_progress = 0;   ///< users' requests that are being handled
+  size_t refusals = 0;            ///< of these, only for rejecting requests
+  size_t kept_open = 0;           ///< of these, kept alive between requests
+  size_t users_in_progress = 0;   ///< users' requests being handled at a time
   size_t worker_commands = 0;     ///< connections to workers
 };
 
-/// Shares out `settings.max_sockets`.
+/// Allocates `settings.max_sockets`.
 SocketBudget socket_budget(const Settings& settings);
 
-/// Throws SettingsError, with `source` as the file, if the sockets can't serve a handful of
-/// workers.
+/// Throws SettingsError if the sockets do not suffice for a handful of workers. `source` is the
+/// file name for the error message.
 void check_sockets(const Settings& settings, const std::string& source);
 
-/// A warning for operators about a budget that works, but not as well as the platform's other
-/// settings let one expect. None if there is nothing to warn of.
+/// A warning for operators if the sockets suffice, but leave fewer connections for users and
+/// workers than Tuning::sockets asks for. Empty if there is nothing to warn about.
 std::optional<std::string> cost_of_few_sockets(const Settings& settings);
 
 }  // namespace sumacquay
--- a/src/config/toml_table.h
+++ b/src/config/toml_table.h
@@ -8,37 +8,38 @@
 #include "config/settings.h"
 #include "config/settings_error.h"
 
-/// Reading of required and optional fields from the platform's TOML file. Private to src/config.
+/// Access to required and optional fields of the platform's TOML file. Internal to src/config.
 namespace sumacquay {
 
-/// One table of the file with the path that error messages name. Every read throws SettingsError
-/// if the field is missing or of another type. `source` and the parsed file have to outlive it.
+/// One table of the file, with its path for error messages. Every accessor throws SettingsError if
+/// a required field is missing or a field has the wrong type. `source` and the parsed file must
+/// outlive this object.
 class TomlTable {
  public:
   TomlTable(const std::string& source, std::string path, const toml::table* table);
 
-  /// A table that must be there.
+  /// A required table.
   TomlTable child(const char* name) const;
 
-  /// A table that may be missing.
+  /// An optional table.
   std::optional<TomlTable> optional_child(const char* name) const;
 
-  /// A list of tables; empty if it is missing.
+  /// An optional array of tables; empty if it is missing.
   std::vector<TomlTable> children(const char* name) const;
 
-  /// A text that isn't empty.
+  /// A required, non-empty string.
   std::string text(const char* name) const;
-  /// The same, or the fallback if the field is missing.
+  /// An optional, non-empty string; `fallback` if it is missing.
   std::string text_or(const char* name, const std::string& fallback) const;
-  /// A list of texts.
+  /// A required array of strings.
   std::vector<std::string> texts(const char* name) const;
 
-  /// A number in the range.
+  /// A required number in the range.
   double number(const char* name, SettingRange range) const;
-  /// The same, or the fallback, which is not checked, if the field is missing.
+  /// An optional number in the range; `fallback`, which is not checked, if it is missing.
   double number_or(const char* name, double fallback, SettingRange range) const;
 
-  /// An address and a port with a colon between.
+  /// A required string of the form address:port.
   Endpoint endpoint(const char* name) const;
 
  private:
--- a/src/logging/log_event.h
+++ b/src/logging/log_event.h
@@ -7,12 +7,12 @@
 #include <string_view>
 #include <type_traits>
 
-/// The structured log. Every line is one event, `event=NAME key=value ...`, written through `log`
-/// here and nowhere else, so that keys mean the same on every line. docs/operations.md lists the
-/// events and what to look at.
+/// Structured logging. Every line is one event, `event=NAME key=value ...`. All events are written
+/// through `log`, so that a key has the same meaning on every line. docs/operations.md lists the
+/// events and their use for operators.
 namespace sumacquay {
 
-/// One field of an event. Refers to the value, which outlives the call to `log`.
+/// One field of an event. Holds a reference to the value, which must outlive the call to `log`.
 template <class Value>
 struct LogField {
   std::string_view key;
@@ -26,7 +26,8 @@
 
 namespace log_detail {
 
-/// A text as it stands in a line: in quotes if it would not be one word otherwise.
+/// The text as a single token of a log line: quoted and escaped if it is empty or contains spaces,
+/// quotes or equals signs. Line breaks become spaces.
 std::string quoted_if_needed(std::string_view text);
 
 template <class Value>
@@ -42,7 +43,7 @@
 
 }  // namespace log_detail
 
-/// Writes one event. Costs nothing but a comparison if the level is not logged.
+/// Writes one event. If the level is disabled, the cost is one comparison.
 template <class... Values>
 void log(spdlog::level::level_enum level, std::string_view event,
          const LogField<Values>&... fields) {
--- a/src/net/concurrency_limit.h
+++ b/src/net/concurrency_limit.h
@@ -1,27 +1,30 @@
 #pragma once
 #include <algorithm>
 
-/// Adaptive concurrency. It only counts; the caller sends the requests and measures them.
+/// Adaptive concurrency limiting, without I/O: the caller handles the requests and measures them.
 namespace sumacquay {
 
-/// A limit on requests in progress that adapts to the measured latency: it grows while answers come
-/// about as fast as they ever do, and shrinks when they take a multiple of that.
+/// A limit on requests in progress that adapts to the measured latency. It grows while latency
+/// stays near the baseline, which is the lowest recent latency, and shrinks when latency is a
+/// multiple of the baseline.
 class ConcurrencyLimit {
  public:
   ConcurrencyLimit(double min_limit, double max_limit)
       : min_limit_(min_limit), max_limit_(max_limit), limit_(max_limit / 2) {}
 
-  /// Counts one more request; false, and it must not be sent, if there are too many.
+  /// Counts one more request. Returns false if the limit is reached; the request must then be
+  /// rejected.
   [[nodiscard]] bool enter() {
     if (in_progress_ >= limit_) return false;
     ++in_progress_;
     return true;
   }
 
-  /// Counts a request as answered after so many seconds.
+  /// Counts a request as completed, with the latency measured.
   void leave(double latency_s) {
     --in_progress_;
-    // The fastest of late; it creeps up so that a lasting change becomes the new baseline.
+    // The minimum grows by 0.2 % per request, so that a lasting rise in latency becomes the new
+    // baseline.
     fastest_s_ = fastest_s_ <= 0 ? latency_s : std::min(fastest_s_ * 1.002, latency_s);
     const double baseline_s = std::max(fastest_s_, kMinBaselineSeconds);
     if (latency_s > kSlowFactor * baseline_s)
@@ -34,8 +37,8 @@
   int in_progress() const { return in_progress_; }
 
  private:
-  static constexpr double kMinBaselineSeconds = 0.02;  ///< faster answers count as this fast
-  static constexpr double kSlowFactor = 8;             ///< so many times the baseline is slow
+  static constexpr double kMinBaselineSeconds = 0.02;  ///< lower bound of the baseline
+  static constexpr double kSlowFactor = 8;             ///< latency above this multiple is slow
 
   double min_limit_;
   double max_limit_;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -42,7 +42,7 @@
   Connection(HttpClient& client, asio::io_context& io)
       : client_(&client), alive_(client.alive_), socket_(io), parser_(kMaxBodyBytes) {}
 
-  /// Sends a request, over a new connection unless it has one.
+  /// Sends a request; connects first unless the connection is already open.
   void run(std::shared_ptr<PendingRequest> request) {
     request_ = std::move(request);
     parser_.reset();
@@ -52,7 +52,7 @@
       connect();
   }
 
-  /// The response is complete.
+  /// Completes the request with the response that was received.
   void succeed() {
     if (state_ == State::Closed) return;
     HttpResult result;
@@ -62,8 +62,8 @@
     finish(std::move(result), parser_.keep_alive() == KeepAlive::Yes);
   }
 
-  /// There is no response. The connection is closed, since a late response could not be told from
-  /// that to the next request.
+  /// Completes the request without a response. Closes the connection, since a late response could
+  /// not be distinguished from the response to the next request.
   void fail() {
     if (state_ == State::Closed) return;
     parser_.take_body();
@@ -81,7 +81,7 @@
   /// Whether the connection is idle and still open on both sides.
   bool reusable() {
     if (state_ != State::Idle) return false;
-    // A peer that restarted has closed its side: seen here instead of as a failed request.
+    // A restarted peer has closed its side. Detecting that here avoids a failed request.
     asio::error_code error;
     char byte;
     socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
@@ -137,7 +137,8 @@
     }
   }
 
-  /// Leaves the request before it calls back, since that may start the next one here.
+  /// Detaches and releases the connection before it runs the request's callback, since the callback
+  /// may start the next request on this connection.
   void finish(HttpResult result, bool keep_open) {
     const auto request = std::exchange(request_, nullptr);
     if (keep_open)
@@ -184,8 +185,9 @@
   start_next();
 }
 
-/// One timer serves all requests. It is not postponed when they are answered: most are, and the
-/// next request's deadline is seldom earlier.
+/// One timer serves all requests. It is not rescheduled when a request completes: most requests
+/// complete before their deadline, and a new request's deadline is seldom earlier than the one
+/// scheduled.
 void HttpClient::wake_by(Clock::time_point deadline) {
   if (wakes_at_ && *wakes_at_ <= deadline) return;
   wakes_at_ = deadline;
@@ -197,7 +199,7 @@
   });
 }
 
-/// A callback may make further requests, or end this client.
+/// A request's callback may send further requests or destroy this client.
 void HttpClient::expire_overdue() {
   const auto now = Clock::now();
   const auto alive = alive_;
@@ -216,7 +218,7 @@
   return requests;
 }
 
-/// The deadline of a request has passed.
+/// Completes a request whose deadline has passed.
 void HttpClient::expire(const std::shared_ptr<PendingRequest>& request) {
   const auto queued = std::find(queue_.begin(), queue_.end(), request);
   if (queued != queue_.end()) {
@@ -227,7 +229,7 @@
     return connection->request() == request;
   });
   if (sent_on == busy_.end()) return;
-  const auto connection = *sent_on;  // a copy, since it removes itself from the list
+  const auto connection = *sent_on;  // a copy, since fail() erases the element
   connection->fail();
 }
 
@@ -241,7 +243,7 @@
   }
 }
 
-/// An idle connection that can be used, else a new one.
+/// Returns a reusable idle connection, or else a new one.
 std::shared_ptr<HttpClient::Connection> HttpClient::acquire_connection() {
   while (!idle_.empty()) {
     auto connection = idle_.back();
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -13,27 +13,27 @@
 #include "config/settings.h"
 #include "net/http_message.h"
 
-/// HTTP/1.1 client over Asio, for workers, the cloud, the key-value store and other nodes. It knows
-/// nothing of what the bodies mean.
+/// HTTP/1.1 client over Asio for requests to workers, the cloud, the key-value store and other
+/// controllers. Bodies are opaque bytes.
 namespace sumacquay {
 
-/// Called with what became of a request.
+/// Called with the outcome of a request.
 using HttpDone = std::function<void(HttpResult)>;
 
-/// A client for one address with a bounded pool of connections and a bounded queue. Requests that
-/// find no free connection wait in the order in which they came.
+/// A client for one address, with a bounded connection pool and a bounded queue. Requests wait for
+/// a free connection in first-in, first-out order.
 class HttpClient {
  public:
   HttpClient(asio::io_context& io, Endpoint to, size_t max_connections, size_t max_queued);
   /// Closes all connections. Requests in progress are dropped without a callback.
   ~HttpClient();
 
-  /// Calls `done` exactly once, never from inside this call, and at the latest when the deadline
-  /// has passed, which counts from now; but not once the client is gone.
+  /// Calls `done` exactly once, never from inside this call, and at the latest `deadline_s` seconds
+  /// from now. `done` is not called after the client is destroyed.
   void request(const std::string& method, const std::string& target, const std::string& body,
                double deadline_s, HttpDone done);
 
-  /// Requests without an answer, those that are queued included.
+  /// The number of unanswered requests, including queued ones.
   size_t in_progress() const { return busy_.size() + queue_.size(); }
 
  private:
@@ -53,11 +53,11 @@
   size_t max_connections_;
   size_t max_queued_;
   std::deque<std::shared_ptr<PendingRequest>> queue_;
-  std::deque<std::shared_ptr<Connection>> idle_;  ///< the one used last is at the back
+  std::deque<std::shared_ptr<Connection>> idle_;  ///< most recently used at the back
   std::unordered_set<std::shared_ptr<Connection>> busy_;
   asio::steady_timer deadline_timer_;
-  std::optional<Clock::time_point> wakes_at_;  ///< no later than the first deadline
-  /// Lets callbacks that run later see whether this client still exists.
+  std::optional<Clock::time_point> wakes_at_;  ///< no later than the earliest deadline
+  /// False after destruction; pending callbacks hold a copy and check it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -2,40 +2,40 @@
 #include <functional>
 #include <string>
 
-/// HTTP/1.1 messages as values, and how they are written. Server and client share them.
+/// HTTP/1.1 messages as values and their serialization, shared by server and client.
 namespace sumacquay {
 
-/// A request as the server's handler gets it.
+/// A request as passed to the server's handler.
 struct HttpRequest {
   std::string method;
   std::string path;   ///< without the query
-  std::string query;  ///< what follows the question mark
+  std::string query;  ///< without the question mark
   std::string body;
 };
 
-/// The answer of the server's handler.
+/// The response of the server's handler.
 struct HttpReply {
   int status = 500;
   std::string body;
-  int retry_after_s = 0;  ///< 0: no such header
+  int retry_after_s = 0;  ///< Retry-After header; 0: none
 };
 
-/// What became of a request that a client sent.
+/// The outcome of a request that a client sent.
 struct HttpResult {
-  bool answered = false;  ///< false: the request may have been executed, or may still be
+  bool answered = false;  ///< false: the request may or may not be executed
   int status = 0;
   std::string body;
-  /// Whether it was executed and succeeded.
+  /// Whether the request was executed successfully.
   bool ok() const { return answered && status == 200; }
 };
 
-/// Whether a connection takes another request after an answer.
+/// Whether a connection stays open for another request after a response.
 enum class KeepAlive { No, Yes };
 
-/// A reply's head and body as they go out.
+/// The bytes of a response: status line, header and body.
 std::string serialize_reply(const HttpReply& reply, KeepAlive keep_alive);
 
-/// A request's head and body as they go out. `host` is the address that is asked.
+/// The bytes of a request: request line, header and body. `host` is the server's address.
 std::string serialize_request(const std::string& method, const std::string& target,
                               const std::string& host, const std::string& body);
 
--- a/src/net/http_parsing.cpp
+++ b/src/net/http_parsing.cpp
@@ -5,7 +5,7 @@
 namespace sumacquay {
 namespace {
 
-// What a callback of the library returns.
+// Return values of http_parser callbacks.
 constexpr int kContinue = 0;
 constexpr int kStop = 1;
 
@@ -13,7 +13,7 @@
   return http_should_keep_alive(&parser) ? KeepAlive::Yes : KeepAlive::No;
 }
 
-/// Passes bytes to the library; false if it did not take them all.
+/// Passes bytes to the library. Returns false if it did not consume them all.
 bool execute(http_parser& parser, const http_parser_settings& callbacks, std::string_view bytes) {
   const size_t used = http_parser_execute(&parser, &callbacks, bytes.data(), bytes.size());
   return parser.http_errno == HPE_OK && used == bytes.size();
--- a/src/net/http_parsing.h
+++ b/src/net/http_parsing.h
@@ -7,24 +7,24 @@
 
 #include "net/http_message.h"
 
-/// Incremental parsing of HTTP/1.1 messages, over the http_parser library. Bytes come from whoever
-/// connects, so everything that is kept has a limit. No I/O.
+/// Incremental parsing of HTTP/1.1 messages with the http_parser library. Peers are not trusted, so
+/// everything that is buffered has a limit. No I/O.
 namespace sumacquay {
 
-/// How far a message is after some bytes.
+/// The state of a message after the bytes parsed so far.
 enum class ParseProgress {
   Incomplete,  ///< more bytes are needed
   Complete,
-  TooLarge,  ///< over a limit
-  Invalid,   ///< not HTTP
+  TooLarge,  ///< exceeds a limit
+  Invalid,   ///< not valid HTTP
 };
 
-/// Reads one request at a time.
+/// Parses one request at a time.
 class HttpRequestParser {
  public:
-  /// Bounds on what a peer may send.
+  /// Limits on the size of a request.
   struct Limits {
-    size_t header_bytes;  ///< the target counts as well
+    size_t header_bytes;  ///< including the request target
     size_t body_bytes;
   };
 
@@ -32,16 +32,17 @@
   HttpRequestParser(const HttpRequestParser&) = delete;
   HttpRequestParser& operator=(const HttpRequestParser&) = delete;
 
-  /// Takes the next bytes. What follows a complete request is dropped: nothing is pipelined.
+  /// Parses the next bytes. Bytes after a complete request are dropped: pipelining is not
+  /// supported.
   ParseProgress parse(std::string_view bytes);
 
-  /// The complete request; its body is moved out.
+  /// Returns the complete request and moves its body out of the parser.
   HttpRequest take_request();
 
-  /// Whether the peer can send another request on the connection.
+  /// Whether the request permits a further request on the connection.
   KeepAlive keep_alive() const;
 
-  /// Makes it ready for the next request, and gives back the memory of this one.
+  /// Prepares for the next request and frees the memory of this one.
   void reset();
 
  private:
@@ -59,24 +60,24 @@
   size_t header_bytes_ = 0;
 };
 
-/// Reads one response at a time.
+/// Parses one response at a time.
 class HttpResponseParser {
  public:
   explicit HttpResponseParser(size_t max_body_bytes);
   HttpResponseParser(const HttpResponseParser&) = delete;
   HttpResponseParser& operator=(const HttpResponseParser&) = delete;
 
-  /// Takes the next bytes. A body over the limit counts as invalid.
+  /// Parses the next bytes. A response whose body exceeds the limit is invalid.
   ParseProgress parse(std::string_view bytes);
 
   int status() const { return static_cast<int>(parser_.status_code); }
-  /// The complete response's body, moved out.
+  /// Moves the body of the complete response out of the parser.
   std::string take_body();
 
-  /// Whether the connection can be used for another request.
+  /// Whether the response permits a further request on the connection.
   KeepAlive keep_alive() const;
 
-  /// Makes it ready for the next response.
+  /// Prepares for the next response.
   void reset();
 
  private:
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -19,22 +19,22 @@
 
 constexpr size_t kChunkBytes = 2048;
 constexpr std::chrono::milliseconds kAcceptRetry{50};
-/// The pause between two checks for connections past their deadlines / the shortest deadline.
+/// The interval between sweeps, as a fraction of the shorter of the request and idle timeouts.
 constexpr double kSweepShare = 0.25;
 
 constexpr int kBadRequest = 400;
 constexpr int kPayloadTooLarge = 413;
 constexpr int kUnavailable = 503;
-/// After how long a refused peer is asked to come back.
+/// The Retry-After value sent to refused peers.
 constexpr int kRetryAfterSeconds = 1;
 
 }  // namespace
 
-/// One connection. It goes from Idle over Reading and Handling to Writing and back, until it is
-/// closed by its peer, at its deadline, or by the server.
+/// One connection. Its state goes from Idle through Reading and Handling to Writing and back to
+/// Idle, until the peer closes it, its deadline passes, or the server closes it.
 class HttpServer::Connection : public std::enable_shared_from_this<HttpServer::Connection> {
  public:
-  /// What becomes of the requests of a connection.
+  /// Whether requests on the connection are handled or refused.
   enum class Service { Handled, Refused };
 
   Connection(HttpServer& server, tcp::socket socket, Service service)
@@ -65,21 +65,22 @@
 
   bool overdue(Clock::time_point now) const { return now > deadline_; }
 
-  /// For how long there has been no request. Only while it is idle.
+  /// The time since the connection became idle. Valid only in state Idle.
   double idle_for_s() const {
     return std::chrono::duration<double>(Clock::now() - idle_since_).count();
   }
 
  private:
   enum class State {
-    Idle,      ///< nothing of the next request has come
-    Reading,   ///< a part of it has
-    Handling,  ///< the handler has it
-    Writing,   ///< the reply goes out
+    Idle,      ///< no byte of the next request received
+    Reading,   ///< part of a request received
+    Handling,  ///< the handler is processing the request
+    Writing,   ///< the response is being sent
     Closed,
   };
 
-  /// The only place that changes the state, and with it the server's list of idle connections.
+  /// Changes the state and keeps the server's list of idle connections consistent with it. All
+  /// state changes go through here.
   void enter(State next) {
     if (idle_entry_) server_->idle_.erase(*idle_entry_);
     idle_entry_.reset();
@@ -105,7 +106,7 @@
                             });
   }
 
-  /// The server's next sweep past this deadline closes the connection.
+  /// Sets the deadline; the server's first sweep after it closes the connection.
   void close_after(double seconds) { deadline_ = Clock::now() + to_milliseconds(seconds); }
 
   void consume(size_t size) {
@@ -122,8 +123,8 @@
     }
   }
 
-  /// The time for a whole request counts from its first byte, so a dribbling sender can't hold a
-  /// socket for ever.
+  /// Starts the request timeout at the first byte, so that a peer that sends slowly can't occupy a
+  /// socket indefinitely.
   void begin_request() {
     enter(State::Reading);
     close_after(server_->limits_.request_s);
@@ -170,16 +171,16 @@
     wait_for_request();
   }
 
-  HttpServer* server_;  ///< null once it is gone
+  HttpServer* server_;  ///< null after the server is destroyed
   Service service_;
   tcp::socket socket_;
   State state_ = State::Idle;
-  std::optional<IdleConnections::iterator> idle_entry_;  ///< none while it is not idle
+  std::optional<IdleConnections::iterator> idle_entry_;  ///< set while idle and handled
   HttpRequestParser parser_;
   std::array<char, kChunkBytes> chunk_{};
   std::string out_;
-  Clock::time_point deadline_ = Clock::time_point::max();  ///< past it the connection is closed
-  Clock::time_point idle_since_{};                         ///< while idle
+  Clock::time_point deadline_ = Clock::time_point::max();  ///< closed after this
+  Clock::time_point idle_since_{};                         ///< valid while idle
 };
 
 HttpServer::HttpServer(asio::io_context& io, const Endpoint& at, HttpLimits limits,
@@ -194,7 +195,7 @@
   acceptor_.open(endpoint.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(endpoint);
-  acceptor_.listen();  // as many as the system takes: a whole fleet may come back at once
+  acceptor_.listen();  // the system's maximum backlog: a whole fleet may reconnect at once
   accept();
 }
 
@@ -208,7 +209,7 @@
 }
 
 void HttpServer::close_all() {
-  const auto connections = connections_;  // a copy, since each removes itself from the list
+  const auto connections = connections_;  // a copy, since each removes itself from the set
   for (const auto& connection : connections) connection->close();
 }
 
@@ -221,7 +222,7 @@
   });
 }
 
-/// Out of sockets: accepting at once again would spin.
+/// Retries after a delay. The process is out of sockets, and an immediate retry would busy-loop.
 void HttpServer::accept_later() {
   retry_.expires_after(kAcceptRetry);
   retry_.async_wait([this](auto error) {
@@ -241,7 +242,8 @@
   if (!sweeping_) sweep_later();
 }
 
-/// Deadlines are checked together: a timer for each would be set anew several times a request.
+/// One timer checks all deadlines: a timer for each connection would be reset several times a
+/// request.
 void HttpServer::sweep_later() {
   sweeping_ = true;
   const double shortest_s = std::min(limits_.request_s, limits_.idle_s);
@@ -261,9 +263,9 @@
   if (!connections_.empty()) sweep_later();
 }
 
-/// Whether a connection that is being answered stays open. Where too many are, one that nobody uses
-/// any more is closed instead: that of a user who has left rather than that of a worker that sends
-/// heartbeats.
+/// Whether a connection stays open after the response being sent. If too many are open, a stale
+/// connection is closed in its place: an inactive user's rather than that of a worker which sends
+/// heartbeats regularly.
 bool HttpServer::may_stay_open() {
   if (connections_.size() <= limits_.kept_open) return true;
   if (!idle_.empty() && idle_.front()->idle_for_s() > limits_.stale_s) {
@@ -274,7 +276,7 @@
   return false;
 }
 
-/// Closes the connection that has been idle the longest, if any is idle.
+/// Closes the connection that has been idle the longest; does nothing if no connection is idle.
 void HttpServer::close_longest_idle() {
   if (!idle_.empty()) idle_.front()->close();
 }
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -9,60 +9,65 @@
 #include "config/settings.h"
 #include "net/http_message.h"
 
-/// HTTP/1.1 server over Asio, for users, workers and other nodes. It knows nothing of what the
-/// bodies mean.
+/// HTTP/1.1 server over Asio for requests from users, workers and other controllers. Bodies are
+/// opaque bytes.
 namespace sumacquay {
 
-/// Answers one request; may be called later, and at most once. Copies share the one answer.
+/// Sends the response to one request. May be called after the handler has returned. Only the first
+/// call, also among copies, has an effect.
 using Respond = std::function<void(HttpReply)>;
 using HttpHandler = std::function<void(const HttpRequest&, Respond)>;
 
-/// Limits of one server. Every resource that a peer could use up has one.
+/// Limits of one server. Every resource that a peer could exhaust is limited.
 struct HttpLimits {
   size_t body_bytes = size_t{64} * 1024;
   size_t header_bytes = size_t{8} * 1024;
-  size_t connections = 300;  ///< open at once, all together
-  /// Of these, connections that only get a refusal: 503 with the time to come back.
+  size_t connections = 300;  ///< open connections of all kinds
+  /// Part of `connections`, reserved for rejecting requests with 503 and Retry-After when all
+  /// others are taken.
   size_t refusals = 0;
-  /// So many may stay open after an answer. Beyond them an answer closes its connection, so that
-  /// more peers than connections are served in turn, and none loses a request to the closing.
+  /// Above this number of open connections, a response closes its connection. More peers than
+  /// connections are thus served in turn, and no request is lost, since the response announces the
+  /// closing (`Connection: close`).
   size_t kept_open = 300;
-  // Connections past these are closed by a sweep, up to a quarter of the shorter one late.
-  double request_s = 5;  ///< for one request to arrive whole
+  // Timeouts, in seconds. A periodic sweep closes connections past them, late by up to a quarter of
+  // the shorter timeout.
+  double request_s = 5;  ///< to receive a whole request, or to send a response
   double idle_s = 120;   ///< between requests
-  /// Idle for longer than this, a connection is closed in favour of one that is used.
+  /// A connection that has been idle for longer may be closed to keep a recently used one open.
   double stale_s = 120;
 };
 
 /// Counts of a server's connections, for metrics.
 struct ConnectionCounts {
   size_t open = 0;
-  /// Closed with an answer, since the start, because more peers connected than can be kept.
+  /// Closed after a response since the start, because more than `HttpLimits::kept_open` were open.
   size_t closed_after_answer = 0;
-  /// Refused, since the start, because all connections were taken, with an answer or without.
+  /// Refused since the start, with or without a response, because all connections were taken.
   size_t refused = 0;
 };
 
-/// Keeps connections alive, takes one request at a time on each, and is bounded everywhere. What is
-/// over a limit is answered 413, and what isn't HTTP 400; then the connection is closed. A peer
-/// that finds no place is refused at once, and never waits for others to leave.
+/// Serves one request at a time on each of a bounded number of keep-alive connections. A request
+/// that exceeds a size limit gets status 413, one that is not valid HTTP status 400; then the
+/// connection is closed. When all connections are taken, a new one is refused immediately rather
+/// than queued until another closes.
 class HttpServer {
  public:
-  /// Listens at once; throws std::system_error if the address can't be bound.
+  /// Starts to listen; throws std::system_error if the address can't be bound.
   HttpServer(asio::io_context& io, const Endpoint& at, HttpLimits limits, HttpHandler handler);
   ~HttpServer();
 
-  /// The port it listens on, also where the system chose one.
+  /// The port it listens on; if port 0 was requested, the one that the system chose.
   unsigned short port() const;
 
-  /// Closes all connections; new ones are accepted as before.
+  /// Closes all open connections. The server still accepts new ones.
   void close_all();
 
   ConnectionCounts counts() const { return {connections_.size(), closed_after_answer_, refused_}; }
 
  private:
   class Connection;
-  /// The longest idle first. Entries are connections that the server owns.
+  /// Idle connections that the server owns, the longest idle first.
   using IdleConnections = std::list<Connection*>;
   void accept();
   void accept_later();
@@ -77,7 +82,7 @@
   asio::ip::tcp::acceptor acceptor_;
   asio::steady_timer retry_;
   asio::steady_timer sweep_timer_;
-  bool sweeping_ = false;  ///< the timer runs, since there are connections
+  bool sweeping_ = false;  ///< whether `sweep_timer_` is scheduled
   HttpLimits limits_;
   HttpHandler handler_;
   std::unordered_set<std::shared_ptr<Connection>> connections_;
--- a/src/net/immediate_write.h
+++ b/src/net/immediate_write.h
@@ -4,8 +4,9 @@
 
 namespace sumacquay {
 
-/// Writes as much as the socket takes now, without a wait or a callback. The socket must not block.
-/// Returns the bytes that were taken; a socket that takes none now is no error.
+/// Writes as many bytes as the socket accepts now, without waiting and without a callback. The
+/// socket must be in non-blocking mode. Returns the number of bytes written; a full send buffer is
+/// not an error.
 inline size_t write_at_once(asio::ip::tcp::socket& socket, const std::string& bytes,
                             asio::error_code& error) {
   const size_t sent = socket.write_some(asio::buffer(bytes), error);
