--- a/apps/loadtest/main.cpp
+++ b/apps/loadtest/main.cpp
@@ -14,9 +14,9 @@
 using namespace sumacquay::loadtest;
 
 /// Exit status if the settings, or files in them, can't be used.
-constexpr int kUnusable = 2;
+constexpr int kExitInvalidSettings = 2;
 /// Exit status if the rule checker found a violation.
-constexpr int kRulesBroken = 3;
+constexpr int kExitRuleViolation = 3;
 
 struct Arguments {
   std::string settings, program = "target/sumacquay", tuning, table;
@@ -60,7 +60,7 @@
   append_rows(arguments.table, {load_test.measure_load()});
   append_rows(arguments.table, load_test.measure_faults());
   for (const auto& violation : load_test.violations()) spdlog::error("broken rule: {}", violation);
-  return load_test.violations().empty() ? 0 : kRulesBroken;
+  return load_test.violations().empty() ? 0 : kExitRuleViolation;
 }
 
 int tables(const Arguments& arguments) {
@@ -120,6 +120,6 @@
     return run(argc, argv);
   } catch (const std::exception& error) {
     std::cerr << error.what() << "\n";
-    return kUnusable;
+    return kExitInvalidSettings;
   }
 }
--- a/apps/sumacquay/main.cpp
+++ b/apps/sumacquay/main.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// Exit status if the settings, or files or addresses in them, can't be used.
-constexpr int kUnusable = 2;
+constexpr int kExitInvalidSettings = 2;
 
-bool set_up_log() {
+bool configure_logging() {
   auto logger = std::make_shared<spdlog::logger>("sumacquay",
                                                  std::make_shared<spdlog::sinks::stderr_sink_st>());
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
@@ -33,17 +33,17 @@
 int run(int argc, char** argv) {
   CLI::App app{"Scheduler for fleets that serve language models: one controller node."};
   app.set_version_flag("--version", std::string("sumacquay ") + SUMACQUAY_VERSION);
-  std::string config;
-  std::string tuning;
-  bool check = false;
-  app.add_option("--config", config, "the platform's settings (TOML)")->required();
-  app.add_option("--tuning", tuning, "the operators' own settings (HCL)");
-  app.add_flag("--check", check, "check the settings and end");
+  std::string settings_path;
+  std::string tuning_path;
+  bool check_only = false;
+  app.add_option("--config", settings_path, "the platform's settings (TOML)")->required();
+  app.add_option("--tuning", tuning_path, "the operators' own settings (HCL)");
+  app.add_flag("--check", check_only, "check the settings and end");
   CLI11_PARSE(app, argc, argv);
-  if (!set_up_log()) return kUnusable;
-  sumacquay::Settings settings = sumacquay::load_settings(config);
-  if (!tuning.empty()) settings.tuning = sumacquay::load_tuning(tuning);
-  if (check) {
+  if (!configure_logging()) return kExitInvalidSettings;
+  sumacquay::Settings settings = sumacquay::load_settings(settings_path);
+  if (!tuning_path.empty()) settings.tuning = sumacquay::load_tuning(tuning_path);
+  if (check_only) {
     std::cout << "settings are valid\n";
     return 0;
   }
@@ -62,6 +62,6 @@
     return run(argc, argv);
   } catch (const std::exception& e) {
     std::cerr << e.what() << "\n";
-    return kUnusable;
+    return kExitInvalidSettings;
   }
 }
--- a/src/config/number_file.cpp
+++ b/src/config/number_file.cpp
@@ -27,7 +27,7 @@
 }
 
 /// The fields as libconfuse options, terminated by an end marker as the library requires.
-std::vector<cfg_opt_t> options_of(const std::vector<NumberField>& fields) {
+std::vector<cfg_opt_t> libconfuse_options(const std::vector<NumberField>& fields) {
   std::vector<cfg_opt_t> options;
   options.reserve(fields.size() + 1);
   for (const auto& field : fields)
@@ -36,7 +36,7 @@
   return options;
 }
 
-void parse_into(const Parser& parser, const std::string& text, const std::string& source) {
+void parse_text(const Parser& parser, const std::string& text, const std::string& source) {
   parser_error() = "not a list of settings";
   cfg_set_error_function(parser.get(), record_parser_error);
   if (cfg_parse_buf(parser.get(), text.c_str()) == CFG_SUCCESS) return;
@@ -47,10 +47,10 @@
 
 void read_numbers(const std::string& text, const std::string& source,
                   const std::vector<NumberField>& fields) {
-  std::vector<cfg_opt_t> options = options_of(fields);
+  std::vector<cfg_opt_t> options = libconfuse_options(fields);
   const Parser parser(cfg_init(options.data(), CFGF_NONE), cfg_free);
   if (!parser) throw SettingsError(source + ": can't be read");
-  parse_into(parser, text, source);
+  parse_text(parser, text, source);
   for (const auto& field : fields) {
     const double value = cfg_getfloat(parser.get(), field.name);
     check_range(source, field.name, value, field.range);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -14,8 +14,8 @@
 // Plausible values; anything outside these ranges is treated as a mistake in the file.
 constexpr double kMaxSeconds = 36000;
 constexpr double kMaxAmount = 1e9;
-constexpr SettingRange kAnyAmount{0, kMaxAmount};
-constexpr SettingRange kAnySpan{0, kMaxSeconds};
+constexpr SettingRange kAmountRange{0, kMaxAmount};
+constexpr SettingRange kDurationRange{0, kMaxSeconds};
 constexpr SettingRange kShareRange{0, 1};
 constexpr SettingRange kHeartbeatPeriodRange{0.01, 3600};
 constexpr SettingRange kLeaseRange{0.1, kMaxSeconds};
@@ -30,9 +30,9 @@
   try {
     return toml::parse(text, source);
   } catch (const toml::parse_error& error) {
-    std::ostringstream where;
-    where << "line " << error.source().begin.line;
-    refuse_setting(source, where.str(), std::string(error.description()));
+    std::ostringstream location;
+    location << "line " << error.source().begin.line;
+    refuse_setting(source, location.str(), std::string(error.description()));
   }
 }
 
@@ -47,10 +47,10 @@
 TeamSettings read_team(const TomlTable& table) {
   TeamSettings team;
   team.name = table.text("name");
-  team.cpus = table.number_or("cpus", 0, kAnyAmount);
-  team.cpus_max = table.number_or("cpus_max", 0, kAnyAmount);
-  team.gpus = table.number_or("gpus", 0, kAnyAmount);
-  team.gpus_max = table.number_or("gpus_max", 0, kAnyAmount);
+  team.cpus = table.number_or("cpus", 0, kAmountRange);
+  team.cpus_max = table.number_or("cpus_max", 0, kAmountRange);
+  team.gpus = table.number_or("gpus", 0, kAmountRange);
+  team.gpus_max = table.number_or("gpus_max", 0, kAmountRange);
   return team;
 }
 
@@ -58,7 +58,7 @@
   ServiceLevelObjective objective;
   objective.kind = table.text("kind");
   objective.job_class = table.text_or("class", "");
-  objective.within_s = table.number_or("within_s", 0, kAnyAmount);
+  objective.within_s = table.number_or("within_s", 0, kAmountRange);
   objective.share = table.number_or("share", 0, kShareRange);
   return objective;
 }
@@ -66,32 +66,32 @@
 void read_worker_limits(const TomlTable& workers, Settings& settings) {
   settings.heartbeat_period_s = workers.number("report_s", kHeartbeatPeriodRange);
   settings.lease_s = workers.number("lease_s", kLeaseRange);
-  settings.gang_wait_s = workers.number("gang_wait_s", kAnySpan);
-  settings.gang_peer_s = workers.number("gang_peer_s", kAnySpan);
-  settings.cancel_s = workers.number("cancel_s", kAnySpan);
+  settings.gang_wait_s = workers.number("gang_wait_s", kDurationRange);
+  settings.gang_peer_s = workers.number("gang_peer_s", kDurationRange);
+  settings.cancel_s = workers.number("cancel_s", kDurationRange);
 }
 
 /// The lower of the current limit and the upcoming limit of this name, if there is one.
-double stricter(const TomlTable& now, const std::optional<TomlTable>& to_come, const char* name,
-                SettingRange range) {
-  const double limit = now.number(name, range);
-  return to_come ? std::min(limit, to_come->number_or(name, limit, range)) : limit;
+double stricter_limit(const TomlTable& current, const std::optional<TomlTable>& upcoming,
+                      const char* name, SettingRange range) {
+  const double limit = current.number(name, range);
+  return upcoming ? std::min(limit, upcoming->number_or(name, limit, range)) : limit;
 }
 
 /// The key-value store switches to its upcoming limits without notice, so writes comply with both
 /// sets of limits from the start.
 void read_state_limits(const TomlTable& state, Settings& settings) {
-  const std::optional<TomlTable> to_come = state.optional_child("next");
-  settings.state_rps = stricter(state, to_come, "rps", kStateRateRange);
-  settings.state_write_rps = stricter(state, to_come, "write_rps", kStateRateRange);
-  settings.state_value_kb = stricter(state, to_come, "value_kb", kValueSizeRange);
+  const std::optional<TomlTable> upcoming = state.optional_child("next");
+  settings.state_rps = stricter_limit(state, upcoming, "rps", kStateRateRange);
+  settings.state_write_rps = stricter_limit(state, upcoming, "write_rps", kStateRateRange);
+  settings.state_value_kb = stricter_limit(state, upcoming, "value_kb", kValueSizeRange);
   settings.state_txn_ops =
-      static_cast<int>(stricter(state, to_come, "txn_ops", kTransactionOpsRange));
+      static_cast<int>(stricter_limit(state, upcoming, "txn_ops", kTransactionOpsRange));
 }
 
 void read_cloud_limits(const TomlTable& cloud, Settings& settings) {
   settings.cloud_rps = cloud.number("rps", kCloudRateRange);
-  settings.list_lag_s = cloud.number("list_lag_s", kAnySpan);
+  settings.list_lag_s = cloud.number("list_lag_s", kDurationRange);
 }
 
 /// Reads the platform's parameters, which are the same on all nodes.
@@ -117,21 +117,22 @@
 double Settings::answers_s() const {
   // The clocks of this node and of the worker may each drift. The slack, in seconds, covers delays
   // that the formula does not include.
-  constexpr double kDrift = 0.002;
-  constexpr double kSlack = 0.3;
+  constexpr double kMaxClockDrift = 0.002;
+  constexpr double kSlackSeconds = 0.3;
   // If a cancellation has less time than a leader lease lasts, no setting could meet its limit.
-  const double min_answers_s = leader_lease_s();
-  return std::max(min_answers_s,
-                  tuning.grace * (cancel_s * (1 - kDrift) - lease_s * (1 + kDrift) - kSlack));
+  const double min_grace_s = leader_lease_s();
+  return std::max(min_grace_s, tuning.grace * (cancel_s * (1 - kMaxClockDrift) -
+                                               lease_s * (1 + kMaxClockDrift) - kSlackSeconds));
 }
 
 bool Settings::finds_delegated_responder(const std::string& of_zone) const {
   // From the worker protocol: a worker waits 4 s for a response and tries the next node 1 s later.
   constexpr double kSecondsPerNode = 4 + 1;
-  size_t elsewhere = zone == of_zone ? 0 : 1;
+  size_t nodes_elsewhere = zone == of_zone ? 0 : 1;
   for (const auto& peer : peers)
-    if (peer.zone != of_zone) ++elsewhere;
-  return static_cast<double>(elsewhere) * kSecondsPerNode + 1.25 * heartbeat_period_s <= lease_s;
+    if (peer.zone != of_zone) ++nodes_elsewhere;
+  return static_cast<double>(nodes_elsewhere) * kSecondsPerNode + 1.25 * heartbeat_period_s <=
+         lease_s;
 }
 
 Settings parse_settings(const std::string& toml_text, const std::string& source) {
--- a/src/config/socket_budget.cpp
+++ b/src/config/socket_budget.cpp
@@ -26,7 +26,7 @@
 constexpr size_t kMinTurnover = 4;
 constexpr size_t kMinRefusals = 2;
 
-constexpr const char* kField = "params.quota.fd_limit";
+constexpr const char* kSocketLimitField = "params.quota.fd_limit";
 
 size_t share_of(size_t whole, double share, size_t minimum) {
   return std::max(minimum, static_cast<size_t>(share * static_cast<double>(whole)));
@@ -36,7 +36,7 @@
   return whole > part ? whole - part : 0;
 }
 
-size_t fixed_for(size_t peers) {
+size_t fixed_socket_count(size_t peers) {
   using namespace fixed_sockets;
   const size_t state = kUrgentStateConnections + kStateConnections + kWatchConnections;
   const size_t per_peer = kClientConnectionsPerPeer + kServerConnectionsPerPeer;
@@ -49,19 +49,19 @@
 
 /// Sockets for users and workers: those not taken by fixed sockets and worker commands, up to the
 /// operators' limit (Tuning::sockets).
-size_t sockets_to_serve(const Settings& settings, const SocketBudget& budget) {
+size_t user_and_worker_sockets(const Settings& settings, const SocketBudget& budget) {
   const size_t sockets = all_sockets(settings);
-  const size_t left = remaining(sockets, budget.fixed + budget.worker_commands);
-  return std::min(left, share_of(sockets, settings.tuning.sockets, kMinServed));
+  const size_t unallocated = remaining(sockets, budget.fixed + budget.worker_commands);
+  return std::min(unallocated, share_of(sockets, settings.tuning.sockets, kMinServed));
 }
 
 }  // namespace
 
 SocketBudget socket_budget(const Settings& settings) {
   SocketBudget budget;
-  budget.fixed = fixed_for(settings.peers.size());
+  budget.fixed = fixed_socket_count(settings.peers.size());
   budget.worker_commands = share_of(all_sockets(settings), kCommandShare, kMinCommandConnections);
-  budget.served_and_refused = sockets_to_serve(settings, budget);
+  budget.served_and_refused = user_and_worker_sockets(settings, budget);
   budget.refusals = share_of(budget.served_and_refused, kRefusalShare, kMinRefusals);
   const size_t served = remaining(budget.served_and_refused, budget.refusals);
   budget.kept_open = remaining(served, share_of(served, kTurnoverShare, kMinTurnover));
@@ -72,7 +72,7 @@
 void check_sockets(const Settings& settings, const std::string& source) {
   const SocketBudget budget = socket_budget(settings);
   if (budget.served_and_refused >= kMinServed) return;
-  refuse_setting(source, kField,
+  refuse_setting(source, kSocketLimitField,
                  "too few: " + std::to_string(settings.peers.size()) +
                      " peers, the state service and the cloud take " +
                      std::to_string(budget.fixed) + " and orders " +
@@ -82,9 +82,9 @@
 
 std::optional<std::string> cost_of_few_sockets(const Settings& settings) {
   const SocketBudget budget = socket_budget(settings);
-  const size_t asked_for = share_of(all_sockets(settings), settings.tuning.sockets, kMinServed);
-  if (budget.served_and_refused >= asked_for) return std::nullopt;
-  return std::string(kField) + ": " + std::to_string(all_sockets(settings)) +
+  const size_t configured = share_of(all_sockets(settings), settings.tuning.sockets, kMinServed);
+  if (budget.served_and_refused >= configured) return std::nullopt;
+  return std::string(kSocketLimitField) + ": " + std::to_string(all_sockets(settings)) +
          " sockets are few for " + std::to_string(settings.peers.size()) + " peers: beyond " +
          std::to_string(budget.kept_open) +
          " connections, users and workers connect anew for each request";
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -11,14 +11,14 @@
 
 TomlTable TomlTable::child(const char* name) const {
   const toml::table* table = table_->get_as<toml::table>(name);
-  if (!table) refuse(name, "missing table");
+  if (!table) throw_field_error(name, "missing table");
   return {source_, path_of(name), table};
 }
 
 std::optional<TomlTable> TomlTable::optional_child(const char* name) const {
   const toml::node* node = table_->get(name);
   if (!node) return std::nullopt;
-  if (!node->is_table()) refuse(name, "must be a table");
+  if (!node->is_table()) throw_field_error(name, "must be a table");
   return TomlTable(source_, path_of(name), node->as_table());
 }
 
@@ -27,7 +27,7 @@
   const toml::node* node = table_->get(name);
   if (!node) return tables;
   const toml::array* list = node->as_array();
-  if (!list) refuse(name, "must be a list of tables");
+  if (!list) throw_field_error(name, "must be a list of tables");
   for (size_t i = 0; i < list->size(); ++i) {
     const std::string path = path_of(name) + "[" + std::to_string(i) + "]";
     const toml::table* table = (*list)[i].as_table();
@@ -39,7 +39,7 @@
 
 std::string TomlTable::text(const char* name) const {
   const auto* value = table_->get_as<std::string>(name);
-  if (!value || value->get().empty()) refuse(name, "must be a text that is not empty");
+  if (!value || value->get().empty()) throw_field_error(name, "must be a text that is not empty");
   return value->get();
 }
 
@@ -50,9 +50,9 @@
 std::vector<std::string> TomlTable::texts(const char* name) const {
   std::vector<std::string> texts;
   const toml::array* list = table_->get_as<toml::array>(name);
-  if (!list) refuse(name, "must be a list of texts");
+  if (!list) throw_field_error(name, "must be a list of texts");
   for (const auto& item : *list) {
-    if (!item.is_string()) refuse(name, "must be a list of texts");
+    if (!item.is_string()) throw_field_error(name, "must be a list of texts");
     texts.push_back(item.as_string()->get());
   }
   return texts;
@@ -62,7 +62,7 @@
   const toml::node* node = table_->get(name);
   std::optional<double> value;
   if (node && node->is_number()) value = node->value<double>();
-  if (!value || !std::isfinite(*value)) refuse(name, "must be a number");
+  if (!value || !std::isfinite(*value)) throw_field_error(name, "must be a number");
   check_range(source_, path_of(name), *value, range);
   return *value;
 }
@@ -76,11 +76,12 @@
   constexpr unsigned kMaxPort = 65535;
   const std::string value = text(name);
   const auto colon = value.rfind(':');
-  if (colon == std::string::npos || colon == 0) refuse(name, kExpected);
+  if (colon == std::string::npos || colon == 0) throw_field_error(name, kExpected);
   unsigned port = 0;
   const char* const end = value.data() + value.size();
   const auto [parsed_end, error] = std::from_chars(value.data() + colon + 1, end, port);
-  if (error != std::errc() || parsed_end != end || port > kMaxPort) refuse(name, kExpected);
+  if (error != std::errc() || parsed_end != end || port > kMaxPort)
+    throw_field_error(name, kExpected);
   return Endpoint{value.substr(0, colon), static_cast<unsigned short>(port)};
 }
 
@@ -88,7 +89,7 @@
   return path_.empty() ? name : path_ + "." + name;
 }
 
-void TomlTable::refuse(const char* name, const std::string& why) const {
+void TomlTable::throw_field_error(const char* name, const std::string& why) const {
   refuse_setting(source_, path_of(name), why);
 }
 
--- a/src/config/toml_table.h
+++ b/src/config/toml_table.h
@@ -44,7 +44,7 @@
 
  private:
   std::string path_of(const char* name) const;
-  [[noreturn]] void refuse(const char* name, const std::string& why) const;
+  [[noreturn]] void throw_field_error(const char* name, const std::string& why) const;
 
   const std::string& source_;
   std::string path_;
--- a/src/net/concurrency_limit.h
+++ b/src/net/concurrency_limit.h
@@ -25,9 +25,9 @@
     --in_progress_;
     // The minimum grows by 0.2 % per request, so that a lasting rise in latency becomes the new
     // baseline.
-    fastest_s_ = fastest_s_ <= 0 ? latency_s : std::min(fastest_s_ * 1.002, latency_s);
-    const double baseline_s = std::max(fastest_s_, kMinBaselineSeconds);
-    if (latency_s > kSlowFactor * baseline_s)
+    min_latency_s_ = min_latency_s_ <= 0 ? latency_s : std::min(min_latency_s_ * 1.002, latency_s);
+    const double baseline_s = std::max(min_latency_s_, kMinBaselineSeconds);
+    if (latency_s > kSlowLatencyRatio * baseline_s)
       limit_ = std::max(min_limit_, limit_ * 0.98);
     else if (in_progress_ * 2 >= limit_)
       limit_ = std::min(max_limit_, limit_ + 1);
@@ -38,12 +38,12 @@
 
  private:
   static constexpr double kMinBaselineSeconds = 0.02;  ///< lower bound of the baseline
-  static constexpr double kSlowFactor = 8;             ///< latency above this multiple is slow
+  static constexpr double kSlowLatencyRatio = 8;       ///< latency above this multiple is slow
 
   double min_limit_;
   double max_limit_;
   double limit_;
-  double fastest_s_ = 0;
+  double min_latency_s_ = 0;
   int in_progress_ = 0;
 };
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -16,7 +16,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr size_t kChunkBytes = 4096;
+constexpr size_t kReadBufferBytes = 4096;
 constexpr size_t kMaxBodyBytes = 4 << 20;
 
 }  // namespace
@@ -93,40 +93,43 @@
 
   void connect() {
     state_ = State::Connecting;
-    socket_.async_connect(to_tcp_endpoint(client_->to_), [self = shared_from_this()](auto error) {
-      if (error) return self->fail();
-      asio::error_code ignored;
-      self->socket_.set_option(tcp::no_delay(true), ignored);
-      self->socket_.non_blocking(true, ignored);
-      self->write();
-    });
+    socket_.async_connect(to_tcp_endpoint(client_->server_),
+                          [self = shared_from_this()](auto error) {
+                            if (error) return self->fail();
+                            asio::error_code ignored;
+                            self->socket_.set_option(tcp::no_delay(true), ignored);
+                            self->socket_.non_blocking(true, ignored);
+                            self->write();
+                          });
   }
 
   void write() {
     state_ = State::Busy;
     asio::error_code error;
     const size_t sent = write_at_once(socket_, request_->bytes, error);
-    const auto written = [self = shared_from_this(), request = request_](auto late, size_t) {
-      if (late && self->request_ == request) self->fail();
+    const auto on_written = [self = shared_from_this(), request = request_](auto write_error,
+                                                                            size_t) {
+      if (write_error && self->request_ == request) self->fail();
     };
     if (error)
-      asio::post(socket_.get_executor(), [written, error] { written(error, 0); });
+      asio::post(socket_.get_executor(), [on_written, error] { on_written(error, 0); });
     else if (sent < request_->bytes.size())
-      asio::async_write(socket_, asio::buffer(request_->bytes) + sent, written);
+      asio::async_write(socket_, asio::buffer(request_->bytes) + sent, on_written);
     read();
   }
 
   void read() {
-    socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this(), request = request_](
-                                                      auto error, size_t size) {
-      if (self->state_ != State::Busy || self->request_ != request) return;
-      if (error) return self->fail();
-      self->consume(size);
-    });
+    socket_.async_read_some(
+        asio::buffer(read_buffer_),
+        [self = shared_from_this(), request = request_](auto error, size_t size) {
+          if (self->state_ != State::Busy || self->request_ != request) return;
+          if (error) return self->fail();
+          self->consume(size);
+        });
   }
 
   void consume(size_t size) {
-    switch (parser_.parse({chunk_.data(), size})) {
+    switch (parser_.parse({read_buffer_.data(), size})) {
       case ParseProgress::Incomplete:
         return read();
       case ParseProgress::Complete:
@@ -154,13 +157,14 @@
   tcp::socket socket_;
   State state_ = State::New;
   HttpResponseParser parser_;
-  std::array<char, kChunkBytes> chunk_{};
+  std::array<char, kReadBufferBytes> read_buffer_{};
   std::shared_ptr<PendingRequest> request_;
 };
 
-HttpClient::HttpClient(asio::io_context& io, Endpoint to, size_t max_connections, size_t max_queued)
+HttpClient::HttpClient(asio::io_context& io, Endpoint server, size_t max_connections,
+                       size_t max_queued)
     : io_(io),
-      to_(std::move(to)),
+      server_(std::move(server)),
       max_connections_(max_connections),
       max_queued_(max_queued),
       deadline_timer_(io) {}
@@ -174,27 +178,27 @@
                          const std::string& body, double deadline_s, HttpDone done) {
   auto request = std::make_shared<PendingRequest>();
   request->done = std::move(done);
-  request->bytes = serialize_request(method, target, to_.text(), body);
+  request->bytes = serialize_request(method, target, server_.text(), body);
   if (queue_.size() >= max_queued_) {
     asio::post(io_, [request] { request->finish({}); });
     return;
   }
   request->deadline = Clock::now() + to_milliseconds(deadline_s);
   queue_.push_back(request);
-  wake_by(request->deadline);
+  schedule_expiry(request->deadline);
   start_next();
 }
 
 /// One timer serves all requests. It is not rescheduled when a request completes: most requests
 /// complete before their deadline, and a new request's deadline is seldom earlier than the one
 /// scheduled.
-void HttpClient::wake_by(Clock::time_point deadline) {
-  if (wakes_at_ && *wakes_at_ <= deadline) return;
-  wakes_at_ = deadline;
+void HttpClient::schedule_expiry(Clock::time_point deadline) {
+  if (expiry_scheduled_at_ && *expiry_scheduled_at_ <= deadline) return;
+  expiry_scheduled_at_ = deadline;
   deadline_timer_.expires_at(deadline);
   deadline_timer_.async_wait([this, alive = alive_](auto error) {
     if (error || !*alive) return;
-    wakes_at_.reset();
+    expiry_scheduled_at_.reset();
     expire_overdue();
   });
 }
@@ -208,7 +212,7 @@
     expire(request);
     if (!*alive) return;
   }
-  for (const auto& request : requests_in_progress()) wake_by(request->deadline);
+  for (const auto& request : requests_in_progress()) schedule_expiry(request->deadline);
 }
 
 std::vector<std::shared_ptr<HttpClient::PendingRequest>> HttpClient::requests_in_progress() const {
@@ -225,11 +229,11 @@
     queue_.erase(queued);
     return request->finish({});
   }
-  const auto sent_on = std::find_if(busy_.begin(), busy_.end(), [&](const auto& connection) {
+  const auto sending = std::find_if(busy_.begin(), busy_.end(), [&](const auto& connection) {
     return connection->request() == request;
   });
-  if (sent_on == busy_.end()) return;
-  const auto connection = *sent_on;  // a copy, since fail() erases the element
+  if (sending == busy_.end()) return;
+  const auto connection = *sending;  // a copy, since fail() erases the element
   connection->fail();
 }
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -24,7 +24,7 @@
 /// a free connection in first-in, first-out order.
 class HttpClient {
  public:
-  HttpClient(asio::io_context& io, Endpoint to, size_t max_connections, size_t max_queued);
+  HttpClient(asio::io_context& io, Endpoint server, size_t max_connections, size_t max_queued);
   /// Closes all connections. Requests in progress are dropped without a callback.
   ~HttpClient();
 
@@ -40,7 +40,7 @@
   class Connection;
   struct PendingRequest;
   using Clock = std::chrono::steady_clock;
-  void wake_by(Clock::time_point deadline);
+  void schedule_expiry(Clock::time_point deadline);
   void expire_overdue();
   std::vector<std::shared_ptr<PendingRequest>> requests_in_progress() const;
   void expire(const std::shared_ptr<PendingRequest>& request);
@@ -49,14 +49,14 @@
   void release(const std::shared_ptr<Connection>& connection, bool reusable);
 
   asio::io_context& io_;
-  Endpoint to_;
+  Endpoint server_;
   size_t max_connections_;
   size_t max_queued_;
   std::deque<std::shared_ptr<PendingRequest>> queue_;
   std::deque<std::shared_ptr<Connection>> idle_;  ///< most recently used at the back
   std::unordered_set<std::shared_ptr<Connection>> busy_;
   asio::steady_timer deadline_timer_;
-  std::optional<Clock::time_point> wakes_at_;  ///< no later than the earliest deadline
+  std::optional<Clock::time_point> expiry_scheduled_at_;  ///< no later than the earliest deadline
   /// False after destruction; pending callbacks hold a copy and check it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -33,7 +33,7 @@
 }
 
 /// The header fields that describe the body.
-std::string body_fields(const std::string& body) {
+std::string body_headers(const std::string& body) {
   return std::string("\r\nContent-Type: ") + kContentType +
          "\r\nContent-Length: " + std::to_string(body.size());
 }
@@ -43,7 +43,7 @@
 std::string serialize_reply(const HttpReply& reply, KeepAlive keep_alive) {
   std::string bytes =
       "HTTP/1.1 " + std::to_string(reply.status) + " " + reason_phrase(reply.status);
-  bytes += body_fields(reply.body);
+  bytes += body_headers(reply.body);
   if (reply.retry_after_s > 0) bytes += "\r\nRetry-After: " + std::to_string(reply.retry_after_s);
   if (keep_alive == KeepAlive::No) bytes += "\r\nConnection: close";
   bytes += "\r\n\r\n";
@@ -54,7 +54,7 @@
 std::string serialize_request(const std::string& method, const std::string& target,
                               const std::string& host, const std::string& body) {
   std::string bytes = method + " " + target + " HTTP/1.1\r\nHost: " + host;
-  bytes += body_fields(body);
+  bytes += body_headers(body);
   bytes += "\r\n\r\n";
   bytes += body;
   return bytes;
--- a/src/net/http_parsing.cpp
+++ b/src/net/http_parsing.cpp
@@ -54,7 +54,7 @@
   http_parser_init(&parser_, HTTP_REQUEST);
 }
 
-HttpRequestParser& HttpRequestParser::of(http_parser* parser) {
+HttpRequestParser& HttpRequestParser::instance_of(http_parser* parser) {
   return *static_cast<HttpRequestParser*>(parser->data);
 }
 
@@ -85,17 +85,19 @@
     http_parser_settings settings;
     http_parser_settings_init(&settings);
     settings.on_url = [](http_parser* parser, const char* at, size_t size) {
-      of(parser).target_.append(at, size);
-      return of(parser).count_header(size);
+      instance_of(parser).target_.append(at, size);
+      return instance_of(parser).count_header(size);
     };
     settings.on_header_field = [](http_parser* parser, const char*, size_t size) {
-      return of(parser).count_header(size);
+      return instance_of(parser).count_header(size);
     };
     settings.on_header_value = settings.on_header_field;
     settings.on_body = [](http_parser* parser, const char* at, size_t size) {
-      return of(parser).append_body({at, size});
+      return instance_of(parser).append_body({at, size});
+    };
+    settings.on_message_complete = [](http_parser* parser) {
+      return instance_of(parser).complete();
     };
-    settings.on_message_complete = [](http_parser* parser) { return of(parser).complete(); };
     return settings;
   }();
   return value;
@@ -126,7 +128,7 @@
   http_parser_init(&parser_, HTTP_RESPONSE);
 }
 
-HttpResponseParser& HttpResponseParser::of(http_parser* parser) {
+HttpResponseParser& HttpResponseParser::instance_of(http_parser* parser) {
   return *static_cast<HttpResponseParser*>(parser->data);
 }
 
@@ -135,13 +137,13 @@
     http_parser_settings settings;
     http_parser_settings_init(&settings);
     settings.on_body = [](http_parser* parser, const char* at, size_t size) {
-      HttpResponseParser& self = of(parser);
+      HttpResponseParser& self = instance_of(parser);
       if (self.body_.size() + size > self.max_body_bytes_) return kStop;
       self.body_.append(at, size);
       return kContinue;
     };
     settings.on_message_complete = [](http_parser* parser) {
-      of(parser).complete_ = true;
+      instance_of(parser).complete_ = true;
       return kContinue;
     };
     return settings;
--- a/src/net/http_parsing.h
+++ b/src/net/http_parsing.h
@@ -47,7 +47,7 @@
 
  private:
   static const http_parser_settings& callbacks();
-  static HttpRequestParser& of(http_parser* parser);
+  static HttpRequestParser& instance_of(http_parser* parser);
   int count_header(size_t bytes);
   int append_body(std::string_view part);
   int complete();
@@ -82,7 +82,7 @@
 
  private:
   static const http_parser_settings& callbacks();
-  static HttpResponseParser& of(http_parser* parser);
+  static HttpResponseParser& instance_of(http_parser* parser);
 
   http_parser parser_{};
   size_t max_body_bytes_;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -17,14 +17,14 @@
 using asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 
-constexpr size_t kChunkBytes = 2048;
-constexpr std::chrono::milliseconds kAcceptRetry{50};
+constexpr size_t kReadBufferBytes = 2048;
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 /// The interval between sweeps, as a fraction of the shorter of the request and idle timeouts.
-constexpr double kSweepShare = 0.25;
+constexpr double kSweepIntervalRatio = 0.25;
 
 constexpr int kBadRequest = 400;
 constexpr int kPayloadTooLarge = 413;
-constexpr int kUnavailable = 503;
+constexpr int kServiceUnavailable = 503;
 /// The Retry-After value sent to refused peers.
 constexpr int kRetryAfterSeconds = 1;
 
@@ -93,12 +93,12 @@
   void wait_for_request() {
     enter(State::Idle);
     const HttpLimits& limits = server_->limits_;
-    close_after(service_ == Service::Handled ? limits.idle_s : limits.request_s);
+    set_deadline(service_ == Service::Handled ? limits.idle_s : limits.request_s);
     read();
   }
 
   void read() {
-    socket_.async_read_some(asio::buffer(chunk_),
+    socket_.async_read_some(asio::buffer(read_buffer_),
                             [self = shared_from_this()](auto error, size_t size) {
                               if (error || self->state_ == State::Closed || !self->server_)
                                 return self->close();
@@ -107,11 +107,11 @@
   }
 
   /// Sets the deadline; the server's first sweep after it closes the connection.
-  void close_after(double seconds) { deadline_ = Clock::now() + to_milliseconds(seconds); }
+  void set_deadline(double seconds) { deadline_ = Clock::now() + to_milliseconds(seconds); }
 
   void consume(size_t size) {
     if (state_ == State::Idle) begin_request();
-    switch (parser_.parse({chunk_.data(), size})) {
+    switch (parser_.parse({read_buffer_.data(), size})) {
       case ParseProgress::Incomplete:
         return read();
       case ParseProgress::Complete:
@@ -127,11 +127,11 @@
   /// socket indefinitely.
   void begin_request() {
     enter(State::Reading);
-    close_after(server_->limits_.request_s);
+    set_deadline(server_->limits_.request_s);
   }
 
   void handle() {
-    if (service_ == Service::Refused) return refuse(kUnavailable, kRetryAfterSeconds);
+    if (service_ == Service::Refused) return refuse(kServiceUnavailable, kRetryAfterSeconds);
     enter(State::Handling);
     deadline_ = Clock::time_point::max();
     const HttpRequest request = parser_.take_request();
@@ -153,21 +153,21 @@
     if (!server_) return close();
     const bool stays_open = requested == KeepAlive::Yes && server_->may_stay_open();
     const KeepAlive keep_alive = stays_open ? KeepAlive::Yes : KeepAlive::No;
-    out_ = serialize_reply(reply, keep_alive);
-    close_after(server_->limits_.request_s);
+    response_bytes_ = serialize_reply(reply, keep_alive);
+    set_deadline(server_->limits_.request_s);
     asio::error_code error;
-    const size_t sent = write_at_once(socket_, out_, error);
-    if (error || sent == out_.size()) return written(error, keep_alive);
-    asio::async_write(socket_, asio::buffer(out_) + sent,
-                      [self = shared_from_this(), keep_alive](auto late, size_t) {
-                        self->written(late, keep_alive);
+    const size_t sent = write_at_once(socket_, response_bytes_, error);
+    if (error || sent == response_bytes_.size()) return on_written(error, keep_alive);
+    asio::async_write(socket_, asio::buffer(response_bytes_) + sent,
+                      [self = shared_from_this(), keep_alive](auto write_error, size_t) {
+                        self->on_written(write_error, keep_alive);
                       });
   }
 
-  void written(const asio::error_code& error, KeepAlive keep_alive) {
+  void on_written(const asio::error_code& error, KeepAlive keep_alive) {
     if (error || keep_alive == KeepAlive::No || !server_) return close();
     parser_.reset();
-    out_ = std::string();
+    response_bytes_ = std::string();
     wait_for_request();
   }
 
@@ -177,21 +177,21 @@
   State state_ = State::Idle;
   std::optional<IdleConnections::iterator> idle_entry_;  ///< set while idle and handled
   HttpRequestParser parser_;
-  std::array<char, kChunkBytes> chunk_{};
-  std::string out_;
+  std::array<char, kReadBufferBytes> read_buffer_{};
+  std::string response_bytes_;
   Clock::time_point deadline_ = Clock::time_point::max();  ///< closed after this
   Clock::time_point idle_since_{};                         ///< valid while idle
 };
 
-HttpServer::HttpServer(asio::io_context& io, const Endpoint& at, HttpLimits limits,
+HttpServer::HttpServer(asio::io_context& io, const Endpoint& listen_address, HttpLimits limits,
                        HttpHandler handler)
     : io_(io),
       acceptor_(io),
-      retry_(io),
+      accept_retry_timer_(io),
       sweep_timer_(io),
       limits_(limits),
       handler_(std::move(handler)) {
-  const auto endpoint = to_tcp_endpoint(at);
+  const auto endpoint = to_tcp_endpoint(listen_address);
   acceptor_.open(endpoint.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(endpoint);
@@ -216,16 +216,16 @@
 void HttpServer::accept() {
   acceptor_.async_accept(io_, [this](auto error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (error) return accept_later();
+    if (error) return retry_accept();
     add_connection(std::move(socket));
     accept();
   });
 }
 
 /// Retries after a delay. The process is out of sockets, and an immediate retry would busy-loop.
-void HttpServer::accept_later() {
-  retry_.expires_after(kAcceptRetry);
-  retry_.async_wait([this](auto error) {
+void HttpServer::retry_accept() {
+  accept_retry_timer_.expires_after(kAcceptRetryDelay);
+  accept_retry_timer_.async_wait([this](auto error) {
     if (!error) accept();
   });
 }
@@ -239,15 +239,15 @@
   auto connection = std::make_shared<Connection>(*this, std::move(socket), service);
   connections_.insert(connection);
   connection->start();
-  if (!sweeping_) sweep_later();
+  if (!sweep_scheduled_) schedule_sweep();
 }
 
 /// One timer checks all deadlines: a timer for each connection would be reset several times a
 /// request.
-void HttpServer::sweep_later() {
-  sweeping_ = true;
+void HttpServer::schedule_sweep() {
+  sweep_scheduled_ = true;
   const double shortest_s = std::min(limits_.request_s, limits_.idle_s);
-  sweep_timer_.expires_after(to_milliseconds(shortest_s * kSweepShare));
+  sweep_timer_.expires_after(to_milliseconds(shortest_s * kSweepIntervalRatio));
   sweep_timer_.async_wait([this](auto error) {
     if (!error) sweep();
   });
@@ -259,8 +259,8 @@
   for (const auto& connection : connections_)
     if (connection->overdue(now)) overdue.push_back(connection);
   for (const auto& connection : overdue) connection->close();
-  sweeping_ = false;
-  if (!connections_.empty()) sweep_later();
+  sweep_scheduled_ = false;
+  if (!connections_.empty()) schedule_sweep();
 }
 
 /// Whether a connection stays open after the response being sent. If too many are open, a stale
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -54,7 +54,8 @@
 class HttpServer {
  public:
   /// Starts to listen; throws std::system_error if the address can't be bound.
-  HttpServer(asio::io_context& io, const Endpoint& at, HttpLimits limits, HttpHandler handler);
+  HttpServer(asio::io_context& io, const Endpoint& listen_address, HttpLimits limits,
+             HttpHandler handler);
   ~HttpServer();
 
   /// The port it listens on; if port 0 was requested, the one that the system chose.
@@ -70,19 +71,19 @@
   /// Idle connections that the server owns, the longest idle first.
   using IdleConnections = std::list<Connection*>;
   void accept();
-  void accept_later();
+  void retry_accept();
   void add_connection(asio::ip::tcp::socket socket);
   size_t max_served() const { return limits_.connections - limits_.refusals; }
   bool may_stay_open();
   void close_longest_idle();
-  void sweep_later();
+  void schedule_sweep();
   void sweep();
 
   asio::io_context& io_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer retry_;
+  asio::steady_timer accept_retry_timer_;
   asio::steady_timer sweep_timer_;
-  bool sweeping_ = false;  ///< whether `sweep_timer_` is scheduled
+  bool sweep_scheduled_ = false;  ///< whether `sweep_timer_` is scheduled
   HttpLimits limits_;
   HttpHandler handler_;
   std::unordered_set<std::shared_ptr<Connection>> connections_;
