--- a/apps/loadtest/main.cpp
+++ b/apps/loadtest/main.cpp
@@ -36,8 +36,9 @@
 /// removed, so that the logs are available for diagnosis.
 LoadTestOptions options_of(const Arguments& arguments) {
   std::string directory = (std::filesystem::temp_directory_path() / "loadtest-XXXXXX").string();
-  if (!mkdtemp(directory.data())) throw std::runtime_error("no directory can be made for the logs");
-  spdlog::info("settings and logs of the controllers: {}", directory);
+  if (!mkdtemp(directory.data()))
+    throw std::runtime_error("can't create a directory for settings and logs");
+  spdlog::info("controller settings and logs: {}", directory);
   LoadTestOptions options;
   options.program = std::filesystem::absolute(arguments.program).string();
   options.directory = directory;
@@ -78,26 +79,29 @@
 
 void add_load_options(CLI::App& command, Arguments& arguments) {
   command.add_option("--settings", arguments.settings, "size and load (operators' format)");
-  command.add_option("--controller", arguments.program, "the controller's program");
-  command.add_option("--tuning", arguments.tuning, "the controllers' operators' settings");
-  command.add_option("--out", arguments.table, "CSV file that rows are added to")->required();
+  command.add_option("--controller", arguments.program, "path of the controller program");
+  command.add_option("--tuning", arguments.tuning,
+                     "the operators' settings for the controllers (HCL)");
+  command.add_option("--out", arguments.table, "CSV file to append rows to")->required();
 }
 
 int run(int argc, char** argv) {
   CLI::App app{
-      "Measures controllers on this machine against hollow workers, users, a state service "
-      "and a cloud."};
+      "Load test: measures controllers on this machine against simulated workers, users, a state "
+      "service and a cloud."};
   app.require_subcommand(1);
   Arguments arguments;
   auto& sweep_command = *app.add_subcommand("sweep", "measure one quantity at several sizes");
   add_load_options(sweep_command, arguments);
-  sweep_command.add_option("quantity", arguments.quantity, "a field of the settings")->required();
-  sweep_command.add_option("values", arguments.values, "its values")->required();
-  sweep_command.add_flag("--resume", arguments.resume, "pass over what the CSV file has");
-  auto& faults_command =
-      *app.add_subcommand("faults", "end the leader and a follower, silence a zone, check rules");
+  sweep_command.add_option("quantity", arguments.quantity, "the settings field to vary")
+      ->required();
+  sweep_command.add_option("values", arguments.values, "the values of the field to measure")
+      ->required();
+  sweep_command.add_flag("--resume", arguments.resume, "skip values already in the CSV file");
+  auto& faults_command = *app.add_subcommand(
+      "faults", "kill the leader and a follower, silence the workers of a zone, check rules");
   add_load_options(faults_command, arguments);
-  auto& tables_command = *app.add_subcommand("tables", "measurements and fits as Markdown");
+  auto& tables_command = *app.add_subcommand("tables", "print measurements and fits as Markdown");
   tables_command.add_option("tables", arguments.tables, "CSV files")->required();
   auto& plot_command = *app.add_subcommand("plot", "draw a fit as SVG (needs gnuplot)");
   plot_command.add_option("table", arguments.table, "CSV file")->required();
--- a/apps/sumacquay/main.cpp
+++ b/apps/sumacquay/main.cpp
@@ -37,8 +37,8 @@
   std::string tuning_path;
   bool check_only = false;
   app.add_option("--config", settings_path, "the platform's settings (TOML)")->required();
-  app.add_option("--tuning", tuning_path, "the operators' own settings (HCL)");
-  app.add_flag("--check", check_only, "check the settings and end");
+  app.add_option("--tuning", tuning_path, "the operators' settings (HCL)");
+  app.add_flag("--check", check_only, "check the settings and exit");
   CLI11_PARSE(app, argc, argv);
   if (!configure_logging()) return kExitInvalidSettings;
   sumacquay::Settings settings = sumacquay::load_settings(settings_path);
--- a/src/config/socket_budget.cpp
+++ b/src/config/socket_budget.cpp
@@ -74,10 +74,10 @@
   if (budget.served_and_refused >= kMinServed) return;
   refuse_setting(source, kSocketLimitField,
                  "too few: " + std::to_string(settings.peers.size()) +
-                     " peers, the state service and the cloud take " +
-                     std::to_string(budget.fixed) + " and orders " +
-                     std::to_string(budget.worker_commands) + ", which leaves less than " +
-                     std::to_string(kMinServed) + " for workers");
+                     " peers, the state service and the cloud need " +
+                     std::to_string(budget.fixed) + " and worker commands " +
+                     std::to_string(budget.worker_commands) + ", which leaves fewer than " +
+                     std::to_string(kMinServed) + " for users and workers");
 }
 
 std::optional<std::string> cost_of_few_sockets(const Settings& settings) {
@@ -87,7 +87,7 @@
   return std::string(kSocketLimitField) + ": " + std::to_string(all_sockets(settings)) +
          " sockets are few for " + std::to_string(settings.peers.size()) + " peers: beyond " +
          std::to_string(budget.kept_open) +
-         " connections, users and workers connect anew for each request";
+         " open connections, users and workers must reconnect for each request";
 }
 
 }  // namespace sumacquay
