--- a/src/loadtest/controller_process.cpp
+++ b/src/loadtest/controller_process.cpp
@@ -20,12 +20,12 @@
   return "/proc/" + std::to_string(process) + "/" + file;
 }
 
-/// User and system time: the 14th and 15th fields of the process's line.
+/// User and system time: the 14th and 15th fields of /proc/PID/stat.
 double cpu_seconds(pid_t process) {
   std::ifstream file(proc_path(process, "stat"));
   std::string line;
   std::getline(file, line);
-  const auto name_end = line.rfind(')');  // the name may hold spaces
+  const auto name_end = line.rfind(')');  // the name may contain spaces
   if (name_end == std::string::npos) return 0;
   std::istringstream fields(line.substr(name_end + 1));
   constexpr int kFieldsBefore = 11;
@@ -84,7 +84,7 @@
   constexpr mode_t kOwnerOnly = 0600;
   posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, files_.log.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, kOwnerOnly);
-  // The thousands of sockets of this process are none of the controller's business.
+  // The controller must not inherit the thousands of sockets of this process.
   posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
   const int error =
       posix_spawn(&process_, files_.program.c_str(), &actions, nullptr, arguments.data(), environ);
--- a/src/loadtest/controller_process.h
+++ b/src/loadtest/controller_process.h
@@ -8,36 +8,37 @@
 
 namespace sumacquay::loadtest {
 
-/// What a process has used, as the system counts it.
+/// Resource usage of a process as reported by /proc.
 struct ProcessUsage {
   double cpu_s = 0;
-  double memory_mb = 0;  ///< resident at its highest
-  size_t sockets = 0;    ///< open files, nearly all of which are sockets
+  double memory_mb = 0;  ///< peak resident set size
+  size_t sockets = 0;    ///< open file descriptors, nearly all of them sockets
 };
 
-/// The usage of a process; zeros if it is gone.
+/// The usage of a process; zeros if the process does not exist.
 ProcessUsage usage_of(pid_t process);
 
-/// A controller that runs as a process of its own, from start to kill and start again.
+/// A controller in a child process, which can be killed and restarted.
 class ControllerProcess {
  public:
+  /// Paths of the program and its files.
   struct Files {
-    std::string program;   ///< the controller
-    std::string settings;  ///< its TOML file
-    std::string tuning;    ///< the operators' file
-    std::string log;       ///< where its standard error goes
+    std::string program;   ///< the controller's executable
+    std::string settings;  ///< platform's settings (TOML)
+    std::string tuning;    ///< operators' settings
+    std::string log;       ///< receives standard error
   };
   explicit ControllerProcess(std::string name, Files files);
   ControllerProcess(const ControllerProcess&) = delete;
   ControllerProcess(ControllerProcess&& other) noexcept;
   ~ControllerProcess();
 
-  /// Throws std::system_error if it can't be started.
+  /// Starts the process; throws std::system_error on failure.
   void start();
-  /// Ends it with no warning, as a crash would.
+  /// Sends SIGKILL, which simulates a crash, and reaps the process.
   void kill();
   bool running() const { return process_ > 0; }
-  /// Whether it has ended by itself since the start.
+  /// Whether the process has exited without `kill`; reaps it.
   bool ended_by_itself();
   const std::string& name() const { return name_; }
   ProcessUsage usage() const { return usage_of(process_); }
--- a/src/loadtest/controller_settings.cpp
+++ b/src/loadtest/controller_settings.cpp
@@ -37,7 +37,7 @@
 
 std::vector<TeamSettings> teams_of(const LoadSettings& settings) {
   constexpr double kGuaranteedShare = 0.5;
-  constexpr double kLimitShares = 3;  // a team may borrow what others leave
+  constexpr double kLimitShares = 3;  // teams may borrow unused capacity of other teams
   const auto capacity = static_cast<double>(settings.tasks());
   const double share = capacity / settings.teams;
   std::vector<TeamSettings> teams;
--- a/src/loadtest/controller_settings.h
+++ b/src/loadtest/controller_settings.h
@@ -7,7 +7,7 @@
 
 namespace sumacquay::loadtest {
 
-/// Where the parts of a deployment listen on this machine.
+/// Listen addresses of the processes and simulators of a deployment on this machine.
 struct Addresses {
   std::vector<Endpoint> controllers;  ///< for users and workers
   std::vector<Endpoint> peers;        ///< for the other controllers
@@ -20,7 +20,7 @@
 std::string zone_name(size_t zone);
 std::vector<TeamSettings> teams_of(const LoadSettings& settings);
 
-/// The platform's settings file of one controller.
+/// The content of the platform's settings file of one controller.
 std::string controller_toml(const LoadSettings& settings, size_t controller);
 
 }  // namespace sumacquay::loadtest
--- a/src/loadtest/fit.cpp
+++ b/src/loadtest/fit.cpp
@@ -8,6 +8,7 @@
 namespace sumacquay::loadtest {
 namespace {
 
+/// Logarithms of the coordinates of a point.
 struct LogPoint {
   double x = 0, y = 0;
 };
@@ -19,7 +20,7 @@
   return points;
 }
 
-/// What the page of capacity shows of each sweep.
+/// The columns that the report shows for each sweep.
 const std::vector<std::string>& shown_columns() {
   static const std::vector<std::string> names{
       "leader_cores",       "follower_cores", "leader_mb",          "follower_mb",
--- a/src/loadtest/fit.h
+++ b/src/loadtest/fit.h
@@ -6,25 +6,27 @@
 
 namespace sumacquay::loadtest {
 
-/// A power law y = factor * x^exponent through measured points, by least squares of the logarithms.
+/// Power-law fit y = factor * x^exponent by least squares on the logarithms.
 struct PowerFit {
   double factor = 0;
   double exponent = 0;
-  double residual = 0;       ///< root mean square of the logarithms' deviations
-  double last_exponent = 0;  ///< between the two largest points, where fixed costs matter least
+  double residual = 0;  ///< root mean square of the residuals of the logarithms
+  double last_exponent =
+      0;  ///< of the last two points, the largest in a sweep: least affected by fixed costs
   size_t points = 0;
 
   double at(double x) const;
 };
 
-/// None with fewer than two points above zero.
+/// Fits the points with positive coordinates, in ascending order of x. With fewer than two of them
+/// only `points` is set.
 PowerFit fit_power(const std::vector<double>& x, const std::vector<double>& y);
 
-/// The fit of one column over the rows of one quantity.
+/// The fit of one column to the rows of one quantity.
 PowerFit fit_column(const std::vector<Measurement>& rows, const std::string& quantity,
                     const Column& column);
 
-/// A Markdown table of the fits of all columns that follow a quantity, and one of the measurements.
+/// Markdown tables for each quantity: the measurements, and the fits of the reported columns.
 std::string fit_table(const std::vector<Measurement>& rows);
 
 }  // namespace sumacquay::loadtest
--- a/src/loadtest/load_settings.cpp
+++ b/src/loadtest/load_settings.cpp
@@ -8,7 +8,7 @@
 namespace sumacquay::loadtest {
 namespace {
 
-/// What a machine and what a task on it take in all processes together, measured.
+/// Measured memory usage over all processes, per machine, task and controller.
 constexpr double kBytesPerMachine = 160e3;
 constexpr double kBytesPerTask = 6e3;
 constexpr double kBytesPerController = 60e6;
--- a/src/loadtest/load_settings.h
+++ b/src/loadtest/load_settings.h
@@ -8,25 +8,25 @@
 
 namespace sumacquay::loadtest {
 
-/// The size of a deployment that is played on this machine, and the load on it. Numbers, so that a
-/// sweep can vary any of them. The operators' format (number_file.h) holds them.
+/// Size of a deployment simulated on this machine, and its load. All fields are numbers, so that a
+/// sweep can vary any of them. The file format is that of the operators' settings (number_file.h).
 struct LoadSettings {
   // The fleet.
   double machines = 100;
-  double tasks_per_machine = 4;  ///< each takes one GPU; machines have that many
+  double tasks_per_machine = 4;  ///< GPUs of a machine: each task uses one
   double controllers = 5;
   double zones = 5;
   double teams = 20;
-  // The work.
-  double low_share = 0.2;   ///< of all tasks: lowest priority, gives way to urgent work
-  double service_size = 8;  ///< replicas of a service, and tasks of a lowest-priority job
+  // The workload.
+  double low_share = 0.2;   ///< of all tasks: lowest priority, preemptible by urgent jobs
+  double service_size = 8;  ///< replicas of a service; tasks of a lowest-priority job
   double gang_size = 0;     ///< 0: no gangs
   double gang_share = 0.1;  ///< of all tasks, if there are gangs
-  double waiting_jobs = 0;  ///< jobs that find no room while the load is measured
-  double urgent_per_s = 1;  ///< jobs of one task that find no room unless others give way
+  double waiting_jobs = 0;  ///< jobs without capacity, pending during the measurement
+  double urgent_per_s = 1;  ///< one-task jobs that start only by preemption
   double urgent_run_s = 3;
-  double polls_per_s = 20;  ///< users' questions
-  // Times of the protocol.
+  double polls_per_s = 20;  ///< users' status requests
+  // Protocol intervals and timeouts.
   double heartbeat_period_s = 6;
   double lease_s = 31;
   double cancel_s = 51;
@@ -39,24 +39,24 @@
   double state_txn_ops = 24;
   double cloud_rps = 90;
   double controller_sockets = 12000;
-  double worker_sockets_per_machine = 3;  ///< of the simulators, for each machine
+  double worker_sockets_per_machine = 3;  ///< of the simulators' process, for each machine
   // Phases.
-  double fill_s = 120;  ///< for the load to run
-  double settle_s = 8;  ///< before it is measured
+  double fill_s = 120;  ///< timeout for all tasks to run
+  double settle_s = 8;  ///< pause before the measurement
   double measure_s = 15;
   double first_port = 21000;
 
   size_t tasks() const;
 };
 
-/// Every field with its name and range, in the order of the declaration.
+/// All fields with their names and ranges, in declaration order.
 std::vector<NumberField> fields_of(LoadSettings& settings);
 
-/// Reads a file; throws SettingsError.
+/// Reads a settings file; throws SettingsError if it is invalid.
 LoadSettings load_settings_file(const std::string& path);
 
-/// Throws SettingsError, which names the field, if this machine has no room for the deployment:
-/// half of its memory, and the sockets that a process may open.
+/// Throws SettingsError, which names the field, if the deployment needs more than half of this
+/// machine's memory or more sockets than a process may open.
 void check_fits_this_machine(const LoadSettings& settings, const std::string& source);
 
 }  // namespace sumacquay::loadtest
--- a/src/loadtest/load_test.cpp
+++ b/src/loadtest/load_test.cpp
@@ -17,11 +17,11 @@
 
 constexpr Seconds kStep = 0.02;
 constexpr Seconds kStartTimeout = 60;
-/// A controller that has ended is started again after this time.
+/// Delay before a killed controller is restarted.
 constexpr Seconds kRestartAfter = 8;
-/// How long a zone is silent / the workers' lease.
+/// Duration of a zone partition as a fraction of the workers' lease: no lease expires meanwhile.
 constexpr double kSilenceLeaseShare = 0.4;
-/// How long urgent work that was submitted in time is waited for.
+/// Timeout for the start of the urgent jobs that were submitted during the measurement.
 constexpr Seconds kUrgentPatience = 10;
 
 simulators::WorkerTimes times_of(const LoadSettings& settings) {
@@ -50,7 +50,8 @@
           nullptr};
 }
 
-/// What differs from the defaults: no machine is given back, since the size is what is measured.
+/// Operators' settings that differ from the defaults: no machine is released as idle, since the
+/// fleet must keep its size.
 constexpr const char* kTuning = "idle = 100\n";
 
 double share(double part, double whole) {
@@ -89,7 +90,7 @@
   controllers_.clear();
 }
 
-// ---------------------------------------------------------------- time
+// ---------------------------------------------------------------- event loop
 
 void LoadTest::run_for(Seconds span) {
   const Seconds end = steady_now() + span;
@@ -111,7 +112,7 @@
                                options_.directory);
 }
 
-// ---------------------------------------------------------------- start
+// ---------------------------------------------------------------- setup
 
 void LoadTest::start_controllers() {
   const std::string tuning = options_.directory + "/tuning.conf";
@@ -161,7 +162,7 @@
   run_until([&] { return users_->counts().accepted >= before + count; }, settings_.fill_s);
 }
 
-// ---------------------------------------------------------------- urgent work
+// ---------------------------------------------------------------- urgent jobs
 
 void LoadTest::begin_urgent(bool on) {
   urgent_on_ = on && settings_.urgent_per_s > 0;
@@ -202,7 +203,7 @@
   measurement.urgent_worst_s = waits.largest();
 }
 
-// ---------------------------------------------------------------- measuring
+// ---------------------------------------------------------------- measurement
 
 LoadTest::Snapshot LoadTest::snapshot() const {
   Snapshot out;
@@ -282,7 +283,7 @@
 Measurement LoadTest::measure_load() {
   Measurement filling;
   start_controllers();
-  run_for(2 * settings_.heartbeat_period_s);  // every worker finds the leader
+  run_for(2 * settings_.heartbeat_period_s);  // time for every worker to find the leader
   fill(filling);
   submit_waiting();
   users_->poll(settings_.polls_per_s);
--- a/src/loadtest/load_test.h
+++ b/src/loadtest/load_test.h
@@ -18,27 +18,29 @@
 
 namespace sumacquay::loadtest {
 
+/// Paths and extra settings of the controllers under test.
 struct LoadTestOptions {
-  std::string program;    ///< the controller
-  std::string directory;  ///< for settings and logs of the controllers
-  std::string tuning;     ///< further lines of the operators' file
+  std::string program;    ///< the controller's executable
+  std::string directory;  ///< settings and logs of the controllers
+  std::string tuning;     ///< additional lines of the operators' settings
 };
 
-/// One deployment on loopback from start to end: real controllers as processes of their own, and in
-/// this process the state service, the cloud, simulated workers and users.
+/// One trial of a deployment on loopback: real controllers in child processes, and in this process
+/// the simulated key-value store, cloud, workers and users.
 class LoadTest {
  public:
   LoadTest(const LoadSettings& settings, LoadTestOptions options);
   ~LoadTest();
 
-  /// Puts the load on and measures it.
+  /// Starts the controllers, fills the fleet with tasks and measures the steady state.
   Measurement measure_load();
-  /// After `measure_load`: ends the leader, then a follower, then silences a zone, and measures
-  /// each time what urgent work notices.
+  /// Requires `measure_load`. Kills the leader, then a follower, then partitions a zone, and
+  /// measures the effect of each fault on urgent jobs.
   std::vector<Measurement> measure_faults();
   const std::vector<std::string>& violations() const { return checker_.violations(); }
 
  private:
+  /// Counters and resource usage at one time; rates are computed from two of them.
   struct Snapshot {
     Seconds at = 0;
     std::vector<ProcessUsage> controllers;
@@ -63,7 +65,7 @@
   Measurement zone_silent();
   void run_for(Seconds span);
   bool run_until(const std::function<bool()>& reached, Seconds most);
-  /// Which controller leads, by the record in the state service.
+  /// The index of the running controller that the leader record in the key-value store names.
   std::optional<size_t> leader() const;
   void on_task_running(const std::string& id);
   void require_running();
--- a/src/loadtest/quantiles.h
+++ b/src/loadtest/quantiles.h
@@ -5,18 +5,18 @@
 
 namespace sumacquay::loadtest {
 
-/// Quantiles of times that were measured, as prometheus-cpp's summary keeps them, and the largest.
+/// Streaming quantile estimates of observed values by prometheus-cpp's summary, and the maximum.
 class Quantiles {
  public:
   void observe(double value);
-  /// One of 0.5, 0.9 and 0.99; NaN without observations.
+  /// The estimate for 0.5, 0.9 or 0.99; NaN without observations or for other quantiles.
   double quantile(double which) const;
   double largest() const { return largest_; }
   size_t count() const { return count_; }
 
  private:
   static prometheus::Summary::Quantiles requested();
-  /// Longer than any trial: nothing is forgotten.
+  /// Longer than any trial, so that no observation ages out of the summary.
   static constexpr std::chrono::hours kKept{24};
 
   prometheus::Summary summary_{requested(), kKept, 1};
--- a/src/loadtest/sweep.cpp
+++ b/src/loadtest/sweep.cpp
@@ -40,7 +40,7 @@
   refuse_setting("plot", name, "is no column");
 }
 
-/// Runs gnuplot on a script; throws if it isn't there or refuses it.
+/// Runs gnuplot on a script; throws if gnuplot can't be started or fails.
 void run_gnuplot(const std::string& script) {
   std::array<std::string, 2> words{"gnuplot", script};
   std::array<char*, 3> arguments{words[0].data(), words[1].data(), nullptr};
--- a/src/loadtest/sweep.h
+++ b/src/loadtest/sweep.h
@@ -8,25 +8,25 @@
 
 namespace sumacquay::loadtest {
 
-/// One quantity of the settings and the values that it is given in turn.
+/// A setting to vary and its values, one trial each.
 struct SweepPlan {
   std::string quantity;
   std::vector<double> values;
 };
 
-/// Throws SettingsError if there is no such quantity, or a point doesn't fit this machine.
+/// Throws SettingsError if there is no such setting, a value is out of range, or a point needs more
+/// resources than this machine has.
 void check_plan(const SweepPlan& plan, const LoadSettings& base, const std::string& source);
 
-/// Measures the points one after the other and appends each to the table as soon as it is there, so
-/// that an interrupted sweep keeps what it has. With `resume` points that the table has are passed
-/// over.
+/// Measures the points one after another and appends each row as soon as it is measured, so that an
+/// interrupted sweep keeps its results. With `resume` points already in the table are skipped.
 void run_sweep(const SweepPlan& plan, const LoadSettings& base, const LoadTestOptions& options,
                const std::string& table, bool resume);
 
-/// Appends rows to a table, with a header if it is new.
+/// Appends rows to a CSV table; writes the header first if the file is new or empty.
 void append_rows(const std::string& table, const std::vector<Measurement>& rows);
 
-/// Draws a column over a quantity with its fit as an SVG file, by gnuplot.
+/// Plots a column and its power-law fit against a quantity as an SVG file, using gnuplot.
 void draw_plot(const std::vector<Measurement>& rows, const std::string& quantity,
                const std::string& column, const std::string& file);
 
--- a/src/loadtest/workload.h
+++ b/src/loadtest/workload.h
@@ -7,16 +7,17 @@
 
 namespace sumacquay::loadtest {
 
-/// Makes the jobs of a trial, each with an id of its own. Teams take turns.
+/// Generates the jobs of a trial with unique ids, assigned to the teams in round-robin order.
 class Workload {
  public:
   explicit Workload(const LoadSettings& settings) : settings_(settings) {}
 
-  /// Jobs that take up the whole fleet: services, gangs, and work that gives way.
+  /// Jobs that occupy the whole fleet: services, gangs and preemptible low-priority jobs.
   std::vector<simulators::SubmittedJob> filling();
-  /// A job of one task that finds no room: of the lowest priority, so that nothing gives way to it.
+  /// A one-task job that stays pending on a full fleet: its priority is the lowest, so that it
+  /// can't preempt any task.
   simulators::SubmittedJob waiting();
-  /// A job of one task that goes before everything that gives way.
+  /// A one-task job that may preempt the low-priority jobs.
   simulators::SubmittedJob urgent();
 
  private:
@@ -26,7 +27,7 @@
   size_t jobs_ = 0;
 };
 
-/// The one type of machine that a trial rents out.
+/// The only machine type of a trial's cloud.
 MachineType machine_type_of(const LoadSettings& settings);
 
 }  // namespace sumacquay::loadtest
--- a/src/simulators/cloud_server.h
+++ b/src/simulators/cloud_server.h
@@ -11,36 +11,39 @@
 
 namespace sumacquay::simulators {
 
-/// What the simulator of the cloud rents out and allows.
+/// Machine types and limits of the simulated cloud.
 struct CloudOptions {
   std::vector<MachineType> types;
   double requests_per_s = 12;
   Seconds list_lag_s = 8;
-  Seconds latency_s = 0.1;   ///< before each answer
-  size_t most_machines = 0;  ///< of all types and zones together
+  Seconds latency_s = 0.1;   ///< delay of each response
+  size_t most_machines = 0;  ///< over all types and zones
 };
 
+/// Counters of the simulated cloud since its start.
 struct CloudCounts {
   uint64_t requests = 0;
-  uint64_t refused = 0;  ///< answered 429
-  uint64_t rented = 0;   ///< machines
-  uint64_t released = 0;
+  uint64_t refused = 0;   ///< rate limited: answered 429
+  uint64_t rented = 0;    ///< machines provisioned by scale-out requests
+  uint64_t released = 0;  ///< machines
 };
 
-/// A simulator of the cloud on loopback: it boots simulated workers and takes them back, and its
-/// list of machines lags as the protocol says.
+/// HTTP server on loopback that simulates the cloud: it provisions machines with simulated workers
+/// and releases them. Its list of machines is eventually consistent: it shows the state of
+/// `list_lag_s` ago.
 class CloudServer {
  public:
   CloudServer(asio::io_context& io, const Endpoint& at, CloudOptions options,
               SimulatedFleet& fleet);
 
-  /// A machine that is there from the start.
+  /// Adds a machine that is already running and listed; returns its id.
   std::string add_running(const MachineKind& kind);
-  /// A machine that stops by itself, with all that is on it.
+  /// Fails a machine: its worker and tasks are lost, and the cloud lists it as failed.
   void fail(const std::string& id);
   const CloudCounts& counts() const { return counts_; }
 
  private:
+  /// A provisioned machine; released ones are kept, since the list lags.
   struct Rented {
     MachineKind kind;
     Seconds rented_at = 0, up_at = 0;
--- a/src/simulators/job_book.h
+++ b/src/simulators/job_book.h
@@ -8,22 +8,24 @@
 
 namespace sumacquay::simulators {
 
-/// A job as its user knows it, and what really happened to it, whatever any controller believes.
+/// A submitted job with the times that its user observed and the progress that the simulated
+/// workers observed, independent of the state of any controller.
 struct SubmittedJob {
   JobSpec spec;
-  Seconds run_s = 0;                    ///< how long a task of an array or a gang runs
+  Seconds run_s = 0;                    ///< run time of a task of an array or a gang
   std::optional<Seconds> submitted_at;  ///< the first attempt to submit it
   std::optional<Seconds> accepted_at;
-  std::optional<Seconds> began_at;  ///< when the first of its tasks ran
+  std::optional<Seconds> began_at;  ///< start of its first running task
   std::optional<Seconds> cancel_asked_at;
-  std::optional<Seconds> cancelled_at;  ///< when its user was told so
+  std::optional<Seconds> cancelled_at;  ///< confirmation of the cancellation to the user
   std::optional<Seconds> told_done_at;
-  std::set<uint32_t> done;
+  std::set<uint32_t> done;  ///< completed tasks
 
   bool complete() const { return done.size() >= spec.tasks; }
 };
 
-/// All jobs by their ids. Workers look descriptions up here, as they would fetch them from users.
+/// All submitted jobs by id. Simulated workers read job specs here, as real workers would get them
+/// from users.
 using JobBook = std::map<std::string, SubmittedJob>;
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/key_value_store.h
+++ b/src/simulators/key_value_store.h
@@ -14,14 +14,16 @@
 
 namespace sumacquay::simulators {
 
-/// The state service without I/O: keys with versions, guarded transactions, leases and the log of
-/// changes. `Value` is whatever a key holds. Limits on requests and faults are its callers' matter.
+/// In-memory model of the key-value store, without I/O: versioned keys, compare-and-swap
+/// transactions, leases and a change log. `Value` is the type of the stored values. Rate limits and
+/// faults are simulated by the callers.
 template <class Value>
 class KeyValueStore {
  public:
+  /// A put or delete of a key; also the current item of a key.
   struct Change {
     std::string key;
-    std::shared_ptr<const Value> value;  ///< null: the key is deleted
+    std::shared_ptr<const Value> value;  ///< null if the change deletes the key
     uint64_t version = 0;
     uint64_t lease = 0;
 
@@ -37,13 +39,13 @@
     return item ? item->version : 0;
   }
 
-  /// A key's item, null if there is no such key.
+  /// The item of a key; null if the key does not exist.
   const Change* find(const std::string& key) const {
     const auto item = items_.find(key);
     return item == items_.end() ? nullptr : &item->second;
   }
 
-  /// All items in the order of their keys.
+  /// All items, ordered by key.
   const std::map<std::string, Change>& items() const { return items_; }
   std::vector<Change> all() const {
     std::vector<Change> out;
@@ -53,14 +55,14 @@
 
   uint64_t revision() const { return revision_; }
 
-  /// Whether all leases that the changes name are alive.
+  /// Whether none of the leases attached to the changes has expired or been revoked.
   bool leases_alive(const std::vector<Change>& changes) const {
     return std::all_of(changes.begin(), changes.end(), [this](const Change& change) {
       return change.lease == 0 || leases_.contains(change.lease);
     });
   }
 
-  /// The keys whose versions are not the guarded ones.
+  /// The keys whose versions differ from their preconditions.
   std::vector<std::string> failed_preconditions(
       const std::vector<wire::Precondition>& preconditions) const {
     std::vector<std::string> failed;
@@ -69,7 +71,8 @@
     return failed;
   }
 
-  /// The revision, none if a guard fails or a lease has ended.
+  /// Applies the changes atomically and returns the new revision; none if a precondition fails or a
+  /// lease has expired or been revoked. Without changes the revision stays the same.
   std::optional<uint64_t> compare_and_swap(const std::vector<wire::Precondition>& preconditions,
                                            std::vector<Change> changes) {
     if (!leases_alive(changes) || !failed_preconditions(preconditions).empty()) return std::nullopt;
@@ -79,7 +82,7 @@
     return revision_;
   }
 
-  /// Changes after a revision; the log has to reach back that far.
+  /// The changes after a revision. Requires `log_reaches(revision)`.
   std::vector<Change> changes_after(uint64_t revision) const {
     const auto from = std::upper_bound(
         log_.begin(), log_.end(), revision,
@@ -87,10 +90,10 @@
     return {from, log_.end()};
   }
 
-  /// Whether no change after the revision has been dropped from the log.
+  /// Whether the log still holds all changes after the revision.
   bool log_reaches(uint64_t revision) const { return revision >= dropped_up_to_; }
 
-  /// Keeps the last changes alone.
+  /// Drops the oldest changes until the log holds at most `most`.
   void trim_log(size_t most) {
     while (log_.size() > most) {
       dropped_up_to_ = log_.front().version;
@@ -103,7 +106,7 @@
     return last_lease_;
   }
 
-  /// False: the lease has ended.
+  /// Extends a lease by its full duration; false if it has expired or been revoked.
   bool renew(uint64_t lease, Seconds now) {
     const auto held = leases_.find(lease);
     if (held == leases_.end()) return false;
@@ -128,15 +131,17 @@
     for (const auto id : ended) revoke(id);
   }
 
-  /// After an outage every lease starts anew.
+  /// Restarts all leases with their full duration, as the store does after an outage.
   void restart_leases(Seconds now) {
     for (auto& [id, lease] : leases_) lease.ends_at = now + lease.duration;
   }
 
  private:
-  /// How long past its end a lease is kept: never less, and up to 100 ms more.
+  /// Delay between the end of a lease and its expiry: a lease never expires early, and at most
+  /// 100 ms late.
   static constexpr Seconds kLeaseSlack = 0.05;
 
+  /// A granted lease.
   struct Lease {
     Seconds ends_at = 0;
     Seconds duration = 0;
--- a/src/simulators/messages.cpp
+++ b/src/simulators/messages.cpp
@@ -111,7 +111,7 @@
   return transaction;
 }
 
-/// `buffer` is the one that the packer packs into: the value is encoded already.
+/// Writes an encoded value. `buffer` is the buffer of the packer: the bytes bypass the packer.
 void pack_value(Buffer& buffer, Packer& packer, const std::string& value) {
   pack_text(packer, field::kValue);
   buffer.write(value.data(), value.size());
--- a/src/simulators/messages.h
+++ b/src/simulators/messages.h
@@ -10,30 +10,30 @@
 #include "wire/store_messages.h"
 #include "wire/user_messages.h"
 
-/// The other side of the platform's messages: what workers, users, the cloud and the state service
-/// send and read. The simulators call it; src/wire holds the controllers' side.
+/// Codec of the messages as workers, users, the cloud and the key-value store write and read them.
+/// Used by the simulators; src/wire holds the controllers' side.
 namespace sumacquay::simulators {
 
 // Workers.
 
 std::string worker_heartbeat_body(const WorkerHeartbeat& heartbeat);
 
-/// What a controller tells a worker, in the answer to a heartbeat or as commands.
+/// Commands of the leader to a worker, from a heartbeat response or a command request.
 struct WorkerCommands {
   uint64_t fencing_token = 0;
-  uint64_t agent_epoch = 0;  ///< of commands alone
+  uint64_t agent_epoch = 0;  ///< set in command requests only
   std::vector<Command> commands;
 };
-/// None without a fencing token, or if a command is invalid.
+/// Returns none if the fencing token is missing or a command is invalid.
 std::optional<WorkerCommands> parse_worker_commands(std::string_view body);
-/// The controller that a redirected worker is to report to; empty if it isn't named.
+/// The controller that a redirect response names; empty if it names none.
 std::string parse_redirect(std::string_view body);
 
 // Users.
 
 std::string submission_body(const JobSpec& spec);
 
-/// A job's state as a user is told it.
+/// State and progress of a job as reported to its user.
 struct JobStatus {
   wire::UserVisibleState state = wire::UserVisibleState::Pending;
   uint32_t done = 0;
@@ -41,15 +41,17 @@
 };
 std::optional<JobStatus> parse_job_status(std::string_view body);
 
-// The state service.
+// The key-value store.
 
-/// A value as it stands in a transaction: its bytes are kept as they are.
+/// A mutation, change or item of the key-value store. The value is kept as encoded bytes, without
+/// decoding.
 struct StoredChange {
   std::string key;
-  std::string value;  ///< encoded; empty: delete
+  std::string value;  ///< encoded; empty if the key is deleted
   uint64_t lease = 0;
   uint64_t version = 0;
 };
+/// A compare-and-swap transaction.
 struct StoreTransaction {
   std::vector<wire::Precondition> preconditions;
   std::vector<StoredChange> mutations;
@@ -68,8 +70,9 @@
 std::string types_body(const std::vector<MachineType>& types);
 std::string machines_body(const std::vector<ListedMachine>& machines, bool more);
 
+/// A scale-out request.
 struct RentRequest {
-  std::string request, type, zone;
+  std::string request, type, zone;  ///< `request` is the idempotency key
   bool spot = false;
   uint64_t count = 0;
 };
@@ -77,7 +80,7 @@
 std::string rented_body(const std::vector<std::string>& machines);
 std::optional<std::vector<std::string>> parse_release(std::string_view body);
 
-/// The value of a field in a query, empty if it isn't there.
+/// The value of a query parameter; empty if it is missing.
 std::string query_field(const std::string& query, std::string_view name);
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/rate_limit.h
+++ b/src/simulators/rate_limit.h
@@ -5,14 +5,14 @@
 
 namespace sumacquay::simulators {
 
-/// A limit on requests a second that allows bursts, as the state service and the cloud have.
+/// Token-bucket rate limit, as the key-value store and the cloud apply to requests.
 class RateLimit {
  public:
-  /// `burst_s`: a burst takes as many requests at once as are allowed in this time.
+  /// The capacity of the bucket is the number of tokens added in `burst_s`.
   RateLimit(double per_s, Seconds burst_s)
       : per_s_(per_s), most_(per_s * burst_s), level_(per_s * burst_s) {}
 
-  /// Takes so many at once; false, and none is taken, if they are not there.
+  /// Takes `count` tokens; returns false and takes none if fewer are available.
   bool take(double count, Seconds now) {
     if (last_ > 0) level_ = std::min(most_, level_ + per_s_ * (now - last_));
     last_ = now;
--- a/src/simulators/rule_checker.cpp
+++ b/src/simulators/rule_checker.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr size_t kMostViolations = 50;
-/// Sums of decimals are not exact.
+/// Tolerance for rounding errors in sums of resources.
 constexpr double kSlack = 1e-6;
 
 std::string text_of(const TaskKey& key) {
--- a/src/simulators/rule_checker.h
+++ b/src/simulators/rule_checker.h
@@ -10,35 +10,41 @@
 
 namespace sumacquay::simulators {
 
-/// Judges a deployment by what its workers run and what its users are told, and never looks into a
-/// controller. It counts as things happen, so that thousands of machines cost it no more than what
-/// changes on them.
+/// Checks the scheduler's invariants from the tasks on the workers and the answers to the users,
+/// without access to the state of a controller. The checks are incremental: their cost depends on
+/// the number of changes, not on the number of machines.
 class RuleChecker {
  public:
   RuleChecker(const std::vector<TeamSettings>& teams, Seconds cancel_s, JobBook& jobs);
 
-  /// A start has been carried out on a worker: the task is there from now on.
+  /// Records that a worker has started a task attempt, and checks uniqueness, quota and placement.
   void task_arrived(const WorkerState& worker, const TaskKey& key, Seconds now);
-  /// A task that was there is gone, or its whole machine is.
+  /// Records that a task has left a worker: it exited, the agent epoch ended, or the machine is
+  /// gone.
   void task_left(const WorkerState& worker, const TaskKey& key);
-  /// A user was told how a job stands.
+  /// Checks an answer to a user that reports the job done.
   void user_told_done(const std::string& id, Seconds now);
+  /// Checks an answer to a user that reports the job cancelled.
   void user_told_cancelled(const std::string& id, Seconds now);
+  /// Checks an answer to a user that reports the job pending or running. `asked_at` is the time of
+  /// the request: answers sent before a final state was reported are valid.
   void user_told_unfinished(const std::string& id, Seconds asked_at);
-  /// A user was told that there is no such job, though it had been accepted.
+  /// Records a violation: an accepted job was reported as unknown.
   void user_told_unknown(const std::string& id, Seconds now);
-  /// Looks for tasks of cancelled jobs that are still on a machine.
+  /// Checks that no task of a cancelled job remains on a machine `cancel_s` after the confirmation.
   void check_cancelled(Seconds now);
 
   const std::vector<std::string>& violations() const { return violations_; }
   size_t starts() const { return starts_; }
-  /// Tasks that are on machines.
+  /// The number of tasks on machines.
   size_t present() const { return present_.size(); }
 
  private:
+  /// The machine of a task.
   struct Place {
     std::string machine, zone;
   };
+  /// The tasks of a job that are on machines.
   struct JobPlaces {
     std::map<std::string, uint32_t> by_zone;
     size_t tasks = 0;
--- a/src/simulators/simulated_fleet.cpp
+++ b/src/simulators/simulated_fleet.cpp
@@ -9,7 +9,7 @@
 namespace sumacquay::simulators {
 namespace {
 
-/// Workers listen on 127.16.0.1 and on, so that each has an address of its own.
+/// Workers listen on consecutive loopback addresses from 127.16.0.1, one address each.
 constexpr uint64_t kFirstNetwork = 16;
 constexpr uint64_t kHostsPerNetwork = 250;
 constexpr uint64_t kNetworksPerBlock = 250;
--- a/src/simulators/simulated_fleet.h
+++ b/src/simulators/simulated_fleet.h
@@ -9,39 +9,41 @@
 
 namespace sumacquay::simulators {
 
-/// What a machine is rented as.
+/// Type, zone and price class of a machine.
 struct MachineKind {
   std::string type, zone;
   bool spot = false;
 };
 
-/// All simulated workers of a deployment, the gangs that span them, and what goes wrong with them.
+/// The simulated workers of a deployment. It coordinates the gangs that span them and injects
+/// faults.
 class SimulatedFleet {
  public:
-  /// `port`: of all workers, each on a loopback address of its own.
+  /// All workers listen on `port`, each on its own loopback address.
   SimulatedFleet(WorkerContext& context, unsigned short port);
 
-  /// A machine whose worker is up; returns its name.
+  /// Adds a machine with a running worker; returns its id.
   std::string add(const MachineKind& kind, const std::string& id);
-  /// The machine is gone with all that is on it.
+  /// Removes a machine with its worker and all its tasks.
   void remove(const std::string& id);
   bool contains(const std::string& id) const { return workers_.contains(id); }
   size_t size() const { return workers_.size(); }
   std::vector<std::string> ids() const;
-  /// The name of the next machine: names are in the order of creation.
+  /// Allocates the id of the next machine. Ids sort in the order of creation.
   std::string next_id();
   std::string address_of(const std::string& id) const;
 
-  /// The workers of a zone exchange nothing with any controller until they are let back.
+  /// Partitions the workers of a zone from all controllers, or ends the partition.
   void set_zone_silent(const std::string& zone, bool silent);
 
  private:
+  /// An attempt of a gang.
   struct Gang {
-    std::map<TaskKey, std::string> ready;  ///< tasks that have their images, and their machines
+    std::map<TaskKey, std::string> ready;  ///< machines of the tasks that have fetched their images
     bool running = false;
     bool broken = false;
   };
-  using GangAttempt = std::pair<std::string, uint64_t>;  ///< the job and its attempt
+  using GangAttempt = std::pair<std::string, uint64_t>;  ///< job id and attempt
 
   void on_gang_task_ready(const std::string& machine, const TaskKey& key, uint64_t attempt);
   void on_gang_task_gone(const TaskKey& key, uint64_t attempt);
--- a/src/simulators/simulated_worker.cpp
+++ b/src/simulators/simulated_worker.cpp
@@ -10,18 +10,18 @@
 namespace sumacquay::simulators {
 namespace {
 
-/// How long a worker waits for the answer to a heartbeat.
+/// Timeout of a heartbeat request.
 constexpr Seconds kAnswerTimeout = 4;
-/// When a worker reports to the next controller after one did not answer or sent it away.
+/// Delay of the heartbeat to the next controller after a failure or an unusable redirect.
 constexpr Seconds kNextControllerDelay = 1;
-/// The shortest time between two reports.
+/// Shortest interval between two heartbeats.
 constexpr Seconds kLeastPause = 0.5;
 constexpr double kHeartbeatEarly = 0.75;
 constexpr double kHeartbeatLate = 1.25;
 constexpr size_t kMaxCommandConnections = 8;
 constexpr size_t kHeartbeatConnections = 1;
 constexpr size_t kQueuedHeartbeats = 2;
-/// Bytes of an HTTP head as both sides write it, for the count of bytes.
+/// Estimated size of the HTTP headers of a message, for the byte counters.
 constexpr uint64_t kHeadBytes = 110;
 
 constexpr int kOk = 200;
@@ -29,7 +29,7 @@
 constexpr int kConflict = 409;
 constexpr int kMisdirected = 421;
 
-/// Later than anything that happens.
+/// Later than any event of a trial.
 constexpr Seconds kFarFuture = 1e12;
 
 HttpLimits command_limits() {
@@ -73,7 +73,7 @@
   if (silent) server_->close_all();
 }
 
-// ---------------------------------------------------------------- time
+// ---------------------------------------------------------------- timer
 
 void SimulatedWorker::wake_later() {
   Seconds next = heartbeat_in_flight_ ? kFarFuture : next_heartbeat_;
@@ -205,7 +205,7 @@
   heartbeat_soon(now);
 }
 
-// ---------------------------------------------------------------- reports
+// ---------------------------------------------------------------- heartbeats
 
 void SimulatedWorker::heartbeat_soon(Seconds now) {
   next_heartbeat_ = std::min(next_heartbeat_, std::max(now, last_heartbeat_ + kLeastPause));
@@ -246,7 +246,7 @@
   wake_later();
 }
 
-/// A 200 renews the lease, unless its fencing token is older than one that was seen.
+/// A 200 response renews the lease unless its fencing token is older than the newest one seen.
 void SimulatedWorker::hear_leader(const std::string& body, Seconds sent_at, Seconds now) {
   const auto worker_commands = parse_worker_commands(body);
   if (!worker_commands || worker_commands->fencing_token < state_.fencing_token) return;
@@ -273,10 +273,10 @@
   next_heartbeat_ = now + kNextControllerDelay;
 }
 
-// ---------------------------------------------------------------- orders
+// ---------------------------------------------------------------- commands
 
 void SimulatedWorker::on_commands(const HttpRequest& request, const Respond& respond) {
-  if (silent_) return;  // the controller waits until it gives up
+  if (silent_) return;  // the controller's request times out
   ++context_.counts.worker_commands;
   context_.counts.bytes_in += request.body.size() + kHeadBytes;
   const auto worker_commands = parse_worker_commands(request.body);
--- a/src/simulators/simulated_worker.h
+++ b/src/simulators/simulated_worker.h
@@ -15,26 +15,26 @@
 
 namespace sumacquay::simulators {
 
-/// Times of the protocol that a worker keeps to.
+/// Protocol intervals and timeouts of a worker.
 struct WorkerTimes {
   Seconds heartbeat_period_s = 4;
   Seconds lease_s = 22;
-  Seconds fetch_s = 0.5;  ///< to have a task's image
-  Seconds gang_wait_s = 30;
-  Seconds gang_peer_s = 5;
+  Seconds fetch_s = 0.5;     ///< mean time to fetch a task's image
+  Seconds gang_wait_s = 30;  ///< timeout of a task that waits for the rest of its gang
+  Seconds gang_peer_s = 5;   ///< delay before the other tasks of a gang exit when one is lost
 };
 
-/// What workers said and were told since the start.
+/// Message counters of all workers since the start.
 struct WorkerCounts {
   uint64_t heartbeats = 0;               ///< sent
-  uint64_t heartbeats_answered = 0;      ///< by a 200
-  uint64_t redirects = 0;                ///< answers that named another controller
-  uint64_t worker_commands = 0;          ///< received straight from the leader
-  uint64_t bytes_out = 0, bytes_in = 0;  ///< bodies and heads of both directions
-  uint64_t leases_lost = 0;
+  uint64_t heartbeats_answered = 0;      ///< with a 200 that renewed the lease
+  uint64_t redirects = 0;                ///< responses with status 421
+  uint64_t worker_commands = 0;          ///< command requests received
+  uint64_t bytes_out = 0, bytes_in = 0;  ///< bodies and estimated headers
+  uint64_t leases_lost = 0;              ///< leases that expired
 };
 
-/// What all simulated workers share.
+/// State and callbacks shared by all simulated workers.
 struct WorkerContext {
   asio::io_context& io;
   std::vector<std::string> controller_names;
@@ -44,29 +44,33 @@
   RuleChecker& checker;
   WorkerCounts counts;
   std::mt19937_64 random;
+  /// Called when a task starts to run.
   std::function<void(const std::string& job)> task_running;
+  /// Called when a task of a gang has fetched its image and waits for the rest of the gang.
   std::function<void(const std::string& machine, const TaskKey& key, uint64_t attempt)>
       gang_task_ready;
+  /// Called when a task has exited without success or its worker's lease has expired.
   std::function<void(const TaskKey& key, uint64_t attempt)> gang_task_gone;
 };
 
-/// A worker of the protocol that runs nothing: it keeps the connections, reports, leases and tasks
-/// of a real one, and its tasks only wait. Thousands share one process and one thread.
+/// A worker that speaks the full protocol but executes no workload: it has the connections,
+/// heartbeats, lease and task states of a real worker, and its tasks are timers. Thousands of them
+/// share one thread.
 class SimulatedWorker {
  public:
   SimulatedWorker(WorkerContext& context, WorkerState state, const Endpoint& listen);
   SimulatedWorker(const SimulatedWorker&) = delete;
   ~SimulatedWorker();
 
-  /// Begins to report, at a random moment of the first heartbeat period.
+  /// Schedules the first heartbeat at a random time within one heartbeat period.
   void start();
-  /// Whether it exchanges anything with controllers.
+  /// Partitions the worker from all controllers, or ends the partition.
   void set_silent(bool silent);
   const WorkerState& state() const { return state_; }
 
-  /// All tasks of the gang's attempt have their images: the one here runs for so long.
+  /// Starts a waiting task of a gang once all tasks of the attempt have fetched their images.
   void run_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s);
-  /// Another task of the gang is gone.
+  /// Ends a task of a gang because another task of the attempt was lost.
   void end_gang_task(const TaskKey& key, uint64_t attempt, ExitCause cause);
 
  private:
--- a/src/simulators/state_server.h
+++ b/src/simulators/state_server.h
@@ -11,35 +11,36 @@
 
 namespace sumacquay::simulators {
 
-/// What the simulator of the state service allows, as the protocol tells it.
+/// Rate limits and latency of the simulated key-value store.
 struct StateServerOptions {
   double requests_per_s = 1000;
   double writes_per_s = 120;
-  Seconds latency_s = 0.005;  ///< before each answer
+  Seconds latency_s = 0.005;  ///< delay of each response
 };
 
-/// What it was asked for since it started.
+/// Counters of the simulated key-value store since its start.
 struct StateServerCounts {
   uint64_t requests = 0;
-  uint64_t writes = 0;   ///< puts and deletes
-  uint64_t refused = 0;  ///< answered 429
-  uint64_t bytes_in = 0, bytes_out = 0;
+  uint64_t writes = 0;                   ///< puts and deletes
+  uint64_t refused = 0;                  ///< rate limited: answered 429
+  uint64_t bytes_in = 0, bytes_out = 0;  ///< bodies only
 };
 
-/// A simulator of the state service on loopback: keys, pages, transactions, leases and watches of
-/// the protocol, with its limits. It keeps everything in memory and answers any number of
-/// controllers.
+/// HTTP server on loopback that simulates the key-value store, with its rate limits: reads, paged
+/// lists, transactions, leases and watches. All data is kept in memory; any number of controllers
+/// may connect.
 class StateServer {
  public:
   StateServer(asio::io_context& io, const Endpoint& at, StateServerOptions options);
 
   const StateServerCounts& counts() const { return counts_; }
-  /// The encoded value of a key, none if there is no such key.
+  /// The encoded value of a key; none if the key does not exist.
   std::optional<std::string> value(const std::string& key) const;
   size_t keys() const { return store_.items().size(); }
 
  private:
   using Store = KeyValueStore<std::string>;
+  /// A pending request for the changes after a revision.
   struct Watch {
     std::string prefix;
     uint64_t after = 0;
--- a/src/simulators/users.cpp
+++ b/src/simulators/users.cpp
@@ -11,7 +11,7 @@
 
 constexpr size_t kConnectionsEach = 20;
 constexpr size_t kQueuedEach = 100000;
-/// How long users wait for an answer, and before they repeat what got none.
+/// Request timeouts, and the delay before a failed request is retried.
 constexpr Seconds kSubmissionTimeout = 5;
 constexpr Seconds kQuestionTimeout = 2;
 constexpr Seconds kRepeatAfter = 1;
--- a/src/simulators/users.h
+++ b/src/simulators/users.h
@@ -12,26 +12,27 @@
 
 namespace sumacquay::simulators {
 
+/// Request counters of the simulated users.
 struct UserCounts {
   uint64_t requests = 0;
-  uint64_t unanswered = 0;  ///< no answer at all
-  uint64_t refused = 0;     ///< answered, but neither accepted nor told
-  uint64_t accepted = 0;
+  uint64_t unanswered = 0;  ///< timeouts and connection errors
+  uint64_t refused = 0;     ///< responses with an error status or without a valid body
+  uint64_t accepted = 0;    ///< submissions
 };
 
-/// Users who submit jobs to the controllers in turn, repeat what isn't answered, ask about their
-/// jobs every few seconds, and cancel some.
+/// Simulated users. They send submissions, cancellations and status requests to the controllers in
+/// round-robin order, and retry submissions and cancellations until they are confirmed.
 class Users {
  public:
   Users(asio::io_context& io, const std::vector<Endpoint>& controllers, JobBook& jobs,
         RuleChecker& checker);
   ~Users();
 
-  /// Submits a job until it is accepted. `accepted` hears how long that took.
+  /// Submits a job and retries until it is accepted; then calls `accepted` with the elapsed time.
   void submit(const SubmittedJob& job, const std::function<void(Seconds)>& accepted = nullptr);
-  /// Cancels a job until that is confirmed.
+  /// Cancels a job and retries until a controller answers with the job's state.
   void cancel(const std::string& id);
-  /// Asks about this many jobs a second that are not over, in turn.
+  /// Sends status requests for the accepted jobs in round-robin order, at most `per_s` per second.
   void poll(double per_s);
   const UserCounts& counts() const { return counts_; }
 
--- a/src/simulators/worker_state.h
+++ b/src/simulators/worker_state.h
@@ -8,39 +8,39 @@
 
 namespace sumacquay::simulators {
 
-/// A start of a task as its worker has it.
+/// State of a task attempt on its worker.
 struct WorkerTask {
   uint64_t attempt = 0;
   TaskState state = TaskState::Fetching;
   ExitCause cause = ExitCause::None;
-  Seconds next_change = 0;  ///< when its state changes by itself
+  Seconds next_change = 0;  ///< time of the next state change without a command
 
   bool present() const { return state != TaskState::Exited; }
 };
 
-/// What a worker of the protocol keeps, without I/O: its agent epoch, the highest fencing token it
-/// has seen, and its tasks. The simulated deployments of the tests and the simulated workers of the
-/// load tool run on it.
+/// State of a worker, without I/O: its agent epoch, the highest fencing token seen, and its tasks.
+/// Shared by the deterministic simulation in the tests and the simulated workers of the load test.
 struct WorkerState {
   std::string id, addr, type, zone;
   bool spot = false;
   uint64_t agent_epoch = 1, sequence_number = 0, fencing_token = 0;
   Seconds agent_epoch_began = 0;
-  std::optional<Seconds> answered_heartbeat;  ///< when the last heartbeat with an answer was sent
+  std::optional<Seconds> answered_heartbeat;  ///< send time of the last answered heartbeat
   std::map<TaskKey, WorkerTask> tasks;
 
-  /// The next heartbeat.
+  /// Builds the next heartbeat; increments the sequence number.
   WorkerHeartbeat heartbeat();
-  /// Shows the worker a fencing token; an older one changes nothing.
+  /// Raises the fencing token to `seen`; older tokens have no effect.
   void advance_fencing_token(uint64_t seen);
-  /// Whether a lease has passed without an answer.
+  /// Whether the lease has expired: it runs from the send time of the last answered heartbeat, or
+  /// from the start of the agent epoch.
   bool lease_over(Seconds lease, Seconds now) const;
-  /// Ends the agent epoch once the lease is over: all tasks are gone, and a new agent epoch begins.
+  /// Starts a new agent epoch without tasks if the lease has expired.
   void expire_agent_epoch(Seconds lease, Seconds now);
-  /// Whether a start command has an effect: a task that is here already, in any state with this
-  /// attempt or present with another, is left alone.
+  /// Whether a start command has an effect. It is ignored if the worker has the same attempt in any
+  /// state, or another attempt of the task that has not exited.
   bool accepts_start(const Command& command) const;
-  /// The start that a command is about, null if it is not here.
+  /// The task attempt that a command refers to; null if the worker does not have it.
   WorkerTask* find(const Command& command);
 };
 
