--- a/src/loadtest/controller_process.h
+++ b/src/loadtest/controller_process.h
@@ -16,7 +16,7 @@
 };
 
 /// The usage of a process; zeros if the process does not exist.
-ProcessUsage usage_of(pid_t process);
+ProcessUsage read_usage(pid_t pid);
 
 /// A controller in a child process, which can be killed and restarted.
 class ControllerProcess {
@@ -37,16 +37,16 @@
   void start();
   /// Sends SIGKILL, which simulates a crash, and reaps the process.
   void kill();
-  bool running() const { return process_ > 0; }
+  bool running() const { return pid_ > 0; }
   /// Whether the process has exited without `kill`; reaps it.
-  bool ended_by_itself();
+  bool exited_unexpectedly();
   const std::string& name() const { return name_; }
-  ProcessUsage usage() const { return usage_of(process_); }
+  ProcessUsage usage() const { return read_usage(pid_); }
 
  private:
   std::string name_;
   Files files_;
-  pid_t process_ = 0;
+  pid_t pid_ = 0;
 };
 
 }  // namespace sumacquay::loadtest
--- a/src/loadtest/controller_settings.cpp
+++ b/src/loadtest/controller_settings.cpp
@@ -7,23 +7,23 @@
 
 constexpr const char* kLoopback = "127.0.0.1";
 
-Endpoint at_port(const LoadSettings& settings, size_t offset) {
+Endpoint endpoint_at(const LoadSettings& settings, size_t offset) {
   return {kLoopback,
           static_cast<unsigned short>(settings.first_port + static_cast<double>(offset))};
 }
 
 }  // namespace
 
-Addresses addresses_of(const LoadSettings& settings) {
+Addresses deployment_addresses(const LoadSettings& settings) {
   Addresses out;
   const auto count = static_cast<size_t>(settings.controllers);
   for (size_t i = 0; i < count; ++i) {
-    out.controllers.push_back(at_port(settings, 2 * i));
-    out.peers.push_back(at_port(settings, 2 * i + 1));
+    out.controllers.push_back(endpoint_at(settings, 2 * i));
+    out.peers.push_back(endpoint_at(settings, 2 * i + 1));
   }
-  out.state = at_port(settings, 2 * count);
-  out.cloud = at_port(settings, 2 * count + 1);
-  out.workers_port = at_port(settings, 2 * count + 2).port;
+  out.state = endpoint_at(settings, 2 * count);
+  out.cloud = endpoint_at(settings, 2 * count + 1);
+  out.workers_port = endpoint_at(settings, 2 * count + 2).port;
   return out;
 }
 
@@ -35,24 +35,24 @@
   return "zone-" + std::to_string(zone);
 }
 
-std::vector<TeamSettings> teams_of(const LoadSettings& settings) {
-  constexpr double kGuaranteedShare = 0.5;
-  constexpr double kLimitShares = 3;  // teams may borrow unused capacity of other teams
+std::vector<TeamSettings> team_settings(const LoadSettings& settings) {
+  constexpr double kGuaranteedFraction = 0.5;
+  constexpr double kMaxGpusFactor = 3;  // teams may borrow unused capacity of other teams
   const auto capacity = static_cast<double>(settings.tasks());
   const double share = capacity / settings.teams;
   std::vector<TeamSettings> teams;
   for (size_t i = 0; i < static_cast<size_t>(settings.teams); ++i) {
     TeamSettings team;
     team.name = "team-" + std::to_string(i);
-    team.gpus = std::max(1.0, kGuaranteedShare * share);
-    team.gpus_max = std::max(kLimitShares * share, 64.0);
+    team.gpus = std::max(1.0, kGuaranteedFraction * share);
+    team.gpus_max = std::max(kMaxGpusFactor * share, 64.0);
     teams.push_back(team);
   }
   return teams;
 }
 
 std::string controller_toml(const LoadSettings& settings, size_t controller) {
-  const Addresses addresses = addresses_of(settings);
+  const Addresses addresses = deployment_addresses(settings);
   const auto zones = static_cast<size_t>(settings.zones);
   std::ostringstream out;
   out << "label = \"" << controller_name(controller) << "\"\n"
@@ -69,7 +69,7 @@
   for (size_t zone = 0; zone < zones; ++zone)
     out << (zone ? ", " : "") << '"' << zone_name(zone) << '"';
   out << "]\n";
-  for (const auto& team : teams_of(settings))
+  for (const auto& team : team_settings(settings))
     out << "[[params.teams]]\nname = \"" << team.name << "\"\ngpus = " << team.gpus
         << "\ngpus_max = " << team.gpus_max << "\n";
   out << "[params.workers]\nreport_s = " << settings.heartbeat_period_s
--- a/src/loadtest/controller_settings.h
+++ b/src/loadtest/controller_settings.h
@@ -14,11 +14,11 @@
   Endpoint state, cloud;
   unsigned short workers_port = 0;
 };
-Addresses addresses_of(const LoadSettings& settings);
+Addresses deployment_addresses(const LoadSettings& settings);
 
 std::string controller_name(size_t controller);
 std::string zone_name(size_t zone);
-std::vector<TeamSettings> teams_of(const LoadSettings& settings);
+std::vector<TeamSettings> team_settings(const LoadSettings& settings);
 
 /// The content of the platform's settings file of one controller.
 std::string controller_toml(const LoadSettings& settings, size_t controller);
--- a/src/loadtest/fit.cpp
+++ b/src/loadtest/fit.cpp
@@ -21,7 +21,7 @@
 }
 
 /// The columns that the report shows for each sweep.
-const std::vector<std::string>& shown_columns() {
+const std::vector<std::string>& report_columns() {
   static const std::vector<std::string> names{
       "leader_cores",       "follower_cores", "leader_mb",          "follower_mb",
       "leader_sockets",     "reports_per_s",  "worker_bytes_per_s", "state_requests_per_s",
@@ -30,33 +30,33 @@
   return names;
 }
 
-void add_measurements(std::ostringstream& out, const std::vector<Measurement>& rows,
-                      const std::string& quantity) {
+void append_measurements_table(std::ostringstream& out, const std::vector<Measurement>& rows,
+                               const std::string& quantity) {
   out << "\n| " << quantity << " |";
-  for (const auto& name : shown_columns()) out << ' ' << name << " |";
+  for (const auto& name : report_columns()) out << ' ' << name << " |";
   out << "\n| --- |";
-  for (size_t i = 0; i < shown_columns().size(); ++i) out << " --- |";
+  for (size_t i = 0; i < report_columns().size(); ++i) out << " --- |";
   out << '\n';
   for (const auto& row : rows) {
     if (row.quantity != quantity) continue;
     out << "| " << row.value << " |";
-    for (const auto& name : shown_columns())
+    for (const auto& name : report_columns())
       for (const auto& column : columns())
         if (name == column.name) out << ' ' << row.*column.field << " |";
     out << '\n';
   }
 }
 
-void add_fits(std::ostringstream& out, const std::vector<Measurement>& rows,
-              const std::string& quantity) {
+void append_fits_table(std::ostringstream& out, const std::vector<Measurement>& rows,
+                       const std::string& quantity) {
   out << "\n| figure | exponent | between the two largest | residual | points |\n"
       << "| --- | --- | --- | --- | --- |\n";
-  for (const auto& name : shown_columns())
+  for (const auto& name : report_columns())
     for (const auto& column : columns()) {
       if (name != column.name) continue;
       const PowerFit fit = fit_column(rows, quantity, column);
       if (fit.points < 2) continue;
-      out << "| " << name << " | " << fit.exponent << " | " << fit.last_exponent << " | "
+      out << "| " << name << " | " << fit.exponent << " | " << fit.tail_exponent << " | "
           << fit.residual << " | " << fit.points << " |\n";
     }
 }
@@ -94,8 +94,8 @@
   }
   fit.residual = std::sqrt(squares / count);
   const LogPoint& last = points.back();
-  const LogPoint& before = points[points.size() - 2];
-  fit.last_exponent = (last.y - before.y) / (last.x - before.x);
+  const LogPoint& second_last = points[points.size() - 2];
+  fit.tail_exponent = (last.y - second_last.y) / (last.x - second_last.x);
   return fit;
 }
 
@@ -119,8 +119,8 @@
   out << std::setprecision(kDigits);
   for (const auto& quantity : quantities) {
     out << "\n### " << quantity << '\n';
-    add_measurements(out, rows, quantity);
-    add_fits(out, rows, quantity);
+    append_measurements_table(out, rows, quantity);
+    append_fits_table(out, rows, quantity);
   }
   return out.str();
 }
--- a/src/loadtest/fit.h
+++ b/src/loadtest/fit.h
@@ -11,8 +11,8 @@
   double factor = 0;
   double exponent = 0;
   double residual = 0;  ///< root mean square of the residuals of the logarithms
-  double last_exponent =
-      0;  ///< of the last two points, the largest in a sweep: least affected by fixed costs
+  /// Of the last two points, the largest in a sweep: least affected by fixed costs.
+  double tail_exponent = 0;
   size_t points = 0;
 
   double at(double x) const;
--- a/src/loadtest/load_test.h
+++ b/src/loadtest/load_test.h
@@ -42,9 +42,9 @@
  private:
   /// Counters and resource usage at one time; rates are computed from two of them.
   struct Snapshot {
-    Seconds at = 0;
+    Seconds taken_at = 0;
     std::vector<ProcessUsage> controllers;
-    ProcessUsage own;
+    ProcessUsage this_process;
     simulators::WorkerCounts workers;
     simulators::StateServerCounts state;
     simulators::CloudCounts cloud;
@@ -52,23 +52,23 @@
   };
 
   void start_controllers();
-  void fill(Measurement& measurement);
-  void submit_waiting();
-  void submit_urgent();
-  void begin_urgent(bool on);
-  Measurement measure(const std::string& phase, Seconds span);
+  void fill_fleet(Measurement& measurement);
+  void submit_waiting_jobs();
+  void schedule_urgent_job();
+  void set_urgent_load(bool enabled);
+  Measurement measure(const std::string& phase, Seconds duration);
   void add_rates(Measurement& measurement, const Snapshot& before, const Snapshot& after) const;
-  void add_urgent(Measurement& measurement);
+  void add_urgent_results(Measurement& measurement);
   Snapshot snapshot() const;
-  Measurement leader_killed();
-  Measurement follower_killed();
-  Measurement zone_silent();
-  void run_for(Seconds span);
-  bool run_until(const std::function<bool()>& reached, Seconds most);
+  Measurement measure_leader_killed();
+  Measurement measure_follower_killed();
+  Measurement measure_zone_silent();
+  void run_for(Seconds duration);
+  bool run_until(const std::function<bool()>& condition, Seconds timeout);
   /// The index of the running controller that the leader record in the key-value store names.
-  std::optional<size_t> leader() const;
+  std::optional<size_t> find_leader() const;
   void on_task_running(const std::string& id);
-  void require_running();
+  void check_controllers_running();
 
   LoadSettings settings_;
   LoadTestOptions options_;
@@ -84,9 +84,9 @@
   std::vector<ControllerProcess> controllers_;
   Workload workload_;
   asio::steady_timer urgent_timer_;
-  bool urgent_on_ = false;
+  bool urgent_enabled_ = false;
   Quantiles accept_times_;
-  std::unique_ptr<Quantiles> urgent_of_phase_;
+  std::unique_ptr<Quantiles> urgent_start_times_;
   size_t urgent_submitted_ = 0;
 };
 
--- a/src/loadtest/measurement.cpp
+++ b/src/loadtest/measurement.cpp
@@ -39,8 +39,8 @@
       {"follower_mb", &M::follower_mb},
       {"leader_sockets", &M::leader_sockets},
       {"follower_sockets", &M::follower_sockets},
-      {"reports_per_s", &M::reports_per_s},
-      {"orders_per_s", &M::orders_per_s},
+      {"reports_per_s", &M::heartbeats_per_s},
+      {"orders_per_s", &M::commands_per_s},
       {"worker_bytes_per_s", &M::worker_bytes_per_s},
       {"state_requests_per_s", &M::state_requests_per_s},
       {"state_writes_per_s", &M::state_writes_per_s},
@@ -57,7 +57,7 @@
       {"takeover_s", &M::takeover_s},
       {"violations", &M::violations},
       {"leases_lost", &M::leases_lost},
-      {"standin_cores", &M::standin_cores},
+      {"standin_cores", &M::simulator_cores},
   };
   return all;
 }
--- a/src/loadtest/measurement.h
+++ b/src/loadtest/measurement.h
@@ -22,7 +22,7 @@
   double follower_cores = 0;  ///< mean of the followers
   double leader_mb = 0, follower_mb = 0;
   double leader_sockets = 0, follower_sockets = 0;
-  double reports_per_s = 0, orders_per_s = 0;
+  double heartbeats_per_s = 0, commands_per_s = 0;
   double worker_bytes_per_s = 0;  ///< mean of a worker, both directions
   double state_requests_per_s = 0, state_writes_per_s = 0, state_bytes_per_s = 0;
   double state_keys = 0;
@@ -36,8 +36,7 @@
   double takeover_s = 0;  ///< from the leader's kill to the next task start
   double violations = 0;
   double leases_lost = 0;
-  double standin_cores =
-      0;  ///< CPU usage of this process: above 0.9 the simulators are the bottleneck
+  double simulator_cores = 0;  ///< of this process: above 0.9 it is the bottleneck
 };
 
 /// A numeric column of the CSV table.
--- a/src/loadtest/quantiles.cpp
+++ b/src/loadtest/quantiles.cpp
@@ -6,7 +6,7 @@
 
 namespace sumacquay::loadtest {
 
-prometheus::Summary::Quantiles Quantiles::requested() {
+prometheus::Summary::Quantiles Quantiles::targets() {
   return {{0.5, 0.01}, {0.9, 0.005}, {0.99, 0.001}};
 }
 
@@ -16,10 +16,10 @@
   ++count_;
 }
 
-double Quantiles::quantile(double which) const {
+double Quantiles::quantile(double target) const {
   const auto metric = summary_.Collect();
   for (const auto& quantile : metric.summary.quantile)
-    if (std::abs(quantile.quantile - which) < 1e-9) return quantile.value;
+    if (std::abs(quantile.quantile - target) < 1e-9) return quantile.value;
   return std::numeric_limits<double>::quiet_NaN();
 }
 
--- a/src/loadtest/quantiles.h
+++ b/src/loadtest/quantiles.h
@@ -10,16 +10,16 @@
  public:
   void observe(double value);
   /// The estimate for 0.5, 0.9 or 0.99; NaN without observations or for other quantiles.
-  double quantile(double which) const;
+  double quantile(double target) const;
   double largest() const { return largest_; }
   size_t count() const { return count_; }
 
  private:
-  static prometheus::Summary::Quantiles requested();
+  static prometheus::Summary::Quantiles targets();
   /// Longer than any trial, so that no observation ages out of the summary.
-  static constexpr std::chrono::hours kKept{24};
+  static constexpr std::chrono::hours kMaxAge{24};
 
-  prometheus::Summary summary_{requested(), kKept, 1};
+  prometheus::Summary summary_{targets(), kMaxAge, 1};
   double largest_ = 0;
   size_t count_ = 0;
 };
--- a/src/loadtest/sweep.cpp
+++ b/src/loadtest/sweep.cpp
@@ -16,8 +16,8 @@
 namespace sumacquay::loadtest {
 namespace {
 
-LoadSettings at_point(const LoadSettings& base, const std::string& quantity, double value,
-                      const std::string& source) {
+LoadSettings settings_at(const LoadSettings& base, const std::string& quantity, double value,
+                         const std::string& source) {
   LoadSettings settings = base;
   for (const auto& field : fields_of(settings)) {
     if (quantity != field.name) continue;
@@ -28,13 +28,14 @@
   refuse_setting(source, quantity, "is no quantity of the load");
 }
 
-bool measured(const std::vector<Measurement>& rows, const std::string& quantity, double value) {
+bool already_measured(const std::vector<Measurement>& rows, const std::string& quantity,
+                      double value) {
   return std::any_of(rows.begin(), rows.end(), [&](const Measurement& row) {
     return row.quantity == quantity && row.value == value;
   });
 }
 
-const Column& column_named(const std::string& name) {
+const Column& require_column(const std::string& name) {
   for (const auto& column : columns())
     if (name == column.name) return column;
   refuse_setting("plot", name, "is no column");
@@ -42,8 +43,8 @@
 
 /// Runs gnuplot on a script; throws if gnuplot can't be started or fails.
 void run_gnuplot(const std::string& script) {
-  std::array<std::string, 2> words{"gnuplot", script};
-  std::array<char*, 3> arguments{words[0].data(), words[1].data(), nullptr};
+  std::array<std::string, 2> argument_strings{"gnuplot", script};
+  std::array<char*, 3> arguments{argument_strings[0].data(), argument_strings[1].data(), nullptr};
   pid_t process = 0;
   int status = 0;
   const bool started =
@@ -56,7 +57,7 @@
 
 void check_plan(const SweepPlan& plan, const LoadSettings& base, const std::string& source) {
   for (const double value : plan.values)
-    check_fits_this_machine(at_point(base, plan.quantity, value, source), source);
+    check_fits_this_machine(settings_at(base, plan.quantity, value, source), source);
 }
 
 void append_rows(const std::string& table, const std::vector<Measurement>& rows) {
@@ -69,14 +70,14 @@
 
 void run_sweep(const SweepPlan& plan, const LoadSettings& base, const LoadTestOptions& options,
                const std::string& table, bool resume) {
-  const bool known = resume && std::filesystem::exists(table);
-  const auto rows = known ? read_table(table) : std::vector<Measurement>{};
-  size_t done = 0;
+  const bool resuming = resume && std::filesystem::exists(table);
+  const auto rows = resuming ? read_table(table) : std::vector<Measurement>{};
+  size_t point_number = 0;
   for (const double value : plan.values) {
-    ++done;
-    if (measured(rows, plan.quantity, value)) continue;
-    spdlog::info("{} = {} ({} of {})", plan.quantity, value, done, plan.values.size());
-    LoadTest load_test(at_point(base, plan.quantity, value, "sweep"), options);
+    ++point_number;
+    if (already_measured(rows, plan.quantity, value)) continue;
+    spdlog::info("{} = {} ({} of {})", plan.quantity, value, point_number, plan.values.size());
+    LoadTest load_test(settings_at(base, plan.quantity, value, "sweep"), options);
     Measurement row = load_test.measure_load();
     row.quantity = plan.quantity;
     row.value = value;
@@ -88,8 +89,8 @@
 
 void draw_plot(const std::vector<Measurement>& rows, const std::string& quantity,
                const std::string& column, const std::string& file) {
-  const Column& drawn = column_named(column);
-  const PowerFit fit = fit_column(rows, quantity, drawn);
+  const Column& plotted = require_column(column);
+  const PowerFit fit = fit_column(rows, quantity, plotted);
   std::ostringstream title;
   constexpr int kDigits = 3;
   title.precision(kDigits);
@@ -100,7 +101,7 @@
       << "set xlabel '" << quantity << "' noenhanced\nset ylabel '" << column
       << "' noenhanced\nset key left top\n$points << END\n";
   for (const auto& row : rows)
-    if (row.quantity == quantity) out << row.value << ' ' << row.*drawn.field << '\n';
+    if (row.quantity == quantity) out << row.value << ' ' << row.*plotted.field << '\n';
   out << "END\nplot $points with points pt 7 title 'measured', " << fit.factor << "*x**"
       << fit.exponent << " with lines title '" << title.str() << "'\n";
   out.close();
--- a/src/loadtest/workload.h
+++ b/src/loadtest/workload.h
@@ -16,18 +16,18 @@
   std::vector<simulators::SubmittedJob> filling();
   /// A one-task job that stays pending on a full fleet: its priority is the lowest, so that it
   /// can't preempt any task.
-  simulators::SubmittedJob waiting();
+  simulators::SubmittedJob waiting_job();
   /// A one-task job that may preempt the low-priority jobs.
-  simulators::SubmittedJob urgent();
+  simulators::SubmittedJob urgent_job();
 
  private:
   simulators::SubmittedJob job(JobKind kind, Priority priority, size_t tasks, Seconds run_s);
 
   const LoadSettings& settings_;
-  size_t jobs_ = 0;
+  size_t next_job_number_ = 0;
 };
 
 /// The only machine type of a trial's cloud.
-MachineType machine_type_of(const LoadSettings& settings);
+MachineType machine_type(const LoadSettings& settings);
 
 }  // namespace sumacquay::loadtest
--- a/src/simulators/job_book.h
+++ b/src/simulators/job_book.h
@@ -15,10 +15,10 @@
   Seconds run_s = 0;                    ///< run time of a task of an array or a gang
   std::optional<Seconds> submitted_at;  ///< the first attempt to submit it
   std::optional<Seconds> accepted_at;
-  std::optional<Seconds> began_at;  ///< start of its first running task
+  std::optional<Seconds> first_started_at;  ///< start of its first running task
   std::optional<Seconds> cancel_asked_at;
-  std::optional<Seconds> cancelled_at;  ///< confirmation of the cancellation to the user
-  std::optional<Seconds> told_done_at;
+  std::optional<Seconds> cancel_confirmed_at;  ///< confirmation of the cancellation to the user
+  std::optional<Seconds> reported_done_at;
   std::set<uint32_t> done;  ///< completed tasks
 
   bool complete() const { return done.size() >= spec.tasks; }
--- a/src/simulators/key_value_store.h
+++ b/src/simulators/key_value_store.h
@@ -82,53 +82,53 @@
     return revision_;
   }
 
-  /// The changes after a revision. Requires `log_reaches(revision)`.
+  /// The changes after a revision. Requires `log_covers(revision)`.
   std::vector<Change> changes_after(uint64_t revision) const {
     const auto from = std::upper_bound(
         log_.begin(), log_.end(), revision,
-        [](uint64_t sought, const Change& change) { return sought < change.version; });
+        [](uint64_t target, const Change& change) { return target < change.version; });
     return {from, log_.end()};
   }
 
   /// Whether the log still holds all changes after the revision.
-  bool log_reaches(uint64_t revision) const { return revision >= dropped_up_to_; }
+  bool log_covers(uint64_t revision) const { return revision >= last_dropped_revision_; }
 
-  /// Drops the oldest changes until the log holds at most `most`.
-  void trim_log(size_t most) {
-    while (log_.size() > most) {
-      dropped_up_to_ = log_.front().version;
+  /// Drops the oldest changes until the log holds at most `max_changes`.
+  void trim_log(size_t max_changes) {
+    while (log_.size() > max_changes) {
+      last_dropped_revision_ = log_.front().version;
       log_.pop_front();
     }
   }
 
   uint64_t grant(Seconds now, Seconds duration) {
-    leases_[++last_lease_] = {now + duration, duration};
-    return last_lease_;
+    leases_[++last_lease_id_] = {now + duration, duration};
+    return last_lease_id_;
   }
 
   /// Extends a lease by its full duration; false if it has expired or been revoked.
   bool renew(uint64_t lease, Seconds now) {
-    const auto held = leases_.find(lease);
-    if (held == leases_.end()) return false;
-    held->second.ends_at = now + held->second.duration;
+    const auto found = leases_.find(lease);
+    if (found == leases_.end()) return false;
+    found->second.ends_at = now + found->second.duration;
     return true;
   }
 
   void revoke(uint64_t lease) {
     if (!leases_.erase(lease)) return;
-    std::vector<std::string> gone;
+    std::vector<std::string> attached_keys;
     for (const auto& [key, item] : items_)
-      if (item.lease == lease) gone.push_back(key);
-    if (gone.empty()) return;
+      if (item.lease == lease) attached_keys.push_back(key);
+    if (attached_keys.empty()) return;
     ++revision_;
-    for (const auto& key : gone) apply(remove(key));
+    for (const auto& key : attached_keys) apply(remove(key));
   }
 
   void expire_leases(Seconds now) {
-    std::vector<uint64_t> ended;
+    std::vector<uint64_t> expired;
     for (const auto& [id, lease] : leases_)
-      if (now > lease.ends_at + kLeaseSlack) ended.push_back(id);
-    for (const auto id : ended) revoke(id);
+      if (now > lease.ends_at + kLeaseExpiryDelay) expired.push_back(id);
+    for (const auto id : expired) revoke(id);
   }
 
   /// Restarts all leases with their full duration, as the store does after an outage.
@@ -139,7 +139,7 @@
  private:
   /// Delay between the end of a lease and its expiry: a lease never expires early, and at most
   /// 100 ms late.
-  static constexpr Seconds kLeaseSlack = 0.05;
+  static constexpr Seconds kLeaseExpiryDelay = 0.05;
 
   /// A granted lease.
   struct Lease {
@@ -160,8 +160,8 @@
   std::map<uint64_t, Lease> leases_;
   std::deque<Change> log_;
   uint64_t revision_ = 1;
-  uint64_t dropped_up_to_ = 0;
-  uint64_t last_lease_ = 0;
+  uint64_t last_dropped_revision_ = 0;
+  uint64_t last_lease_id_ = 0;
 };
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/messages.cpp
+++ b/src/simulators/messages.cpp
@@ -26,7 +26,7 @@
 using wire::codec::read_root;
 using wire::codec::value_of;
 
-constexpr size_t kMostNameBytes = 200;
+constexpr size_t kMaxNameBytes = 200;
 
 std::optional<TaskKey> read_task_key(View name) {
   const auto text = name.text_view();
@@ -158,16 +158,16 @@
   pack_field(packer, "age_s", machine.age_s);
 }
 
-std::optional<RentRequest> read_rent(View root) {
+std::optional<RentRequest> read_scale_out_request(View root) {
   Fields fields(root);
-  RentRequest rent;
-  rent.request = fields.text("hire", 1, kMostNameBytes);
-  rent.type = fields.text(field::kType, 1, kMostNameBytes);
-  rent.zone = fields.text(field::kZone, 0, kMostNameBytes);
-  rent.spot = fields.flag(field::kSpot);
-  rent.count = fields.count("how_many", 1, UINT32_MAX);
+  RentRequest scale_out;
+  scale_out.request = fields.text("hire", 1, kMaxNameBytes);
+  scale_out.type = fields.text(field::kType, 1, kMaxNameBytes);
+  scale_out.zone = fields.text(field::kZone, 0, kMaxNameBytes);
+  scale_out.spot = fields.flag(field::kSpot);
+  scale_out.count = fields.count("how_many", 1, UINT32_MAX);
   if (!fields.ok()) return std::nullopt;
-  return rent;
+  return scale_out;
 }
 
 }  // namespace
@@ -302,7 +302,7 @@
 }
 
 std::optional<RentRequest> parse_rent(std::string_view body) {
-  return read_root<RentRequest>(body, read_rent);
+  return read_root<RentRequest>(body, read_scale_out_request);
 }
 
 std::string rented_body(const std::vector<std::string>& machines) {
@@ -324,7 +324,7 @@
       });
 }
 
-std::string query_field(const std::string& query, std::string_view name) {
+std::string query_parameter(const std::string& query, std::string_view name) {
   size_t begin = 0;
   while (begin < query.size()) {
     const size_t end = std::min(query.find('&', begin), query.size());
--- a/src/simulators/messages.h
+++ b/src/simulators/messages.h
@@ -81,6 +81,6 @@
 std::optional<std::vector<std::string>> parse_release(std::string_view body);
 
 /// The value of a query parameter; empty if it is missing.
-std::string query_field(const std::string& query, std::string_view name);
+std::string query_parameter(const std::string& query, std::string_view name);
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/rate_limit.h
+++ b/src/simulators/rate_limit.h
@@ -9,23 +9,24 @@
 class RateLimit {
  public:
   /// The capacity of the bucket is the number of tokens added in `burst_s`.
-  RateLimit(double per_s, Seconds burst_s)
-      : per_s_(per_s), most_(per_s * burst_s), level_(per_s * burst_s) {}
+  RateLimit(double rate_per_s, Seconds burst_s)
+      : rate_per_s_(rate_per_s), capacity_(rate_per_s * burst_s), tokens_(rate_per_s * burst_s) {}
 
   /// Takes `count` tokens; returns false and takes none if fewer are available.
   bool take(double count, Seconds now) {
-    if (last_ > 0) level_ = std::min(most_, level_ + per_s_ * (now - last_));
-    last_ = now;
-    if (level_ < count) return false;
-    level_ -= count;
+    if (refilled_at_ > 0)
+      tokens_ = std::min(capacity_, tokens_ + rate_per_s_ * (now - refilled_at_));
+    refilled_at_ = now;
+    if (tokens_ < count) return false;
+    tokens_ -= count;
     return true;
   }
 
  private:
-  double per_s_;
-  double most_;
-  double level_;
-  Seconds last_ = 0;
+  double rate_per_s_;
+  double capacity_;
+  double tokens_;
+  Seconds refilled_at_ = 0;
 };
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/rule_checker.h
+++ b/src/simulators/rule_checker.h
@@ -26,9 +26,9 @@
   void user_told_done(const std::string& id, Seconds now);
   /// Checks an answer to a user that reports the job cancelled.
   void user_told_cancelled(const std::string& id, Seconds now);
-  /// Checks an answer to a user that reports the job pending or running. `asked_at` is the time of
-  /// the request: answers sent before a final state was reported are valid.
-  void user_told_unfinished(const std::string& id, Seconds asked_at);
+  /// Checks an answer to a user that reports the job pending or running. `requested_at` is the time
+  /// of the request: answers sent before a final state was reported are valid.
+  void user_told_unfinished(const std::string& id, Seconds requested_at);
   /// Records a violation: an accepted job was reported as unknown.
   void user_told_unknown(const std::string& id, Seconds now);
   /// Checks that no task of a cancelled job remains on a machine `cancel_s` after the confirmation.
@@ -37,29 +37,30 @@
   const std::vector<std::string>& violations() const { return violations_; }
   size_t starts() const { return starts_; }
   /// The number of tasks on machines.
-  size_t present() const { return present_.size(); }
+  size_t active_tasks() const { return task_locations_.size(); }
 
  private:
   /// The machine of a task.
-  struct Place {
+  struct Location {
     std::string machine, zone;
   };
   /// The tasks of a job that are on machines.
-  struct JobPlaces {
-    std::map<std::string, uint32_t> by_zone;
+  struct JobLocations {
+    std::map<std::string, uint32_t> tasks_by_zone;
     size_t tasks = 0;
   };
 
   void check_quota(const JobSpec& spec, Seconds now);
-  void check_place(const WorkerState& worker, const TaskKey& key, const JobSpec& spec, Seconds now);
-  void violated(const std::string& what, Seconds now);
+  void check_placement(const WorkerState& worker, const TaskKey& key, const JobSpec& spec,
+                       Seconds now);
+  void add_violation(const std::string& violation, Seconds now);
 
   std::unordered_map<std::string, TeamSettings> teams_;
   Seconds cancel_s_;
   JobBook& jobs_;
-  std::map<TaskKey, std::vector<Place>> present_;
-  std::unordered_map<std::string, JobPlaces> places_;
-  std::unordered_map<std::string, Resources> used_;  ///< by team
+  std::map<TaskKey, std::vector<Location>> task_locations_;
+  std::unordered_map<std::string, JobLocations> job_locations_;
+  std::unordered_map<std::string, Resources> team_usage_;  ///< by team
   std::vector<std::string> violations_;
   size_t starts_ = 0;
 };
--- a/src/simulators/simulated_fleet.h
+++ b/src/simulators/simulated_fleet.h
@@ -10,7 +10,7 @@
 namespace sumacquay::simulators {
 
 /// Type, zone and price class of a machine.
-struct MachineKind {
+struct MachineOffering {
   std::string type, zone;
   bool spot = false;
 };
@@ -23,7 +23,7 @@
   SimulatedFleet(WorkerContext& context, unsigned short port);
 
   /// Adds a machine with a running worker; returns its id.
-  std::string add(const MachineKind& kind, const std::string& id);
+  std::string add(const MachineOffering& offering, const std::string& id);
   /// Removes a machine with its worker and all its tasks.
   void remove(const std::string& id);
   bool contains(const std::string& id) const { return workers_.contains(id); }
@@ -34,20 +34,21 @@
   std::string address_of(const std::string& id) const;
 
   /// Partitions the workers of a zone from all controllers, or ends the partition.
-  void set_zone_silent(const std::string& zone, bool silent);
+  void set_zone_partitioned(const std::string& zone, bool partitioned);
 
  private:
   /// An attempt of a gang.
   struct Gang {
-    std::map<TaskKey, std::string> ready;  ///< machines of the tasks that have fetched their images
+    /// Machines of the tasks that have fetched their images.
+    std::map<TaskKey, std::string> ready_tasks;
     bool running = false;
-    bool broken = false;
+    bool ending = false;
   };
   using GangAttempt = std::pair<std::string, uint64_t>;  ///< job id and attempt
 
   void on_gang_task_ready(const std::string& machine, const TaskKey& key, uint64_t attempt);
-  void on_gang_task_gone(const TaskKey& key, uint64_t attempt);
-  void run_gang(const GangAttempt& attempt, Seconds run_s);
+  void on_gang_task_lost(const TaskKey& key, uint64_t attempt);
+  void start_gang(const GangAttempt& attempt, Seconds run_s);
   void end_gang(const GangAttempt& attempt);
   SimulatedWorker* find(const std::string& machine);
 
@@ -55,7 +56,7 @@
   unsigned short port_;
   std::map<std::string, std::unique_ptr<SimulatedWorker>> workers_;
   std::map<GangAttempt, Gang> gangs_;
-  uint64_t created_ = 0;
+  uint64_t next_index_ = 0;
 };
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/simulated_worker.cpp
+++ b/src/simulators/simulated_worker.cpp
@@ -11,26 +11,26 @@
 namespace {
 
 /// Timeout of a heartbeat request.
-constexpr Seconds kAnswerTimeout = 4;
+constexpr Seconds kHeartbeatTimeout = 4;
 /// Delay of the heartbeat to the next controller after a failure or an unusable redirect.
 constexpr Seconds kNextControllerDelay = 1;
 /// Shortest interval between two heartbeats.
-constexpr Seconds kLeastPause = 0.5;
-constexpr double kHeartbeatEarly = 0.75;
-constexpr double kHeartbeatLate = 1.25;
+constexpr Seconds kMinHeartbeatInterval = 0.5;
+constexpr double kMinPeriodFactor = 0.75;
+constexpr double kMaxPeriodFactor = 1.25;
 constexpr size_t kMaxCommandConnections = 8;
 constexpr size_t kHeartbeatConnections = 1;
-constexpr size_t kQueuedHeartbeats = 2;
+constexpr size_t kMaxQueuedHeartbeats = 2;
 /// Estimated size of the HTTP headers of a message, for the byte counters.
-constexpr uint64_t kHeadBytes = 110;
+constexpr uint64_t kHttpHeaderBytes = 110;
 
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
 constexpr int kConflict = 409;
-constexpr int kMisdirected = 421;
+constexpr int kMisdirectedRequest = 421;
 
 /// Later than any event of a trial.
-constexpr Seconds kFarFuture = 1e12;
+constexpr Seconds kNever = 1e12;
 
 HttpLimits command_limits() {
   HttpLimits limits;
@@ -48,7 +48,7 @@
                                      on_commands(request, respond);
                                    });
   state_.addr = listen.host + ":" + std::to_string(server_->port());
-  controller_ = context.random() % context.controllers.size();
+  controller_index_ = context.random() % context.controllers.size();
 }
 
 SimulatedWorker::~SimulatedWorker() {
@@ -57,56 +57,56 @@
     if (task.present()) context_.checker.task_left(state_, key);
 }
 
-Seconds SimulatedWorker::random_between(Seconds least, Seconds most) {
-  return std::uniform_real_distribution<Seconds>(least, most)(context_.random);
+Seconds SimulatedWorker::random_between(Seconds low, Seconds high) {
+  return std::uniform_real_distribution<Seconds>(low, high)(context_.random);
 }
 
 void SimulatedWorker::start() {
   const Seconds now = steady_now();
   state_.agent_epoch_began = now;
-  next_heartbeat_ = now + random_between(0, context_.times.heartbeat_period_s);
-  wake_later();
+  next_heartbeat_ = now + random_between(0, context_.timing.heartbeat_period_s);
+  schedule_wake_up();
 }
 
-void SimulatedWorker::set_silent(bool silent) {
-  silent_ = silent;
-  if (silent) server_->close_all();
+void SimulatedWorker::set_partitioned(bool partitioned) {
+  partitioned_ = partitioned;
+  if (partitioned) server_->close_all();
 }
 
 // ---------------------------------------------------------------- timer
 
-void SimulatedWorker::wake_later() {
-  Seconds next = heartbeat_in_flight_ ? kFarFuture : next_heartbeat_;
+void SimulatedWorker::schedule_wake_up() {
+  Seconds next = heartbeat_in_flight_ ? kNever : next_heartbeat_;
   for (const auto& [key, task] : state_.tasks)
     if (task.present()) next = std::min(next, task.next_change);
   const Seconds lease_end =
-      state_.answered_heartbeat.value_or(state_.agent_epoch_began) + context_.times.lease_s;
+      state_.answered_heartbeat.value_or(state_.agent_epoch_began) + context_.timing.lease_s;
   next = std::min(next, lease_end);
-  constexpr Seconds kLeastWait = 0.001;
-  timer_.expires_after(to_microseconds(std::max(next - steady_now(), kLeastWait)));
+  constexpr Seconds kMinTimerDelay = 0.001;
+  timer_.expires_after(to_microseconds(std::max(next - steady_now(), kMinTimerDelay)));
   timer_.async_wait([this](auto error) {
-    if (!error) on_wake();
+    if (!error) on_wake_up();
   });
 }
 
-void SimulatedWorker::on_wake() {
+void SimulatedWorker::on_wake_up() {
   const Seconds now = steady_now();
   end_agent_epoch_if_expired(now);
   advance_tasks(now);
   if (!heartbeat_in_flight_ && now >= next_heartbeat_) send_heartbeat(now);
-  wake_later();
+  schedule_wake_up();
 }
 
 void SimulatedWorker::end_agent_epoch_if_expired(Seconds now) {
-  if (!state_.lease_over(context_.times.lease_s, now)) return;
+  if (!state_.lease_expired(context_.timing.lease_s, now)) return;
   ++context_.counts.leases_lost;
-  std::vector<std::pair<TaskKey, uint64_t>> ended;
+  std::vector<std::pair<TaskKey, uint64_t>> ended_attempts;
   for (const auto& [key, task] : state_.tasks)
-    if (task.present()) ended.emplace_back(key, task.attempt);
-  for (const auto& [key, attempt] : ended) context_.checker.task_left(state_, key);
-  state_.expire_agent_epoch(context_.times.lease_s, now);
-  for (const auto& [key, attempt] : ended) context_.gang_task_gone(key, attempt);
-  heartbeat_soon(now);
+    if (task.present()) ended_attempts.emplace_back(key, task.attempt);
+  for (const auto& [key, attempt] : ended_attempts) context_.checker.task_left(state_, key);
+  state_.expire_agent_epoch(context_.timing.lease_s, now);
+  for (const auto& [key, attempt] : ended_attempts) context_.gang_task_lost(key, attempt);
+  expedite_heartbeat(now);
 }
 
 // ---------------------------------------------------------------- tasks
@@ -117,18 +117,18 @@
     if (task.present() && now >= task.next_change) due.push_back(key);
   for (const auto& key : due) {
     const auto task = state_.tasks.find(key);
-    if (task != state_.tasks.end()) advance(key, task->second, now);
+    if (task != state_.tasks.end()) advance_task(key, task->second, now);
   }
 }
 
-void SimulatedWorker::advance(const TaskKey& key, WorkerTask& task, Seconds now) {
+void SimulatedWorker::advance_task(const TaskKey& key, WorkerTask& task, Seconds now) {
   const SubmittedJob& job = context_.jobs.at(key.job);
   switch (task.state) {
     case TaskState::Fetching:
       if (job.spec.kind != JobKind::Gang) return set_running(key, task, job.run_s, now);
       task.state = TaskState::Waiting;
-      task.next_change = now + context_.times.gang_wait_s;
-      heartbeat_soon(now);
+      task.next_change = now + context_.timing.gang_wait_s;
+      expedite_heartbeat(now);
       return context_.gang_task_ready(state_.id, key, task.attempt);
     case TaskState::Waiting:
       return set_exited(key, task, ExitCause::Alone);
@@ -144,9 +144,9 @@
                                   Seconds now) {
   const bool service = context_.jobs.at(key.job).spec.kind == JobKind::Service;
   task.state = TaskState::Running;
-  task.next_change = service ? kFarFuture : now + run_s;
+  task.next_change = service ? kNever : now + run_s;
   context_.task_running(key.job);
-  heartbeat_soon(now);
+  expedite_heartbeat(now);
 }
 
 void SimulatedWorker::set_exited(const TaskKey& key, WorkerTask& task, ExitCause cause) {
@@ -155,16 +155,16 @@
   task.cause = cause;
   if (cause == ExitCause::Done) context_.jobs.at(key.job).done.insert(key.task);
   context_.checker.task_left(state_, key);
-  heartbeat_soon(steady_now());
-  if (cause != ExitCause::Done) context_.gang_task_gone(key, attempt);
+  expedite_heartbeat(steady_now());
+  if (cause != ExitCause::Done) context_.gang_task_lost(key, attempt);
 }
 
-void SimulatedWorker::run_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s) {
+void SimulatedWorker::start_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s) {
   const auto task = state_.tasks.find(key);
   if (task == state_.tasks.end() || task->second.attempt != attempt) return;
   if (task->second.state != TaskState::Waiting) return;
   set_running(key, task->second, run_s, steady_now());
-  wake_later();
+  schedule_wake_up();
 }
 
 void SimulatedWorker::end_gang_task(const TaskKey& key, uint64_t attempt, ExitCause cause) {
@@ -172,7 +172,7 @@
   if (task == state_.tasks.end() || task->second.attempt != attempt) return;
   if (!task->second.present()) return;
   set_exited(key, task->second, cause);
-  wake_later();
+  schedule_wake_up();
 }
 
 void SimulatedWorker::execute(const std::vector<Command>& commands, Seconds now) {
@@ -198,77 +198,79 @@
     task.state = TaskState::Exited;
     task.cause = ExitCause::Unknown;
   } else {
-    task.next_change = now + random_between(0.5, 1.5) * context_.times.fetch_s;
+    task.next_change = now + random_between(0.5, 1.5) * context_.timing.fetch_s;
     context_.checker.task_arrived(state_, command.key, now);
   }
   state_.tasks[command.key] = task;
-  heartbeat_soon(now);
+  expedite_heartbeat(now);
 }
 
 // ---------------------------------------------------------------- heartbeats
 
-void SimulatedWorker::heartbeat_soon(Seconds now) {
-  next_heartbeat_ = std::min(next_heartbeat_, std::max(now, last_heartbeat_ + kLeastPause));
+void SimulatedWorker::expedite_heartbeat(Seconds now) {
+  next_heartbeat_ =
+      std::min(next_heartbeat_, std::max(now, last_heartbeat_ + kMinHeartbeatInterval));
 }
 
 void SimulatedWorker::send_heartbeat(Seconds now) {
   last_heartbeat_ = now;
   next_heartbeat_ =
-      now + context_.times.heartbeat_period_s * random_between(kHeartbeatEarly, kHeartbeatLate);
-  if (silent_) return turn_to_next(now);
+      now + context_.timing.heartbeat_period_s * random_between(kMinPeriodFactor, kMaxPeriodFactor);
+  if (partitioned_) return switch_to_next_controller(now);
   if (!client_)
-    client_ = std::make_unique<HttpClient>(context_.io, context_.controllers[controller_],
-                                           kHeartbeatConnections, kQueuedHeartbeats);
+    client_ = std::make_unique<HttpClient>(context_.io, context_.controllers[controller_index_],
+                                           kHeartbeatConnections, kMaxQueuedHeartbeats);
   const std::string body = worker_heartbeat_body(state_.heartbeat());
   ++context_.counts.heartbeats;
-  context_.counts.bytes_out += body.size() + kHeadBytes;
+  context_.counts.bytes_out += body.size() + kHttpHeaderBytes;
   heartbeat_in_flight_ = true;
   client_->request(
-      "POST", wire::path::kWorkerHeartbeat, body, kAnswerTimeout,
+      "POST", wire::path::kWorkerHeartbeat, body, kHeartbeatTimeout,
       [this, alive = alive_, now, agent_epoch = state_.agent_epoch](const HttpResult& result) {
-        if (*alive) on_answer(result, now, agent_epoch);
+        if (*alive) on_heartbeat_response(result, now, agent_epoch);
       });
 }
 
-void SimulatedWorker::on_answer(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch) {
+void SimulatedWorker::on_heartbeat_response(const HttpResult& result, Seconds sent_at,
+                                            uint64_t agent_epoch) {
   const Seconds now = steady_now();
   heartbeat_in_flight_ = false;
-  context_.counts.bytes_in += result.body.size() + (result.answered ? kHeadBytes : 0);
-  const bool heard = !silent_ && result.answered;
-  if (heard && result.status == kMisdirected) {
+  context_.counts.bytes_in += result.body.size() + (result.answered ? kHttpHeaderBytes : 0);
+  const bool reachable = !partitioned_ && result.answered;
+  if (reachable && result.status == kMisdirectedRequest) {
     ++context_.counts.redirects;
-    turn_to(parse_redirect(result.body), now);
-  } else if (!heard || !result.ok()) {
-    turn_to_next(now);
+    switch_controller(parse_redirect(result.body), now);
+  } else if (!reachable || !result.ok()) {
+    switch_to_next_controller(now);
   } else if (agent_epoch == state_.agent_epoch) {
-    hear_leader(result.body, sent_at, now);
+    on_leader_response(result.body, sent_at, now);
   }
-  wake_later();
+  schedule_wake_up();
 }
 
 /// A 200 response renews the lease unless its fencing token is older than the newest one seen.
-void SimulatedWorker::hear_leader(const std::string& body, Seconds sent_at, Seconds now) {
+void SimulatedWorker::on_leader_response(const std::string& body, Seconds sent_at, Seconds now) {
   const auto worker_commands = parse_worker_commands(body);
   if (!worker_commands || worker_commands->fencing_token < state_.fencing_token) return;
   ++context_.counts.heartbeats_answered;
-  if (worker_commands->fencing_token > state_.fencing_token) heartbeat_soon(now);
+  if (worker_commands->fencing_token > state_.fencing_token) expedite_heartbeat(now);
   state_.advance_fencing_token(worker_commands->fencing_token);
   state_.answered_heartbeat = sent_at;
   execute(worker_commands->commands, now);
 }
 
-void SimulatedWorker::turn_to(const std::string& controller, Seconds now) {
+void SimulatedWorker::switch_controller(const std::string& controller, Seconds now) {
   const auto& names = context_.controller_names;
-  const auto named = std::find(names.begin(), names.end(), controller);
-  const auto index = static_cast<size_t>(named - names.begin());
-  if (named == names.end() || index == controller_) return turn_to_next(now);
-  controller_ = index;
+  const auto found = std::find(names.begin(), names.end(), controller);
+  const auto index = static_cast<size_t>(found - names.begin());
+  if (found == names.end() || index == controller_index_) return switch_to_next_controller(now);
+  controller_index_ = index;
   client_.reset();
-  next_heartbeat_ = now + random_between(0, kLeastPause);
+  next_heartbeat_ = now + random_between(0, kMinHeartbeatInterval);
 }
 
-void SimulatedWorker::turn_to_next(Seconds now) {
-  controller_ = (controller_ + 1) % context_.controllers.size();
+void SimulatedWorker::switch_to_next_controller(Seconds now) {
+  controller_index_ = (controller_index_ + 1) % context_.controllers.size();
   client_.reset();
   next_heartbeat_ = now + kNextControllerDelay;
 }
@@ -276,24 +278,24 @@
 // ---------------------------------------------------------------- commands
 
 void SimulatedWorker::on_commands(const HttpRequest& request, const Respond& respond) {
-  if (silent_) return;  // the controller's request times out
+  if (partitioned_) return;  // the controller's request times out
   ++context_.counts.worker_commands;
-  context_.counts.bytes_in += request.body.size() + kHeadBytes;
+  context_.counts.bytes_in += request.body.size() + kHttpHeaderBytes;
   const auto worker_commands = parse_worker_commands(request.body);
   if (!worker_commands) return respond({kBadRequest, {}, 0});
   const Seconds now = steady_now();
   end_agent_epoch_if_expired(now);
-  const bool in_force = worker_commands->fencing_token >= state_.fencing_token &&
+  const bool accepted = worker_commands->fencing_token >= state_.fencing_token &&
                         worker_commands->agent_epoch == state_.agent_epoch;
-  if (in_force) {
-    if (worker_commands->fencing_token > state_.fencing_token) heartbeat_soon(now);
+  if (accepted) {
+    if (worker_commands->fencing_token > state_.fencing_token) expedite_heartbeat(now);
     state_.advance_fencing_token(worker_commands->fencing_token);
     execute(worker_commands->commands, now);
   }
   const std::string body = worker_heartbeat_body(state_.heartbeat());
-  context_.counts.bytes_out += body.size() + kHeadBytes;
-  respond({in_force ? kOk : kConflict, body, 0});
-  wake_later();
+  context_.counts.bytes_out += body.size() + kHttpHeaderBytes;
+  respond({accepted ? kOk : kConflict, body, 0});
+  schedule_wake_up();
 }
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/simulated_worker.h
+++ b/src/simulators/simulated_worker.h
@@ -16,7 +16,7 @@
 namespace sumacquay::simulators {
 
 /// Protocol intervals and timeouts of a worker.
-struct WorkerTimes {
+struct WorkerTiming {
   Seconds heartbeat_period_s = 4;
   Seconds lease_s = 22;
   Seconds fetch_s = 0.5;     ///< mean time to fetch a task's image
@@ -39,7 +39,7 @@
   asio::io_context& io;
   std::vector<std::string> controller_names;
   std::vector<Endpoint> controllers;
-  WorkerTimes times;
+  WorkerTiming timing;
   JobBook& jobs;
   RuleChecker& checker;
   WorkerCounts counts;
@@ -50,7 +50,7 @@
   std::function<void(const std::string& machine, const TaskKey& key, uint64_t attempt)>
       gang_task_ready;
   /// Called when a task has exited without success or its worker's lease has expired.
-  std::function<void(const TaskKey& key, uint64_t attempt)> gang_task_gone;
+  std::function<void(const TaskKey& key, uint64_t attempt)> gang_task_lost;
 };
 
 /// A worker that speaks the full protocol but executes no workload: it has the connections,
@@ -65,40 +65,40 @@
   /// Schedules the first heartbeat at a random time within one heartbeat period.
   void start();
   /// Partitions the worker from all controllers, or ends the partition.
-  void set_silent(bool silent);
+  void set_partitioned(bool partitioned);
   const WorkerState& state() const { return state_; }
 
   /// Starts a waiting task of a gang once all tasks of the attempt have fetched their images.
-  void run_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s);
+  void start_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s);
   /// Ends a task of a gang because another task of the attempt was lost.
   void end_gang_task(const TaskKey& key, uint64_t attempt, ExitCause cause);
 
  private:
-  void wake_later();
-  void on_wake();
+  void schedule_wake_up();
+  void on_wake_up();
   void advance_tasks(Seconds now);
-  void advance(const TaskKey& key, WorkerTask& task, Seconds now);
+  void advance_task(const TaskKey& key, WorkerTask& task, Seconds now);
   void set_running(const TaskKey& key, WorkerTask& task, Seconds run_s, Seconds now);
   void set_exited(const TaskKey& key, WorkerTask& task, ExitCause cause);
   void end_agent_epoch_if_expired(Seconds now);
-  void heartbeat_soon(Seconds now);
+  void expedite_heartbeat(Seconds now);
   void send_heartbeat(Seconds now);
-  void on_answer(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch);
-  void hear_leader(const std::string& body, Seconds sent_at, Seconds now);
-  void turn_to(const std::string& controller, Seconds now);
-  void turn_to_next(Seconds now);
+  void on_heartbeat_response(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch);
+  void on_leader_response(const std::string& body, Seconds sent_at, Seconds now);
+  void switch_controller(const std::string& controller, Seconds now);
+  void switch_to_next_controller(Seconds now);
   void on_commands(const HttpRequest& request, const Respond& respond);
   void execute(const std::vector<Command>& commands, Seconds now);
   void start_task(const Command& command, Seconds now);
-  Seconds random_between(Seconds least, Seconds most);
+  Seconds random_between(Seconds low, Seconds high);
 
   WorkerContext& context_;
   WorkerState state_;
   std::unique_ptr<HttpServer> server_;
   std::unique_ptr<HttpClient> client_;
   asio::steady_timer timer_;
-  size_t controller_ = 0;
-  bool silent_ = false;
+  size_t controller_index_ = 0;
+  bool partitioned_ = false;
   bool heartbeat_in_flight_ = false;
   Seconds next_heartbeat_ = 0;
   Seconds last_heartbeat_ = 0;
--- a/src/simulators/state_server.cpp
+++ b/src/simulators/state_server.cpp
@@ -10,13 +10,13 @@
 namespace sumacquay::simulators {
 namespace {
 
-constexpr Seconds kBurst = 1;
-constexpr size_t kMostLogged = 10000;
-constexpr size_t kMostItems = 1000;
-constexpr size_t kMostPageBytes = size_t{512} * 1024;
-constexpr Seconds kMostWait = 60;
-constexpr Seconds kTick = 0.05;
-constexpr size_t kMostConnections = 2000;
+constexpr Seconds kRateLimitBurst = 1;
+constexpr size_t kMaxLogChanges = 10000;
+constexpr size_t kMaxPageItems = 1000;
+constexpr size_t kMaxPageBytes = size_t{512} * 1024;
+constexpr Seconds kMaxWatchWait = 60;
+constexpr Seconds kTickInterval = 0.05;
+constexpr size_t kMaxConnections = 2000;
 
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
@@ -27,37 +27,38 @@
 
 HttpLimits server_limits() {
   HttpLimits limits;
-  limits.connections = kMostConnections;
+  limits.connections = kMaxConnections;
   limits.body_bytes = size_t{128} * 1024;
   return limits;
 }
 
-uint64_t number_of(const std::string& text) {
+uint64_t parse_number(const std::string& text) {
   return std::strtoull(text.c_str(), nullptr, 10);
 }
 
-StoredChange stored(const KeyValueStore<std::string>::Change& change) {
+StoredChange to_stored_change(const KeyValueStore<std::string>::Change& change) {
   return {change.key, change.deletes() ? std::string() : *change.value, change.lease,
           change.version};
 }
 
-std::string key_of(const HttpRequest& request) {
+std::string key_in_path(const HttpRequest& request) {
   const std::string prefix = std::string(wire::path::kStore) + "/";
   return request.path.substr(std::min(prefix.size(), request.path.size()));
 }
 
 }  // namespace
 
-StateServer::StateServer(asio::io_context& io, const Endpoint& at, StateServerOptions options)
+StateServer::StateServer(asio::io_context& io, const Endpoint& endpoint, StateServerOptions options)
     : io_(io),
       options_(options),
-      requests_(options.requests_per_s, kBurst),
-      writes_(options.writes_per_s, kBurst),
+      request_limit_(options.requests_per_s, kRateLimitBurst),
+      write_limit_(options.writes_per_s, kRateLimitBurst),
       timer_(io),
-      server_(io, at, server_limits(), [this](const HttpRequest& request, const Respond& respond) {
-        handle(request, respond);
-      }) {
-  keep_time();
+      server_(io, endpoint, server_limits(),
+              [this](const HttpRequest& request, const Respond& respond) {
+                handle(request, respond);
+              }) {
+  on_tick();
 }
 
 std::optional<std::string> StateServer::value(const std::string& key) const {
@@ -69,20 +70,20 @@
 void StateServer::handle(const HttpRequest& request, const Respond& respond) {
   ++counts_.requests;
   counts_.bytes_in += request.body.size();
-  if (!requests_.take(1, steady_now())) {
+  if (!request_limit_.take(1, steady_now())) {
     ++counts_.refused;
-    return answer_later(respond, {kTooManyRequests, {}, 0});
+    return send_delayed(respond, {kTooManyRequests, {}, 0});
   }
-  if (request.path == wire::path::kChanges) return watch(request, respond);
-  answer_later(respond, answer(request));
-  answer_watches();
+  if (request.path == wire::path::kChanges) return add_watch(request, respond);
+  send_delayed(respond, route(request));
+  answer_due_watches();
 }
 
-HttpReply StateServer::answer(const HttpRequest& request) {
+HttpReply StateServer::route(const HttpRequest& request) {
   if (request.path == wire::path::kTransaction) return compare_and_swap(request);
-  if (request.path == wire::path::kStore) return page(request);
+  if (request.path == wire::path::kStore) return list_page(request);
   if (request.path.starts_with(wire::path::kStore)) return read(request);
-  if (request.path.starts_with(wire::path::kGrants)) return grants(request);
+  if (request.path.starts_with(wire::path::kGrants)) return handle_lease_request(request);
   return {kNotFound, {}, 0};
 }
 
@@ -90,7 +91,7 @@
   const auto transaction = parse_transaction(request.body);
   if (!transaction) return {kBadRequest, {}, 0};
   const auto writes = static_cast<double>(transaction->mutations.size());
-  if (!writes_.take(writes, steady_now())) {
+  if (!write_limit_.take(writes, steady_now())) {
     ++counts_.refused;
     return {kTooManyRequests, {}, 0};
   }
@@ -106,42 +107,43 @@
         kConflict,
         conflict_body(store_.failed_preconditions(transaction->preconditions), store_.revision()),
         0};
-  store_.trim_log(kMostLogged);
+  store_.trim_log(kMaxLogChanges);
   return {kOk, revision_body(*revision), 0};
 }
 
 HttpReply StateServer::read(const HttpRequest& request) const {
-  const auto* item = store_.find(key_of(request));
+  const auto* item = store_.find(key_in_path(request));
   if (!item) return {kNotFound, revision_body(store_.revision()), 0};
-  return {kOk, item_body(stored(*item)), 0};
+  return {kOk, item_body(to_stored_change(*item)), 0};
 }
 
-HttpReply StateServer::page(const HttpRequest& request) const {
-  const std::string prefix = query_field(request.query, "under");
-  const std::string after = query_field(request.query, "after");
-  const uint64_t asked = number_of(query_field(request.query, "most"));
-  const size_t most = asked ? std::min<size_t>(asked, kMostItems) : kMostItems;
+HttpReply StateServer::list_page(const HttpRequest& request) const {
+  const std::string prefix = query_parameter(request.query, "under");
+  const std::string after = query_parameter(request.query, "after");
+  const uint64_t requested_limit = parse_number(query_parameter(request.query, "most"));
+  const size_t limit =
+      requested_limit ? std::min<size_t>(requested_limit, kMaxPageItems) : kMaxPageItems;
   std::vector<StoredChange> items;
   size_t bytes = 0;
   auto item =
       after < prefix ? store_.items().lower_bound(prefix) : store_.items().upper_bound(after);
   for (; item != store_.items().end() && item->first.starts_with(prefix); ++item) {
-    if (items.size() == most || bytes > kMostPageBytes)
+    if (items.size() == limit || bytes > kMaxPageBytes)
       return {kOk, items_body(items, true, store_.revision()), 0};
-    items.push_back(stored(item->second));
+    items.push_back(to_stored_change(item->second));
     bytes += item->first.size() + item->second.value->size();
   }
   return {kOk, items_body(items, false, store_.revision()), 0};
 }
 
-HttpReply StateServer::grants(const HttpRequest& request) {
-  const std::string grants = std::string(wire::path::kGrants) + "/";
+HttpReply StateServer::handle_lease_request(const HttpRequest& request) {
+  const std::string prefix = std::string(wire::path::kGrants) + "/";
   if (request.path == wire::path::kGrants) {
     const auto duration = parse_lease_seconds(request.body);
     if (!duration) return {kBadRequest, {}, 0};
     return {kOk, lease_body(store_.grant(steady_now(), *duration)), 0};
   }
-  const uint64_t lease = number_of(request.path.substr(grants.size()));
+  const uint64_t lease = parse_number(request.path.substr(prefix.size()));
   if (request.method == "DELETE") {
     store_.revoke(lease);
     return {kOk, lease_body(lease), 0};
@@ -150,42 +152,44 @@
   return {renewed ? kOk : kNotFound, lease_body(lease), 0};
 }
 
-void StateServer::watch(const HttpRequest& request, const Respond& respond) {
+void StateServer::add_watch(const HttpRequest& request, const Respond& respond) {
   constexpr double kMillisecondsPerSecond = 1000;
-  const auto wait_ms = static_cast<double>(number_of(query_field(request.query, "block_ms")));
-  const Seconds wait = std::min(wait_ms / kMillisecondsPerSecond, kMostWait);
-  Watch watch{query_field(request.query, "under"), number_of(query_field(request.query, "after")),
-              steady_now() + wait, respond};
-  if (wait <= 0 || has_news(watch)) return answer_later(respond, changes(watch));
+  const auto wait_ms =
+      static_cast<double>(parse_number(query_parameter(request.query, "block_ms")));
+  const Seconds wait = std::min(wait_ms / kMillisecondsPerSecond, kMaxWatchWait);
+  Watch watch{query_parameter(request.query, "under"),
+              parse_number(query_parameter(request.query, "after")), steady_now() + wait, respond};
+  if (wait <= 0 || has_changes(watch)) return send_delayed(respond, changes_reply(watch));
   watches_.push_back(std::move(watch));
 }
 
-HttpReply StateServer::changes(const Watch& watch) const {
-  if (!store_.log_reaches(watch.after)) return {kGone, {}, 0};
-  std::vector<StoredChange> news;
-  for (const auto& change : store_.changes_after(watch.after))
-    if (change.key.starts_with(watch.prefix)) news.push_back(stored(change));
-  return {kOk, changes_body(news, store_.revision()), 0};
+HttpReply StateServer::changes_reply(const Watch& watch) const {
+  if (!store_.log_covers(watch.after_revision)) return {kGone, {}, 0};
+  std::vector<StoredChange> matching;
+  for (const auto& change : store_.changes_after(watch.after_revision))
+    if (change.key.starts_with(watch.prefix)) matching.push_back(to_stored_change(change));
+  return {kOk, changes_body(matching, store_.revision()), 0};
 }
 
-bool StateServer::has_news(const Watch& watch) const {
-  if (!store_.log_reaches(watch.after)) return true;
-  const auto news = store_.changes_after(watch.after);
-  return std::any_of(news.begin(), news.end(), [&](const Store::Change& change) {
+bool StateServer::has_changes(const Watch& watch) const {
+  if (!store_.log_covers(watch.after_revision)) return true;
+  const auto changes = store_.changes_after(watch.after_revision);
+  return std::any_of(changes.begin(), changes.end(), [&](const Store::Change& change) {
     return change.key.starts_with(watch.prefix);
   });
 }
 
-void StateServer::answer_watches() {
+void StateServer::answer_due_watches() {
   const Seconds now = steady_now();
   watches_.remove_if([&](const Watch& watch) {
-    if (now < watch.ends_at && (watch.after >= store_.revision() || !has_news(watch))) return false;
-    answer_later(watch.respond, changes(watch));
+    if (now < watch.ends_at && (watch.after_revision >= store_.revision() || !has_changes(watch)))
+      return false;
+    send_delayed(watch.respond, changes_reply(watch));
     return true;
   });
 }
 
-void StateServer::answer_later(const Respond& respond, HttpReply reply) {
+void StateServer::send_delayed(const Respond& respond, HttpReply reply) {
   auto timer = std::make_shared<asio::steady_timer>(io_, to_microseconds(options_.latency_s));
   timer->async_wait([this, timer, respond, reply = std::move(reply)](auto error) {
     if (!error) send(respond, reply);
@@ -197,12 +201,12 @@
   respond(reply);
 }
 
-void StateServer::keep_time() {
+void StateServer::on_tick() {
   store_.expire_leases(steady_now());
-  answer_watches();
-  timer_.expires_after(to_microseconds(kTick));
+  answer_due_watches();
+  timer_.expires_after(to_microseconds(kTickInterval));
   timer_.async_wait([this](auto error) {
-    if (!error) keep_time();
+    if (!error) on_tick();
   });
 }
 
--- a/src/simulators/state_server.h
+++ b/src/simulators/state_server.h
@@ -31,7 +31,7 @@
 /// may connect.
 class StateServer {
  public:
-  StateServer(asio::io_context& io, const Endpoint& at, StateServerOptions options);
+  StateServer(asio::io_context& io, const Endpoint& endpoint, StateServerOptions options);
 
   const StateServerCounts& counts() const { return counts_; }
   /// The encoded value of a key; none if the key does not exist.
@@ -43,29 +43,29 @@
   /// A pending request for the changes after a revision.
   struct Watch {
     std::string prefix;
-    uint64_t after = 0;
+    uint64_t after_revision = 0;
     Seconds ends_at = 0;
     Respond respond;
   };
 
   void handle(const HttpRequest& request, const Respond& respond);
-  HttpReply answer(const HttpRequest& request);
+  HttpReply route(const HttpRequest& request);
   HttpReply compare_and_swap(const HttpRequest& request);
   HttpReply read(const HttpRequest& request) const;
-  HttpReply page(const HttpRequest& request) const;
-  HttpReply grants(const HttpRequest& request);
-  void watch(const HttpRequest& request, const Respond& respond);
-  HttpReply changes(const Watch& watch) const;
-  bool has_news(const Watch& watch) const;
-  void answer_watches();
-  void answer_later(const Respond& respond, HttpReply reply);
+  HttpReply list_page(const HttpRequest& request) const;
+  HttpReply handle_lease_request(const HttpRequest& request);
+  void add_watch(const HttpRequest& request, const Respond& respond);
+  HttpReply changes_reply(const Watch& watch) const;
+  bool has_changes(const Watch& watch) const;
+  void answer_due_watches();
+  void send_delayed(const Respond& respond, HttpReply reply);
   void send(const Respond& respond, const HttpReply& reply);
-  void keep_time();
+  void on_tick();
 
   asio::io_context& io_;
   StateServerOptions options_;
   Store store_;
-  RateLimit requests_, writes_;
+  RateLimit request_limit_, write_limit_;
   StateServerCounts counts_;
   std::list<Watch> watches_;
   asio::steady_timer timer_;
--- a/src/simulators/users.cpp
+++ b/src/simulators/users.cpp
@@ -9,12 +9,12 @@
 namespace sumacquay::simulators {
 namespace {
 
-constexpr size_t kConnectionsEach = 20;
-constexpr size_t kQueuedEach = 100000;
+constexpr size_t kConnectionsPerController = 20;
+constexpr size_t kMaxQueuedRequests = 100000;
 /// Request timeouts, and the delay before a failed request is retried.
 constexpr Seconds kSubmissionTimeout = 5;
-constexpr Seconds kQuestionTimeout = 2;
-constexpr Seconds kRepeatAfter = 1;
+constexpr Seconds kStatusTimeout = 2;
+constexpr Seconds kRetryDelay = 1;
 
 constexpr int kCreated = 201;
 constexpr int kNotFound = 404;
@@ -25,44 +25,45 @@
              RuleChecker& checker)
     : io_(io), jobs_(jobs), checker_(checker), poll_timer_(io) {
   for (const auto& controller : controllers)
-    controllers_.push_back(
-        std::make_unique<HttpClient>(io, controller, kConnectionsEach, kQueuedEach));
+    controllers_.push_back(std::make_unique<HttpClient>(io, controller, kConnectionsPerController,
+                                                        kMaxQueuedRequests));
 }
 
 Users::~Users() = default;
 
 HttpClient& Users::next_controller() {
-  next_ = (next_ + 1) % controllers_.size();
-  return *controllers_[next_];
+  controller_index_ = (controller_index_ + 1) % controllers_.size();
+  return *controllers_[controller_index_];
 }
 
-void Users::again_later(std::function<void()> action) {
-  auto timer = std::make_shared<asio::steady_timer>(io_, to_microseconds(kRepeatAfter));
+void Users::retry_later(std::function<void()> action) {
+  auto timer = std::make_shared<asio::steady_timer>(io_, to_microseconds(kRetryDelay));
   timer->async_wait([timer, action = std::move(action)](auto error) {
     if (!error) action();
   });
 }
 
-void Users::submit(const SubmittedJob& job, const std::function<void(Seconds)>& accepted) {
-  SubmittedJob& known = jobs_[job.spec.id] = job;
-  known.submitted_at = steady_now();
-  send_submission(job.spec.id, accepted);
+void Users::submit(const SubmittedJob& job, const std::function<void(Seconds)>& on_accepted) {
+  SubmittedJob& submitted = jobs_[job.spec.id] = job;
+  submitted.submitted_at = steady_now();
+  send_submission(job.spec.id, on_accepted);
 }
 
-void Users::send_submission(const std::string& id, const std::function<void(Seconds)>& accepted) {
+void Users::send_submission(const std::string& id,
+                            const std::function<void(Seconds)>& on_accepted) {
   ++counts_.requests;
   next_controller().request(
       "POST", wire::path::kJobs, submission_body(jobs_.at(id).spec), kSubmissionTimeout,
-      [this, id, accepted](const HttpResult& result) {
-        const bool taken = result.ok() || (result.answered && result.status == kCreated);
-        if (!taken) {
+      [this, id, on_accepted](const HttpResult& result) {
+        const bool confirmed = result.ok() || (result.answered && result.status == kCreated);
+        if (!confirmed) {
           ++(result.answered ? counts_.refused : counts_.unanswered);
-          return again_later([this, id, accepted] { send_submission(id, accepted); });
+          return retry_later([this, id, on_accepted] { send_submission(id, on_accepted); });
         }
         SubmittedJob& job = jobs_.at(id);
         job.accepted_at = steady_now();
         ++counts_.accepted;
-        if (accepted) accepted(*job.accepted_at - *job.submitted_at);
+        if (on_accepted) on_accepted(*job.accepted_at - *job.submitted_at);
       });
 }
 
@@ -80,7 +81,7 @@
                                   result.ok() ? parse_job_status(result.body) : std::nullopt;
                               if (!status) {
                                 ++(result.answered ? counts_.refused : counts_.unanswered);
-                                return again_later([this, id] { send_cancellation(id); });
+                                return retry_later([this, id] { send_cancellation(id); });
                               }
                               const Seconds now = steady_now();
                               if (status->state == wire::UserVisibleState::Cancelled)
@@ -90,12 +91,12 @@
                             });
 }
 
-void Users::poll(double per_s) {
+void Users::start_polling(double per_s) {
   polls_per_s_ = per_s;
-  poll_next();
+  schedule_poll();
 }
 
-void Users::poll_next() {
+void Users::schedule_poll() {
   if (polls_per_s_ <= 0) return;
   poll_timer_.expires_after(to_microseconds(1 / polls_per_s_));
   poll_timer_.async_wait([this](auto error) {
@@ -104,21 +105,21 @@
     if (job == jobs_.end()) job = jobs_.begin();
     if (job != jobs_.end()) {
       last_polled_ = job->first;
-      if (job->second.accepted_at) send_question(job->first);
+      if (job->second.accepted_at) send_status_request(job->first);
     }
-    poll_next();
+    schedule_poll();
   });
 }
 
-void Users::send_question(const std::string& id) {
+void Users::send_status_request(const std::string& id) {
   ++counts_.requests;
-  next_controller().request("GET", std::string(wire::path::kJobs) + "/" + id, "", kQuestionTimeout,
-                            [this, id, asked_at = steady_now()](const HttpResult& result) {
-                              hear_status(id, result, asked_at);
+  next_controller().request("GET", std::string(wire::path::kJobs) + "/" + id, "", kStatusTimeout,
+                            [this, id, sent_at = steady_now()](const HttpResult& result) {
+                              on_status_response(id, result, sent_at);
                             });
 }
 
-void Users::hear_status(const std::string& id, const HttpResult& result, Seconds asked_at) {
+void Users::on_status_response(const std::string& id, const HttpResult& result, Seconds sent_at) {
   const auto status = result.ok() ? parse_job_status(result.body) : std::nullopt;
   if (result.answered && result.status == kNotFound)
     return checker_.user_told_unknown(id, steady_now());
@@ -134,7 +135,7 @@
       return checker_.user_told_cancelled(id, now);
     case wire::UserVisibleState::Pending:
     case wire::UserVisibleState::Running:
-      return checker_.user_told_unfinished(id, asked_at);
+      return checker_.user_told_unfinished(id, sent_at);
   }
 }
 
--- a/src/simulators/users.h
+++ b/src/simulators/users.h
@@ -28,28 +28,29 @@
         RuleChecker& checker);
   ~Users();
 
-  /// Submits a job and retries until it is accepted; then calls `accepted` with the elapsed time.
-  void submit(const SubmittedJob& job, const std::function<void(Seconds)>& accepted = nullptr);
+  /// Submits a job and retries until it is accepted; then calls `on_accepted` with the elapsed
+  /// time.
+  void submit(const SubmittedJob& job, const std::function<void(Seconds)>& on_accepted = nullptr);
   /// Cancels a job and retries until a controller answers with the job's state.
   void cancel(const std::string& id);
   /// Sends status requests for the accepted jobs in round-robin order, at most `per_s` per second.
-  void poll(double per_s);
+  void start_polling(double per_s);
   const UserCounts& counts() const { return counts_; }
 
  private:
   HttpClient& next_controller();
-  void send_submission(const std::string& id, const std::function<void(Seconds)>& accepted);
+  void send_submission(const std::string& id, const std::function<void(Seconds)>& on_accepted);
   void send_cancellation(const std::string& id);
-  void poll_next();
-  void send_question(const std::string& id);
-  void hear_status(const std::string& id, const HttpResult& result, Seconds asked_at);
-  void again_later(std::function<void()> action);
+  void schedule_poll();
+  void send_status_request(const std::string& id);
+  void on_status_response(const std::string& id, const HttpResult& result, Seconds sent_at);
+  void retry_later(std::function<void()> action);
 
   asio::io_context& io_;
   JobBook& jobs_;
   RuleChecker& checker_;
   std::vector<std::unique_ptr<HttpClient>> controllers_;
-  size_t next_ = 0;
+  size_t controller_index_ = 0;
   std::string last_polled_;
   double polls_per_s_ = 0;
   asio::steady_timer poll_timer_;
--- a/src/simulators/worker_state.cpp
+++ b/src/simulators/worker_state.cpp
@@ -24,12 +24,12 @@
   fencing_token = std::max(fencing_token, seen);
 }
 
-bool WorkerState::lease_over(Seconds lease, Seconds now) const {
+bool WorkerState::lease_expired(Seconds lease, Seconds now) const {
   return now - answered_heartbeat.value_or(agent_epoch_began) > lease;
 }
 
 void WorkerState::expire_agent_epoch(Seconds lease, Seconds now) {
-  if (!lease_over(lease, now)) return;
+  if (!lease_expired(lease, now)) return;
   tasks.clear();
   ++agent_epoch;
   agent_epoch_began = now;
@@ -37,15 +37,15 @@
 }
 
 bool WorkerState::accepts_start(const Command& command) const {
-  const auto known = tasks.find(command.key);
-  if (known == tasks.end()) return true;
-  return known->second.attempt != command.attempt && !known->second.present();
+  const auto found = tasks.find(command.key);
+  if (found == tasks.end()) return true;
+  return found->second.attempt != command.attempt && !found->second.present();
 }
 
 WorkerTask* WorkerState::find(const Command& command) {
-  const auto known = tasks.find(command.key);
-  if (known == tasks.end() || known->second.attempt != command.attempt) return nullptr;
-  return &known->second;
+  const auto found = tasks.find(command.key);
+  if (found == tasks.end() || found->second.attempt != command.attempt) return nullptr;
+  return &found->second;
 }
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/worker_state.h
+++ b/src/simulators/worker_state.h
@@ -34,7 +34,7 @@
   void advance_fencing_token(uint64_t seen);
   /// Whether the lease has expired: it runs from the send time of the last answered heartbeat, or
   /// from the start of the agent epoch.
-  bool lease_over(Seconds lease, Seconds now) const;
+  bool lease_expired(Seconds lease, Seconds now) const;
   /// Starts a new agent epoch without tasks if the lease has expired.
   void expire_agent_epoch(Seconds lease, Seconds now);
   /// Whether a start command has an effect. It is ignored if the worker has the same attempt in any
