--- a/src/loadtest/load_settings.cpp
+++ b/src/loadtest/load_settings.cpp
@@ -70,14 +70,16 @@
                               static_cast<double>(settings.tasks()) * kBytesPerTask +
                               settings.controllers * kBytesPerController;
   if (needed_bytes > kMaxMemoryFraction * memory_bytes)
-    refuse_setting(source, "machines", "takes more than half of this machine's memory");
+    refuse_setting(source, "machines", "needs more than half of this machine's memory");
   rlimit socket_limit{};
   getrlimit(RLIMIT_NOFILE, &socket_limit);
   const auto max_sockets = static_cast<double>(socket_limit.rlim_cur);
   if (settings.machines * settings.worker_sockets_per_machine + kSpareSockets > max_sockets)
-    refuse_setting(source, "machines", "needs more sockets than a process may open here");
+    refuse_setting(source, "machines",
+                   "needs more sockets than this process's open-file limit allows");
   if (settings.controller_sockets + kSpareSockets > max_sockets)
-    refuse_setting(source, "controller_sockets", "is more than a process may open here");
+    refuse_setting(source, "controller_sockets",
+                   "is more than this process's open-file limit allows");
 }
 
 }  // namespace sumacquay::loadtest
--- a/src/loadtest/load_test.cpp
+++ b/src/loadtest/load_test.cpp
@@ -108,7 +108,7 @@
 void LoadTest::check_controllers_running() {
   for (auto& controller : controllers_)
     if (controller.exited_unexpectedly())
-      throw std::runtime_error(controller.name() + " has ended by itself; see its log in " +
+      throw std::runtime_error(controller.name() + " exited unexpectedly; see its log in " +
                                options_.directory);
 }
 
@@ -126,7 +126,8 @@
     controllers_.back().start();
   }
   if (!run_until([this] { return find_leader().has_value(); }, kElectionTimeout))
-    throw std::runtime_error("no controller leads; see their logs in " + options_.directory);
+    throw std::runtime_error("no controller became leader in time; see the logs in " +
+                             options_.directory);
 }
 
 std::optional<size_t> LoadTest::find_leader() const {
@@ -151,7 +152,7 @@
   measurement.filled =
       ratio(static_cast<double>(checker_.active_tasks()), static_cast<double>(settings_.tasks()));
   measurement.fill_leader_cpu_s = controllers_[leader].usage().cpu_s - cpu_before;
-  spdlog::info("{} of {} tasks run after {:.1f} s", checker_.active_tasks(), settings_.tasks(),
+  spdlog::info("{} of {} tasks running after {:.1f} s", checker_.active_tasks(), settings_.tasks(),
                measurement.fill_s);
 }
 
@@ -279,8 +280,8 @@
   checker_.check_cancelled(steady_now());
   measurement.violations = static_cast<double>(checker_.violations().size());
   spdlog::info(
-      "{}: leader {:.3f} cores, {:.0f} MB; urgent work p50 {:.2f} s, p99 {:.2f} s; {} "
-      "rules broken",
+      "{}: leader {:.3f} cores, {:.0f} MB; urgent jobs start p50 {:.2f} s, p99 {:.2f} s; {} rule "
+      "violations",
       phase, measurement.leader_cores, measurement.leader_mb, measurement.urgent_p50_s,
       measurement.urgent_p99_s, measurement.violations);
   return measurement;
--- a/src/loadtest/measurement.cpp
+++ b/src/loadtest/measurement.cpp
@@ -84,7 +84,8 @@
   std::vector<Measurement> rows;
   while (std::getline(in, line)) {
     const auto cells = split(line);
-    if (cells.size() != header.size()) refuse_setting(path, "row", "has another number of cells");
+    if (cells.size() != header.size())
+      refuse_setting(path, "row", "has a different number of cells than the header");
     Measurement row;
     row.quantity = cells[0];
     for (size_t i = 1; i < cells.size(); ++i)
--- a/src/loadtest/sweep.cpp
+++ b/src/loadtest/sweep.cpp
@@ -25,7 +25,7 @@
     *field.value = value;
     return settings;
   }
-  refuse_setting(source, quantity, "is no quantity of the load");
+  refuse_setting(source, quantity, "is not a setting of the load");
 }
 
 bool already_measured(const std::vector<Measurement>& rows, const std::string& quantity,
@@ -38,7 +38,7 @@
 const Column& require_column(const std::string& name) {
   for (const auto& column : columns())
     if (name == column.name) return column;
-  refuse_setting("plot", name, "is no column");
+  refuse_setting("plot", name, "is not a column of the table");
 }
 
 /// Runs gnuplot on a script; throws if gnuplot can't be started or fails.
@@ -50,7 +50,7 @@
   const bool started =
       posix_spawnp(&process, "gnuplot", nullptr, nullptr, arguments.data(), environ) == 0;
   if (!started || waitpid(process, &status, 0) != process || status != 0)
-    throw std::runtime_error("gnuplot could not draw " + script);
+    throw std::runtime_error("gnuplot failed to run script " + script);
 }
 
 }  // namespace
@@ -63,7 +63,7 @@
 void append_rows(const std::string& table, const std::vector<Measurement>& rows) {
   const bool is_new = !std::filesystem::exists(table) || std::filesystem::is_empty(table);
   std::ofstream out(table, std::ios::app);
-  if (!out) refuse_setting(table, "table", "can't be written");
+  if (!out) refuse_setting(table, "table", "can't be opened for writing");
   if (is_new) write_header(out);
   for (const auto& row : rows) write_row(out, row);
 }
