--- a/src/loadtest/load_test.h
+++ b/src/loadtest/load_test.h
@@ -18,31 +18,33 @@
 
 namespace sumacquay::loadtest {
 
+/// Paths and extra settings of the controllers under test.
 struct LoadTestOptions {
-  std::string program;    ///< the controller
-  std::string directory;  ///< for settings and logs of the controllers
-  std::string tuning;     ///< further lines of the operators' file
+  std::string program;    ///< the controller's executable
+  std::string directory;  ///< settings and logs of the controllers
+  std::string tuning;     ///< additional lines of the operators' settings
 };
 
-/// One deployment on loopback from start to end: real controllers as processes of their own, and in
-/// this process the state service, the cloud, simulated workers and users.
+/// One trial of a deployment on loopback: real controllers in child processes, and in this process
+/// the simulated key-value store, cloud, workers and users.
 class LoadTest {
  public:
   LoadTest(const LoadSettings& settings, LoadTestOptions options);
   ~LoadTest();
 
-  /// Puts the load on and measures it.
+  /// Starts the controllers, fills the fleet with tasks and measures the steady state.
   Measurement measure_load();
-  /// After `measure_load`: ends the leader, then a follower, then silences a zone, and measures
-  /// each time what urgent work notices.
+  /// Requires `measure_load`. Kills the leader, then a follower, then partitions a zone, and
+  /// measures the effect of each fault on urgent jobs.
   std::vector<Measurement> measure_faults();
   const std::vector<std::string>& violations() const { return checker_.violations(); }
 
  private:
+  /// Counters and resource usage at one time; rates are computed from two of them.
   struct Snapshot {
-    Seconds at = 0;
+    Seconds taken_at = 0;
     std::vector<ProcessUsage> controllers;
-    ProcessUsage own;
+    ProcessUsage this_process;
     simulators::WorkerCounts workers;
     simulators::StateServerCounts state;
     simulators::CloudCounts cloud;
@@ -50,23 +52,23 @@
   };
 
   void start_controllers();
-  void fill(Measurement& measurement);
-  void submit_waiting();
-  void submit_urgent();
-  void begin_urgent(bool on);
-  Measurement measure(const std::string& phase, Seconds span);
+  void fill_fleet(Measurement& measurement);
+  void submit_waiting_jobs();
+  void schedule_urgent_job();
+  void set_urgent_load(bool enabled);
+  Measurement measure(const std::string& phase, Seconds duration);
   void add_rates(Measurement& measurement, const Snapshot& before, const Snapshot& after) const;
-  void add_urgent(Measurement& measurement);
+  void add_urgent_results(Measurement& measurement);
   Snapshot snapshot() const;
-  Measurement leader_killed();
-  Measurement follower_killed();
-  Measurement zone_silent();
-  void run_for(Seconds span);
-  bool run_until(const std::function<bool()>& reached, Seconds most);
-  /// Which controller leads, by the record in the state service.
-  std::optional<size_t> leader() const;
+  Measurement measure_leader_killed();
+  Measurement measure_follower_killed();
+  Measurement measure_zone_silent();
+  void run_for(Seconds duration);
+  bool run_until(const std::function<bool()>& condition, Seconds timeout);
+  /// The index of the running controller that the leader record in the key-value store names.
+  std::optional<size_t> find_leader() const;
   void on_task_running(const std::string& id);
-  void require_running();
+  void check_controllers_running();
 
   LoadSettings settings_;
   LoadTestOptions options_;
@@ -82,9 +84,9 @@
   std::vector<ControllerProcess> controllers_;
   Workload workload_;
   asio::steady_timer urgent_timer_;
-  bool urgent_on_ = false;
+  bool urgent_enabled_ = false;
   Quantiles accept_times_;
-  std::unique_ptr<Quantiles> urgent_of_phase_;
+  std::unique_ptr<Quantiles> urgent_start_times_;
   size_t urgent_submitted_ = 0;
 };
 
--- a/src/net/http_parsing.cpp
+++ b/src/net/http_parsing.cpp
@@ -5,7 +5,7 @@
 namespace sumacquay {
 namespace {
 
-// What a callback of the library returns.
+// Return values of http_parser callbacks.
 constexpr int kContinue = 0;
 constexpr int kStop = 1;
 
@@ -13,7 +13,7 @@
   return http_should_keep_alive(&parser) ? KeepAlive::Yes : KeepAlive::No;
 }
 
-/// Passes bytes to the library; false if it did not take them all.
+/// Passes bytes to the library. Returns false if it did not consume them all.
 bool execute(http_parser& parser, const http_parser_settings& callbacks, std::string_view bytes) {
   const size_t used = http_parser_execute(&parser, &callbacks, bytes.data(), bytes.size());
   return parser.http_errno == HPE_OK && used == bytes.size();
@@ -54,7 +54,7 @@
   http_parser_init(&parser_, HTTP_REQUEST);
 }
 
-HttpRequestParser& HttpRequestParser::of(http_parser* parser) {
+HttpRequestParser& HttpRequestParser::instance_of(http_parser* parser) {
   return *static_cast<HttpRequestParser*>(parser->data);
 }
 
@@ -85,17 +85,19 @@
     http_parser_settings settings;
     http_parser_settings_init(&settings);
     settings.on_url = [](http_parser* parser, const char* at, size_t size) {
-      of(parser).target_.append(at, size);
-      return of(parser).count_header(size);
+      instance_of(parser).target_.append(at, size);
+      return instance_of(parser).count_header(size);
     };
     settings.on_header_field = [](http_parser* parser, const char*, size_t size) {
-      return of(parser).count_header(size);
+      return instance_of(parser).count_header(size);
     };
     settings.on_header_value = settings.on_header_field;
     settings.on_body = [](http_parser* parser, const char* at, size_t size) {
-      return of(parser).append_body({at, size});
+      return instance_of(parser).append_body({at, size});
+    };
+    settings.on_message_complete = [](http_parser* parser) {
+      return instance_of(parser).complete();
     };
-    settings.on_message_complete = [](http_parser* parser) { return of(parser).complete(); };
     return settings;
   }();
   return value;
@@ -126,7 +128,7 @@
   http_parser_init(&parser_, HTTP_RESPONSE);
 }
 
-HttpResponseParser& HttpResponseParser::of(http_parser* parser) {
+HttpResponseParser& HttpResponseParser::instance_of(http_parser* parser) {
   return *static_cast<HttpResponseParser*>(parser->data);
 }
 
@@ -135,13 +137,13 @@
     http_parser_settings settings;
     http_parser_settings_init(&settings);
     settings.on_body = [](http_parser* parser, const char* at, size_t size) {
-      HttpResponseParser& self = of(parser);
+      HttpResponseParser& self = instance_of(parser);
       if (self.body_.size() + size > self.max_body_bytes_) return kStop;
       self.body_.append(at, size);
       return kContinue;
     };
     settings.on_message_complete = [](http_parser* parser) {
-      of(parser).complete_ = true;
+      instance_of(parser).complete_ = true;
       return kContinue;
     };
     return settings;
--- a/src/simulators/key_value_store.h
+++ b/src/simulators/key_value_store.h
@@ -14,14 +14,16 @@
 
 namespace sumacquay::simulators {
 
-/// The state service without I/O: keys with versions, guarded transactions, leases and the log of
-/// changes. `Value` is whatever a key holds. Limits on requests and faults are its callers' matter.
+/// In-memory model of the key-value store, without I/O: versioned keys, compare-and-swap
+/// transactions, leases and a change log. `Value` is the type of the stored values. Rate limits and
+/// faults are simulated by the callers.
 template <class Value>
 class KeyValueStore {
  public:
+  /// A put or delete of a key; also the current item of a key.
   struct Change {
     std::string key;
-    std::shared_ptr<const Value> value;  ///< null: the key is deleted
+    std::shared_ptr<const Value> value;  ///< null if the change deletes the key
     uint64_t version = 0;
     uint64_t lease = 0;
 
@@ -37,13 +39,13 @@
     return item ? item->version : 0;
   }
 
-  /// A key's item, null if there is no such key.
+  /// The item of a key; null if the key does not exist.
   const Change* find(const std::string& key) const {
     const auto item = items_.find(key);
     return item == items_.end() ? nullptr : &item->second;
   }
 
-  /// All items in the order of their keys.
+  /// All items, ordered by key.
   const std::map<std::string, Change>& items() const { return items_; }
   std::vector<Change> all() const {
     std::vector<Change> out;
@@ -53,14 +55,14 @@
 
   uint64_t revision() const { return revision_; }
 
-  /// Whether all leases that the changes name are alive.
+  /// Whether none of the leases attached to the changes has expired or been revoked.
   bool leases_alive(const std::vector<Change>& changes) const {
     return std::all_of(changes.begin(), changes.end(), [this](const Change& change) {
       return change.lease == 0 || leases_.contains(change.lease);
     });
   }
 
-  /// The keys whose versions are not the guarded ones.
+  /// The keys whose versions differ from their preconditions.
   std::vector<std::string> failed_preconditions(
       const std::vector<wire::Precondition>& preconditions) const {
     std::vector<std::string> failed;
@@ -69,7 +71,8 @@
     return failed;
   }
 
-  /// The revision, none if a guard fails or a lease has ended.
+  /// Applies the changes atomically and returns the new revision; none if a precondition fails or a
+  /// lease has expired or been revoked. Without changes the revision stays the same.
   std::optional<uint64_t> compare_and_swap(const std::vector<wire::Precondition>& preconditions,
                                            std::vector<Change> changes) {
     if (!leases_alive(changes) || !failed_preconditions(preconditions).empty()) return std::nullopt;
@@ -79,64 +82,66 @@
     return revision_;
   }
 
-  /// Changes after a revision; the log has to reach back that far.
+  /// The changes after a revision. Requires `log_covers(revision)`.
   std::vector<Change> changes_after(uint64_t revision) const {
     const auto from = std::upper_bound(
         log_.begin(), log_.end(), revision,
-        [](uint64_t sought, const Change& change) { return sought < change.version; });
+        [](uint64_t target, const Change& change) { return target < change.version; });
     return {from, log_.end()};
   }
 
-  /// Whether no change after the revision has been dropped from the log.
-  bool log_reaches(uint64_t revision) const { return revision >= dropped_up_to_; }
+  /// Whether the log still holds all changes after the revision.
+  bool log_covers(uint64_t revision) const { return revision >= last_dropped_revision_; }
 
-  /// Keeps the last changes alone.
-  void trim_log(size_t most) {
-    while (log_.size() > most) {
-      dropped_up_to_ = log_.front().version;
+  /// Drops the oldest changes until the log holds at most `max_changes`.
+  void trim_log(size_t max_changes) {
+    while (log_.size() > max_changes) {
+      last_dropped_revision_ = log_.front().version;
       log_.pop_front();
     }
   }
 
   uint64_t grant(Seconds now, Seconds duration) {
-    leases_[++last_lease_] = {now + duration, duration};
-    return last_lease_;
+    leases_[++last_lease_id_] = {now + duration, duration};
+    return last_lease_id_;
   }
 
-  /// False: the lease has ended.
+  /// Extends a lease by its full duration; false if it has expired or been revoked.
   bool renew(uint64_t lease, Seconds now) {
-    const auto held = leases_.find(lease);
-    if (held == leases_.end()) return false;
-    held->second.ends_at = now + held->second.duration;
+    const auto found = leases_.find(lease);
+    if (found == leases_.end()) return false;
+    found->second.ends_at = now + found->second.duration;
     return true;
   }
 
   void revoke(uint64_t lease) {
     if (!leases_.erase(lease)) return;
-    std::vector<std::string> gone;
+    std::vector<std::string> attached_keys;
     for (const auto& [key, item] : items_)
-      if (item.lease == lease) gone.push_back(key);
-    if (gone.empty()) return;
+      if (item.lease == lease) attached_keys.push_back(key);
+    if (attached_keys.empty()) return;
     ++revision_;
-    for (const auto& key : gone) apply(remove(key));
+    for (const auto& key : attached_keys) apply(remove(key));
   }
 
   void expire_leases(Seconds now) {
-    std::vector<uint64_t> ended;
+    std::vector<uint64_t> expired;
     for (const auto& [id, lease] : leases_)
-      if (now > lease.ends_at + kLeaseSlack) ended.push_back(id);
-    for (const auto id : ended) revoke(id);
+      if (now > lease.ends_at + kLeaseExpiryDelay) expired.push_back(id);
+    for (const auto id : expired) revoke(id);
   }
 
-  /// After an outage every lease starts anew.
+  /// Restarts all leases with their full duration, as the store does after an outage.
   void restart_leases(Seconds now) {
     for (auto& [id, lease] : leases_) lease.ends_at = now + lease.duration;
   }
 
  private:
-  /// How long past its end a lease is kept: never less, and up to 100 ms more.
-  static constexpr Seconds kLeaseSlack = 0.05;
+  /// Delay between the end of a lease and its expiry: a lease never expires early, and at most
+  /// 100 ms late.
+  static constexpr Seconds kLeaseExpiryDelay = 0.05;
 
+  /// A granted lease.
   struct Lease {
     Seconds ends_at = 0;
     Seconds duration = 0;
@@ -155,8 +160,8 @@
   std::map<uint64_t, Lease> leases_;
   std::deque<Change> log_;
   uint64_t revision_ = 1;
-  uint64_t dropped_up_to_ = 0;
-  uint64_t last_lease_ = 0;
+  uint64_t last_dropped_revision_ = 0;
+  uint64_t last_lease_id_ = 0;
 };
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/simulated_worker.h
+++ b/src/simulators/simulated_worker.h
@@ -15,86 +15,90 @@
 
 namespace sumacquay::simulators {
 
-/// Times of the protocol that a worker keeps to.
-struct WorkerTimes {
+/// Protocol intervals and timeouts of a worker.
+struct WorkerTiming {
   Seconds heartbeat_period_s = 4;
   Seconds lease_s = 22;
-  Seconds fetch_s = 0.5;  ///< to have a task's image
-  Seconds gang_wait_s = 30;
-  Seconds gang_peer_s = 5;
+  Seconds fetch_s = 0.5;     ///< mean time to fetch a task's image
+  Seconds gang_wait_s = 30;  ///< timeout of a task that waits for the rest of its gang
+  Seconds gang_peer_s = 5;   ///< delay before the other tasks of a gang exit when one is lost
 };
 
-/// What workers said and were told since the start.
+/// Message counters of all workers since the start.
 struct WorkerCounts {
   uint64_t heartbeats = 0;               ///< sent
-  uint64_t heartbeats_answered = 0;      ///< by a 200
-  uint64_t redirects = 0;                ///< answers that named another controller
-  uint64_t worker_commands = 0;          ///< received straight from the leader
-  uint64_t bytes_out = 0, bytes_in = 0;  ///< bodies and heads of both directions
-  uint64_t leases_lost = 0;
+  uint64_t heartbeats_answered = 0;      ///< with a 200 that renewed the lease
+  uint64_t redirects = 0;                ///< responses with status 421
+  uint64_t worker_commands = 0;          ///< command requests received
+  uint64_t bytes_out = 0, bytes_in = 0;  ///< bodies and estimated headers
+  uint64_t leases_lost = 0;              ///< leases that expired
 };
 
-/// What all simulated workers share.
+/// State and callbacks shared by all simulated workers.
 struct WorkerContext {
   asio::io_context& io;
   std::vector<std::string> controller_names;
   std::vector<Endpoint> controllers;
-  WorkerTimes times;
+  WorkerTiming timing;
   JobBook& jobs;
   RuleChecker& checker;
   WorkerCounts counts;
   std::mt19937_64 random;
+  /// Called when a task starts to run.
   std::function<void(const std::string& job)> task_running;
+  /// Called when a task of a gang has fetched its image and waits for the rest of the gang.
   std::function<void(const std::string& machine, const TaskKey& key, uint64_t attempt)>
       gang_task_ready;
-  std::function<void(const TaskKey& key, uint64_t attempt)> gang_task_gone;
+  /// Called when a task has exited without success or its worker's lease has expired.
+  std::function<void(const TaskKey& key, uint64_t attempt)> gang_task_lost;
 };
 
-/// A worker of the protocol that runs nothing: it keeps the connections, reports, leases and tasks
-/// of a real one, and its tasks only wait. Thousands share one process and one thread.
+/// A worker that speaks the full protocol but executes no workload: it has the connections,
+/// heartbeats, lease and task states of a real worker, and its tasks are timers. Thousands of them
+/// share one thread.
 class SimulatedWorker {
  public:
   SimulatedWorker(WorkerContext& context, WorkerState state, const Endpoint& listen);
   SimulatedWorker(const SimulatedWorker&) = delete;
   ~SimulatedWorker();
 
-  /// Begins to report, at a random moment of the first heartbeat period.
+  /// Schedules the first heartbeat at a random time within one heartbeat period.
   void start();
-  /// Whether it exchanges anything with controllers.
-  void set_silent(bool silent);
+  /// Partitions the worker from all controllers, or ends the partition.
+  void set_partitioned(bool partitioned);
   const WorkerState& state() const { return state_; }
 
-  /// All tasks of the gang's attempt have their images: the one here runs for so long.
-  void run_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s);
-  /// Another task of the gang is gone.
+  /// Starts a waiting task of a gang once all tasks of the attempt have fetched their images.
+  void start_gang_task(const TaskKey& key, uint64_t attempt, Seconds run_s);
+  /// Ends a task of a gang because another task of the attempt was lost.
   void end_gang_task(const TaskKey& key, uint64_t attempt, ExitCause cause);
 
  private:
-  void wake_later();
-  void on_wake();
+  void schedule_wake_up();
+  void on_wake_up();
   void advance_tasks(Seconds now);
-  void advance(const TaskKey& key, WorkerTask& task, Seconds now);
+  void advance_task(const TaskKey& key, WorkerTask& task, Seconds now);
   void set_running(const TaskKey& key, WorkerTask& task, Seconds run_s, Seconds now);
   void set_exited(const TaskKey& key, WorkerTask& task, ExitCause cause);
   void end_agent_epoch_if_expired(Seconds now);
-  void heartbeat_soon(Seconds now);
+  void expedite_heartbeat(Seconds now);
   void send_heartbeat(Seconds now);
-  void on_answer(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch);
-  void hear_leader(const std::string& body, Seconds sent_at, Seconds now);
-  void turn_to(const std::string& controller, Seconds now);
-  void turn_to_next(Seconds now);
+  void on_heartbeat_response(const HttpResult& result, Seconds sent_at, uint64_t agent_epoch);
+  void on_leader_response(const std::string& body, Seconds sent_at, Seconds now);
+  void switch_controller(const std::string& controller, Seconds now);
+  void switch_to_next_controller(Seconds now);
   void on_commands(const HttpRequest& request, const Respond& respond);
   void execute(const std::vector<Command>& commands, Seconds now);
   void start_task(const Command& command, Seconds now);
-  Seconds random_between(Seconds least, Seconds most);
+  Seconds random_between(Seconds low, Seconds high);
 
   WorkerContext& context_;
   WorkerState state_;
   std::unique_ptr<HttpServer> server_;
   std::unique_ptr<HttpClient> client_;
   asio::steady_timer timer_;
-  size_t controller_ = 0;
-  bool silent_ = false;
+  size_t controller_index_ = 0;
+  bool partitioned_ = false;
   bool heartbeat_in_flight_ = false;
   Seconds next_heartbeat_ = 0;
   Seconds last_heartbeat_ = 0;
--- a/src/simulators/state_server.h
+++ b/src/simulators/state_server.h
@@ -11,60 +11,61 @@
 
 namespace sumacquay::simulators {
 
-/// What the simulator of the state service allows, as the protocol tells it.
+/// Rate limits and latency of the simulated key-value store.
 struct StateServerOptions {
   double requests_per_s = 1000;
   double writes_per_s = 120;
-  Seconds latency_s = 0.005;  ///< before each answer
+  Seconds latency_s = 0.005;  ///< delay of each response
 };
 
-/// What it was asked for since it started.
+/// Counters of the simulated key-value store since its start.
 struct StateServerCounts {
   uint64_t requests = 0;
-  uint64_t writes = 0;   ///< puts and deletes
-  uint64_t refused = 0;  ///< answered 429
-  uint64_t bytes_in = 0, bytes_out = 0;
+  uint64_t writes = 0;                   ///< puts and deletes
+  uint64_t refused = 0;                  ///< rate limited: answered 429
+  uint64_t bytes_in = 0, bytes_out = 0;  ///< bodies only
 };
 
-/// A simulator of the state service on loopback: keys, pages, transactions, leases and watches of
-/// the protocol, with its limits. It keeps everything in memory and answers any number of
-/// controllers.
+/// HTTP server on loopback that simulates the key-value store, with its rate limits: reads, paged
+/// lists, transactions, leases and watches. All data is kept in memory; any number of controllers
+/// may connect.
 class StateServer {
  public:
-  StateServer(asio::io_context& io, const Endpoint& at, StateServerOptions options);
+  StateServer(asio::io_context& io, const Endpoint& endpoint, StateServerOptions options);
 
   const StateServerCounts& counts() const { return counts_; }
-  /// The encoded value of a key, none if there is no such key.
+  /// The encoded value of a key; none if the key does not exist.
   std::optional<std::string> value(const std::string& key) const;
   size_t keys() const { return store_.items().size(); }
 
  private:
   using Store = KeyValueStore<std::string>;
+  /// A pending request for the changes after a revision.
   struct Watch {
     std::string prefix;
-    uint64_t after = 0;
+    uint64_t after_revision = 0;
     Seconds ends_at = 0;
     Respond respond;
   };
 
   void handle(const HttpRequest& request, const Respond& respond);
-  HttpReply answer(const HttpRequest& request);
+  HttpReply route(const HttpRequest& request);
   HttpReply compare_and_swap(const HttpRequest& request);
   HttpReply read(const HttpRequest& request) const;
-  HttpReply page(const HttpRequest& request) const;
-  HttpReply grants(const HttpRequest& request);
-  void watch(const HttpRequest& request, const Respond& respond);
-  HttpReply changes(const Watch& watch) const;
-  bool has_news(const Watch& watch) const;
-  void answer_watches();
-  void answer_later(const Respond& respond, HttpReply reply);
+  HttpReply list_page(const HttpRequest& request) const;
+  HttpReply handle_lease_request(const HttpRequest& request);
+  void add_watch(const HttpRequest& request, const Respond& respond);
+  HttpReply changes_reply(const Watch& watch) const;
+  bool has_changes(const Watch& watch) const;
+  void answer_due_watches();
+  void send_delayed(const Respond& respond, HttpReply reply);
   void send(const Respond& respond, const HttpReply& reply);
-  void keep_time();
+  void on_tick();
 
   asio::io_context& io_;
   StateServerOptions options_;
   Store store_;
-  RateLimit requests_, writes_;
+  RateLimit request_limit_, write_limit_;
   StateServerCounts counts_;
   std::list<Watch> watches_;
   asio::steady_timer timer_;
--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -1,5 +1,5 @@
-// What the controllers decide, to the last action and its time, over fixed seeds: a change that is
-// meant to leave the behaviour as it is leaves every digest as it is.
+// Digests of all actions of the controllers and their times, for fixed seeds: a change that
+// preserves the behaviour leaves every digest unchanged.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -25,7 +25,7 @@
   return digests;
 }
 
-TEST(DecisionDigests, EqualTheStoredOnes) {
+TEST(DecisionDigests, MatchStoredDigests) {
   std::map<std::string, std::string> digests;
   for (const auto& scenario : testing::decision_scenarios())
     digests[scenario.name + " " + std::to_string(scenario.seed)] =
--- a/tests/simulation/random_faults.h
+++ b/tests/simulation/random_faults.h
@@ -6,28 +6,28 @@
 
 namespace sumacquay::simulation {
 
-/// Causes faults of all kinds at random, and rents machines where too few are left.
+/// Injects random faults of all kinds, and adds a machine when too few are left.
 class RandomFaults {
  public:
   RandomFaults(Environment& environment, Faults& faults, const Controllers& controllers,
                Cloud& cloud)
       : env_(environment), faults_(faults), controllers_(controllers), cloud_(cloud) {}
 
-  /// Called once per step.
+  /// Called once per step of the simulation.
   void step();
 
  private:
   bool chance(double probability) { return env_.random.chance(probability); }
-  Seconds between(Seconds least, Seconds most) { return env_.random.between(least, most); }
+  Seconds between(Seconds min, Seconds max) { return env_.random.between(min, max); }
 
-  /// Most often the leader.
+  /// Picks the leader with a high probability, otherwise any controller.
   size_t pick_controller();
-  void disturb_controller(size_t controller);
-  void cut_some_ways(size_t controller);
-  void end_all_controllers();
-  void disturb_state_service();
-  void disturb_network_and_cloud();
-  void disturb_machine();
+  void inject_controller_faults(size_t controller);
+  void partition_controller(size_t controller);
+  void restart_all_controllers();
+  void inject_store_faults();
+  void inject_network_and_cloud_faults();
+  void inject_machine_faults();
 
   Environment& env_;
   Faults& faults_;
