--- a/src/autoscaling/scale_out_planner.cpp
+++ b/src/autoscaling/scale_out_planner.cpp
@@ -59,7 +59,7 @@
   std::set<uint32_t> placed;
   for (const auto& assignment : assignments) {
     placed.insert(assignment.task);
-    ++placement_request.zones[candidates[assignment.candidate].zone];
+    ++placement_request.tasks_per_zone[candidates[assignment.candidate].zone];
   }
   std::erase_if(placement_request.tasks, [&](uint32_t task) { return placed.contains(task); });
 }
@@ -70,8 +70,8 @@
   const InstanceOffering* best = nullptr;
   double best_cost = 0;
   for (const auto& offering : offerings) {
-    if (offering.blocked ||
-        !allowed(*placement_request.spec, offering.type->name, offering.zone, offering.spot))
+    if (offering.blocked || !constraints_allow(*placement_request.spec, offering.type->name,
+                                               offering.zone, offering.spot))
       continue;
     if (!one_task_fits(placement_request, offering)) continue;
     const double offering_cost =
--- a/src/dispatch/actions.h
+++ b/src/dispatch/actions.h
@@ -20,9 +20,10 @@
   std::string machine, addr;
   uint64_t fencing_token = 0, agent_epoch = 0;
 };
-/// A request for machines. It is idempotent: a retry under the same name rents no further machines.
+/// A request for machines. It is idempotent: a retry under the same name provisions no further
+/// machines.
 struct ScaleOut {
-  std::string request, type, zone;
+  std::string request_name, type, zone;
   bool spot = false;
   int count = 0;
 };
--- a/src/dispatch/arrival_forecast.cpp
+++ b/src/dispatch/arrival_forecast.cpp
@@ -20,7 +20,7 @@
   job_class.arrivals.push_back({accepted, spec.tasks});
 }
 
-void ArrivalForecast::forget_old(Seconds now, Seconds longest_boot_s) {
+void ArrivalForecast::drop_old_arrivals(Seconds now, Seconds longest_boot_s) {
   const Seconds window_start = now - kArrivalWindowBootTimes * longest_boot_s;
   for (auto& [name, job_class] : classes_)
     std::erase_if(job_class.arrivals,
--- a/src/dispatch/arrival_forecast.h
+++ b/src/dispatch/arrival_forecast.h
@@ -11,14 +11,14 @@
 namespace sumacquay {
 
 /// Forecasts from recent arrivals how many tasks will arrive while a machine boots. The leader adds
-/// every job, rents machines for the forecast, and releases idle machines only if the expected
+/// every job, requests machines for the forecast, and releases idle machines only if the expected
 /// tasks still fit without them.
 class ArrivalForecast {
  public:
   /// Records that a job with this spec was accepted at the steady time `accepted`.
   void add(const JobSpec& spec, Seconds accepted);
   /// Drops arrivals older than a few boot times, so that the forecast falls when arrivals decline.
-  void forget_old(Seconds now, Seconds longest_boot_s);
+  void drop_old_arrivals(Seconds now, Seconds longest_boot_s);
   /// Returns a spec for each job class with expected arrivals. Its task count is the expected
   /// number of tasks times `factor`, rounded up. Services keep running, so every expected service
   /// needs its own capacity. Arrays finish, so one array is expected at a time, and only classes
--- a/src/dispatch/attempt_tracker.cpp
+++ b/src/dispatch/attempt_tracker.cpp
@@ -19,11 +19,11 @@
       return "stopped";
     case ExitCause::GangMemberGone:
       return "gang_member_gone";
-    case ExitCause::Alone:
+    case ExitCause::GangIncomplete:
       return "alone";
     case ExitCause::Error:
       return "error";
-    case ExitCause::NoRoom:
+    case ExitCause::InsufficientResources:
       return "insufficient_resources";
     case ExitCause::Busy:
       return "busy";
@@ -53,7 +53,7 @@
   uint64_t newest = id.attempt;
   for (auto at = first; at != last; ++at)
     for (const TaskPlacement& placement : at->second) {
-      ++work_.adoption_checks;
+      ++work_counters_.adoption_checks;
       newest = std::max(newest, placement.attempt);
     }
   if (gang) job.gang_attempt = newest;
@@ -82,7 +82,7 @@
   if (attempt.state == next) return;
   log_debug("task_attempt_state_changed", log_field("job", id.task.job),
             log_field("task", id.task.task), log_field("attempt", id.attempt),
-            log_field("machine", machine.info.id), log_field("from", name(attempt.state)),
+            log_field("machine", machine.host.id), log_field("from", name(attempt.state)),
             log_field("to", name(next)));
   attempt.state = next;
   attempt.start_sent = true;
@@ -105,11 +105,11 @@
   if (!job) return;
   if (attempt.cause == ExitCause::Done) return handle_success(machine, id, *job, now);
   log_info("task_attempt_ended", log_field("job", id.task.job), log_field("task", id.task.task),
-           log_field("attempt", id.attempt), log_field("machine", machine.info.id),
+           log_field("attempt", id.attempt), log_field("machine", machine.host.id),
            log_field("reason", name(attempt.cause)));
   if (attempt.cause == ExitCause::Error || attempt.cause == ExitCause::Unknown)
     failures_.record_task_failure(machine, *job, now);
-  if (attempt.cause == ExitCause::NoRoom || attempt.cause == ExitCause::Busy)
+  if (attempt.cause == ExitCause::InsufficientResources || attempt.cause == ExitCause::Busy)
     job->backoff_until = now + state_.settings().heartbeat_period_s;
   stop_gang_of(id.task, now);
 }
@@ -117,7 +117,7 @@
 void AttemptTracker::handle_success(Machine& machine, const TaskAttemptId& id, Job& job,
                                     Seconds now) {
   machine.failed_jobs.clear();
-  machine.failed_jobs_succeed_elsewhere = false;
+  machine.failed_job_succeeded_elsewhere = false;
   failures_.record_task_success(job, now);
   const JobSpec& spec = job.spec();
   if (spec.kind == JobKind::Service) return;
@@ -133,7 +133,7 @@
 void AttemptTracker::remove_all(Machine& machine) {
   while (!machine.attempts.empty()) {
     const TaskAttemptId id = machine.attempts.begin()->first;
-    const bool present = machine.attempts.begin()->second.possibly_present();
+    const bool present = machine.attempts.begin()->second.may_be_present();
     state_.remove_attempt(machine, id);
     if (present) stop_gang_of(id.task, state_.failover_at());
   }
--- a/src/dispatch/attempt_tracker.h
+++ b/src/dispatch/attempt_tracker.h
@@ -15,8 +15,12 @@
 class AttemptTracker {
  public:
   AttemptTracker(ClusterState& state, FailureAttribution& failures, CommandDispatcher& commands,
-                 RecordQueue& records, WorkCounters& work)
-      : state_(state), failures_(failures), commands_(commands), records_(records), work_(work) {}
+                 RecordQueue& records, WorkCounters& work_counters)
+      : state_(state),
+        failures_(failures),
+        commands_(commands),
+        records_(records),
+        work_counters_(work_counters) {}
 
   /// Takes over an attempt that an earlier leader started. It keeps running if it is the
   /// newest attempt of a task that is still to run. Otherwise it is stopped, as are older attempts.
@@ -45,7 +49,7 @@
   FailureAttribution& failures_;
   CommandDispatcher& commands_;
   RecordQueue& records_;
-  WorkCounters& work_;
+  WorkCounters& work_counters_;
 };
 
 }  // namespace sumacquay
--- a/src/dispatch/autoscaler.cpp
+++ b/src/dispatch/autoscaler.cpp
@@ -37,7 +37,7 @@
   for (const auto& type : state_.machine_types())
     for (const auto& zone : type.zones)
       for (const bool spot : {false, true}) {
-        const bool blocked = links_.failure_detector.zone_partitioned(zone) ||
+        const bool blocked = context_.failure_detector.zone_partitioned(zone) ||
                              requests_.backing_off({type.name, zone, spot}, now);
         offerings.push_back({&type, zone, spot, spot ? type.spot_price : type.price, blocked});
       }
@@ -47,18 +47,19 @@
 void Autoscaler::scale_out(std::vector<PlacementRequest> unplaced, Seconds now,
                            std::vector<Action>& actions) {
   const Settings& settings = state_.settings();
-  if (now < next_scale_out_ || state_.machine_types().empty() || !links_.capacity.settled(now))
+  if (now < next_scale_out_ || state_.machine_types().empty() ||
+      !context_.capacity.reconciled_or_timed_out(now))
     return;
   next_scale_out_ = now + settings.heartbeat_period_s * kRequestIntervalPeriods;
-  links_.arrivals.forget_old(now, longest_boot_time());
+  context_.arrivals.drop_old_arrivals(now, longest_boot_time());
   for (auto& request : requests_.due_for_retry(now)) actions.emplace_back(std::move(request));
   if (requests_.any_in_flight()) return;
-  auto booting = links_.capacity.booting(now);
-  auto up = links_.capacity.up(now);
-  const auto expected = links_.arrivals.expected(settings.tuning.headroom);
+  auto booting = context_.capacity.booting(now);
+  auto up = context_.capacity.up(now);
+  const auto expected = context_.arrivals.expected(settings.tuning.headroom);
   for (auto& arrival : placement_requests_for(expected)) {
     for (const auto& assignment : bin_pack(arrival, up)) {
-      ++arrival.zones[up[assignment.candidate].zone];
+      ++arrival.tasks_per_zone[up[assignment.candidate].zone];
       std::erase(arrival.tasks, assignment.task);
     }
     if (!arrival.tasks.empty()) unplaced.push_back(std::move(arrival));
@@ -71,8 +72,8 @@
 
 void Autoscaler::request_instances(const ScaleOutRequest& plan, std::vector<Action>& actions) {
   for (int remaining = plan.count; remaining > 0; remaining -= kMaxInstancesPerRequest) {
-    ScaleOut request = requests_.open({plan.type, plan.zone, plan.spot},
-                                      std::min(remaining, kMaxInstancesPerRequest));
+    ScaleOut request = requests_.create({plan.type, plan.zone, plan.spot},
+                                        std::min(remaining, kMaxInstancesPerRequest));
     log_info("scale_out_requested", log_field("count", request.count),
              log_field("type", request.type), log_field("zone", request.zone),
              log_field("spot", request.spot));
@@ -90,7 +91,7 @@
     auto [entry, added] = state_.machines().try_emplace(id);
     if (!added) continue;
     Machine& machine = entry->second;
-    machine.info = {id, "", request.type, request.zone, request.spot};
+    machine.host = {id, "", request.type, request.zone, request.spot};
     machine.first_seen = now;
     machine.reconciled = true;
   }
@@ -109,14 +110,14 @@
     auto [entry, added] = state_.machines().try_emplace(listed.id);
     Machine& machine = entry->second;
     if (added) {
-      machine.info.id = listed.id;
+      machine.host.id = listed.id;
       machine.first_seen = now - listed.age_s;
       machine.reconciled = true;  // no host record: no start was ever sent
     }
-    machine.info.type = listed.type;
-    machine.info.zone = listed.zone;
-    machine.info.spot = listed.spot;
-    if (machine.info.addr.empty()) machine.info.addr = listed.addr;
+    machine.host.type = listed.type;
+    machine.host.zone = listed.zone;
+    machine.host.spot = listed.spot;
+    if (machine.host.addr.empty()) machine.host.addr = listed.addr;
     if (listed.state == ListedMachine::State::Failed) machine.listed_failed = true;
   }
 }
@@ -124,16 +125,16 @@
 // ---------------------------------------------------------------- scale in
 
 bool Autoscaler::has_headroom(TentativePlacement& placement) const {
-  const auto expected = links_.arrivals.expected(state_.settings().tuning.headroom);
+  const auto expected = context_.arrivals.expected(state_.settings().tuning.headroom);
   const auto arrivals = placement_requests_for(expected);
   return std::all_of(
       arrivals.begin(), arrivals.end(),
-      [&placement](const PlacementRequest& arrival) { return placement.fits(arrival); });
+      [&placement](const PlacementRequest& arrival) { return placement.place(arrival); });
 }
 
 void Autoscaler::update_idle_times(Seconds now) {
   for (auto& [id, machine] : state_.machines()) {
-    const bool idle = machine.state == MachineState::Up && !machine.has_possible_attempts();
+    const bool idle = machine.state == MachineState::Up && !machine.may_have_attempts();
     if (!idle)
       machine.idle_since.reset();
     else if (!machine.idle_since)
@@ -145,12 +146,12 @@
 /// expected arrivals would not fit without them. Quarantined machines and spot machines that are
 /// being reclaimed are released without that check.
 void Autoscaler::release_idle_machines(Seconds now) {
-  if (!links_.capacity.settled(now) || requests_.any_in_flight()) return;
+  if (!context_.capacity.reconciled_or_timed_out(now) || requests_.any_in_flight()) return;
   update_idle_times(now);
-  auto candidates = links_.capacity.up(now);
+  auto candidates = context_.capacity.up(now);
   for (auto& candidate : candidates) {
     Machine& machine = state_.machines().at(candidate.machine);
-    const MachineType* type = state_.find_machine_type(machine.info.type);
+    const MachineType* type = state_.find_machine_type(machine.host.type);
     if (!machine.idle_since || !type ||
         now - *machine.idle_since < state_.settings().tuning.idle * type->boot_s)
       continue;
@@ -165,10 +166,10 @@
 
 void Autoscaler::release_failed_machines(Seconds now) {
   for (auto& [id, machine] : state_.machines()) {
-    if (!links_.failure_detector.should_release(machine, now)) continue;
-    log_info("machine_released", log_field("machine", id), log_field("zone", machine.info.zone),
+    if (!context_.failure_detector.should_release(machine, now)) continue;
+    log_info("machine_released", log_field("machine", id), log_field("zone", machine.host.zone),
              log_field("from", name(machine.state)),
-             log_field("silent_s", now - machine.last_heard));
+             log_field("silent_s", now - machine.last_seen_at));
     state_.set_machine_state(machine, MachineState::Releasing);
   }
 }
@@ -176,7 +177,7 @@
 void Autoscaler::scale_in(Seconds now, std::vector<Action>& actions) {
   if (scale_in_in_flight_ || now < next_scale_in_) return;
   next_scale_in_ = now + state_.settings().heartbeat_period_s * kRequestIntervalPeriods;
-  links_.failure_detector.update_partitioned_zones(now);
+  context_.failure_detector.update_partitioned_zones(now);
   release_failed_machines(now);
   release_idle_machines(now);
   ScaleIn release;
@@ -197,10 +198,10 @@
   for (const auto& id : release.machines) {
     Machine* machine = state_.find_machine(id);
     if (!machine) continue;
-    links_.attempts.remove_all(*machine);
+    context_.attempts.remove_all(*machine);
     state_.mark_reconciled(*machine);
-    if (machine->record != HostRecordState::None)
-      links_.record_planner.request_machine_deletion(id);
+    if (machine->host_record_state != HostRecordState::None)
+      context_.record_planner.request_machine_deletion(id);
     state_.released_machines()[id] = now;
     state_.machines().erase(id);
   }
--- a/src/dispatch/autoscaler.h
+++ b/src/dispatch/autoscaler.h
@@ -17,7 +17,7 @@
 namespace sumacquay {
 
 /// The modules that the autoscaler depends on.
-struct AutoscalerLinks {
+struct AutoscalerContext {
   const CapacityView& capacity;
   AttemptTracker& attempts;
   FailureDetector& failure_detector;
@@ -29,8 +29,8 @@
 /// idle and failed machines. Owns the requests to the cloud that are in flight.
 class Autoscaler {
  public:
-  Autoscaler(ClusterState& state, const AutoscalerLinks& links)
-      : state_(state), links_(links), requests_(state.term()) {}
+  Autoscaler(ClusterState& state, const AutoscalerContext& context)
+      : state_(state), context_(context), requests_(state.term()) {}
 
   /// Applies the cloud's list of machines, which may lag behind requests and releases.
   void on_machines_listed(const std::vector<ListedMachine>& machines, Seconds now);
@@ -62,7 +62,7 @@
   Seconds longest_boot_time() const;
 
   ClusterState& state_;
-  AutoscalerLinks links_;
+  AutoscalerContext context_;
   ScaleOutRequests requests_;
   Seconds next_scale_out_ = 0;
   Seconds next_scale_in_ = 0;
--- a/src/dispatch/capacity_view.cpp
+++ b/src/dispatch/capacity_view.cpp
@@ -13,14 +13,14 @@
 
 CandidateMachine candidate_for(const Machine& machine, const MachineType& type) {
   CandidateMachine candidate;
-  candidate.machine = machine.info.id;
-  candidate.of = &machine;
-  candidate.type = machine.info.type;
-  candidate.zone = machine.info.zone;
-  candidate.spot = machine.info.spot;
+  candidate.machine = machine.host.id;
+  candidate.source = &machine;
+  candidate.type = machine.host.type;
+  candidate.zone = machine.host.zone;
+  candidate.spot = machine.host.spot;
   candidate.capacity = candidate.available = type.capacity;
   for (const auto& [id, attempt] : machine.attempts) {
-    if (!attempt.possibly_present()) continue;
+    if (!attempt.may_be_present()) continue;
     candidate.available -= attempt.request;
     if (!attempt.desired_running) candidate.releasing += attempt.request;
   }
@@ -36,7 +36,7 @@
 bool CapacityView::schedulable(const Machine& machine, Seconds now) const {
   return machine.state == MachineState::Up && machine.fencing_token_acknowledged &&
          !machine.quarantined() && !machine.draining && !machine.reclaim_at &&
-         now - machine.last_heartbeat < heartbeat_timeout();
+         now - machine.last_heartbeat_at < heartbeat_timeout();
 }
 
 std::vector<CandidateMachine> CapacityView::machines_in(MachineState machine_state,
@@ -44,7 +44,7 @@
   std::vector<CandidateMachine> candidates;
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.state != machine_state) continue;
-    const MachineType* type = state_.find_machine_type(machine.info.type);
+    const MachineType* type = state_.find_machine_type(machine.host.type);
     if (!type) continue;
     CandidateMachine candidate = candidate_for(machine, *type);
     candidate.schedulable = machine_state == MachineState::Booting || schedulable(machine, now);
@@ -61,7 +61,7 @@
   return machines_in(MachineState::Booting, now);
 }
 
-bool CapacityView::settled(Seconds now) const {
+bool CapacityView::reconciled_or_timed_out(Seconds now) const {
   return state_.all_reconciled() || now - state_.failover_at() > heartbeat_timeout();
 }
 
--- a/src/dispatch/capacity_view.h
+++ b/src/dispatch/capacity_view.h
@@ -20,7 +20,7 @@
   /// reconciled, or the heartbeat timeout has passed since the failover. The wait is limited
   /// because a machine that is silent for so long may remain silent, and a large fleet always has
   /// such a machine.
-  bool settled(Seconds now) const;
+  bool reconciled_or_timed_out(Seconds now) const;
 
  private:
   std::vector<CandidateMachine> machines_in(MachineState machine_state, Seconds now) const;
--- a/src/dispatch/cluster_state.cpp
+++ b/src/dispatch/cluster_state.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-uint64_t ClusterState::time_of_day_ms(Seconds steady) const {
+uint64_t ClusterState::unix_time_ms(Seconds steady) const {
   return static_cast<uint64_t>((steady + wall_offset_) * kMillisecondsPerSecond);
 }
 
@@ -28,7 +28,7 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-bool ClusterState::ended(const std::string& id) const {
+bool ClusterState::job_ended(const std::string& id) const {
   const Job* job = find_job(id);
   return !job || job->stored.state != JobState::Pending;
 }
@@ -92,16 +92,16 @@
 
 void ClusterState::set_machine_state(Machine& machine, MachineState next) {
   if (machine.state == next) return;
-  log_debug("machine_state_changed", log_field("machine", machine.info.id),
+  log_debug("machine_state_changed", log_field("machine", machine.host.id),
             log_field("from", name(machine.state)), log_field("to", name(next)));
   machine.state = next;
 }
 
 void ClusterState::record_image_use(Machine& machine, const std::string& image,
                                     double size_gb) const {
-  const MachineType* type = find_machine_type(machine.info.type);
+  const MachineType* type = find_machine_type(machine.host.type);
   if (!image.empty())
-    machine.images.use(image, size_gb, type ? type->cache_gb * kUsableCacheFraction : 0);
+    machine.images.record_use(image, size_gb, type ? type->cache_gb * kUsableCacheFraction : 0);
 }
 
 void ClusterState::mark_reconciled(Machine& machine) {
@@ -113,7 +113,7 @@
 
 void ClusterState::add_possible_placement(Machine& machine, const TaskAttemptId& id) {
   if (Job* job = find_job(id.task.job))
-    job->possible_placements[id.task.task].insert({machine.info.id, id.attempt});
+    job->possible_placements[id.task.task].insert({machine.host.id, id.attempt});
 }
 
 void ClusterState::remove_possible_placement(Machine& machine, const TaskAttemptId& id) {
@@ -121,7 +121,7 @@
   if (!job) return;
   const auto placements = job->possible_placements.find(id.task.task);
   if (placements == job->possible_placements.end()) return;
-  placements->second.erase({machine.info.id, id.attempt});
+  placements->second.erase({machine.host.id, id.attempt});
   if (placements->second.empty()) job->possible_placements.erase(placements);
   if (job->possible_placements.empty()) job->gang_attempt = 0;
 }
@@ -129,7 +129,7 @@
 void ClusterState::remove_attempt(Machine& machine, const TaskAttemptId& id) {
   const auto attempt = machine.attempts.find(id);
   if (attempt == machine.attempts.end()) return;
-  if (attempt->second.possibly_present()) remove_possible_placement(machine, id);
+  if (attempt->second.may_be_present()) remove_possible_placement(machine, id);
   machine.attempts.erase(attempt);
 }
 
@@ -144,9 +144,9 @@
 }
 
 void ClusterState::advance_fencing_token(Machine& machine) {
-  ++machine.counter;
+  ++machine.fencing_token_counter;
   machine.fencing_token_acknowledged = false;
-  token_allocator_.record_use(machine.counter);
+  token_allocator_.record_use(machine.fencing_token_counter);
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/cluster_state.h
+++ b/src/dispatch/cluster_state.h
@@ -20,7 +20,7 @@
 /// makes no decisions and does no I/O.
 class ClusterState {
  public:
-  /// `wall_offset`: the time of day minus the steady time, in seconds. Only the arrival and
+  /// `wall_offset`: the wall-clock time minus the steady time, in seconds. Only the arrival and
   /// completion times of jobs depend on it.
   ClusterState(const Settings& settings, uint64_t term, Seconds now, Seconds wall_offset)
       : settings_(settings),
@@ -33,8 +33,8 @@
   uint64_t term() const { return term_; }
   /// When this leader began its term.
   Seconds failover_at() const { return failover_at_; }
-  /// Converts a steady time to the time of day in milliseconds.
-  uint64_t time_of_day_ms(Seconds steady) const;
+  /// Converts a steady time to Unix time in milliseconds.
+  uint64_t unix_time_ms(Seconds steady) const;
 
   // Jobs.
 
@@ -45,7 +45,7 @@
   const Job* find_job(const std::string& id) const;
   /// Whether the job is cancelled or finished according to the records that this leader has read.
   /// True for a job without a live record.
-  bool ended(const std::string& id) const;
+  bool job_ended(const std::string& id) const;
 
   // Dependencies between jobs.
 
@@ -59,7 +59,7 @@
   /// Whether all dependencies of the job are done.
   bool ready(const Job& job) const { return dependencies_.ready(job.spec().id); }
   /// When the job started to wait for placement: a job with dependencies arrives when the last of
-  /// them is done. `arrival_ms` is a time of day in milliseconds, `arrival` the same as a steady
+  /// them is done. `arrival_ms` is a Unix time in milliseconds, `arrival` the same as a steady
   /// time.
   uint64_t arrival_ms(const Job& job) const;
   Seconds arrival(const Job& job) const;
@@ -117,7 +117,7 @@
   const FencingTokenAllocator& token_allocator() const { return token_allocator_; }
   /// The fencing token in force for the machine's worker.
   uint64_t fencing_token(const Machine& machine) const {
-    return token_allocator_.with_term(machine.counter);
+    return token_allocator_.with_term(machine.fencing_token_counter);
   }
   /// Invalidates all commands that were sent under the previous token, however late they arrive.
   void advance_fencing_token(Machine& machine);
--- a/src/dispatch/command_dispatcher.cpp
+++ b/src/dispatch/command_dispatcher.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 void CommandDispatcher::enqueue(const Machine& machine) {
-  queued_machines_.put(machine.info.id);
+  queued_machines_.put(machine.host.id);
 }
 
 void CommandDispatcher::enqueue_machines_of(const Job& job) {
@@ -24,7 +24,7 @@
   });
 }
 
-void CommandDispatcher::enqueue_overlooked() {
+void CommandDispatcher::enqueue_all_due() {
   for (const auto& [id, machine] : state_.machines())
     if (has_unsent_commands(machine)) enqueue(machine);
 }
@@ -34,15 +34,15 @@
 bool CommandDispatcher::startable(const Machine& machine, const TaskAttemptId& id,
                                   const TaskAttempt& attempt) const {
   if (!attempt.desired_running || attempt.state != TaskAttemptState::Scheduled ||
-      machine.record != HostRecordState::Durable)
+      machine.host_record_state != HostRecordState::Durable)
     return false;
   const Job* job = state_.find_job(id.task.job);
-  return job && job->runnable() && job->next_leader_knows(machine.info.id);
+  return job && job->runnable() && job->host_recorded(machine.host.id);
 }
 
 void CommandDispatcher::add_stops(Machine& machine, std::vector<Command>& commands) const {
   for (auto& [id, attempt] : machine.attempts) {
-    if (attempt.desired_running || !attempt.possibly_present() ||
+    if (attempt.desired_running || !attempt.may_be_present() ||
         attempt.state == TaskAttemptState::Scheduled)
       continue;
     const Job* job = state_.find_job(id.task.job);
@@ -51,7 +51,7 @@
     const Seconds grace = checkpoint ? job->spec().checkpoint_duration_s * kCheckpointGraceFactor +
                                            kCheckpointGraceExtra
                                      : 0;
-    commands.push_back({Verb::Stop, id.task, id.attempt, grace});
+    commands.push_back({CommandType::Stop, id.task, id.attempt, grace});
   }
 }
 
@@ -70,10 +70,10 @@
     if (commands.size() >= kMaxCommandsPerMessage) break;
     if (startable(machine, id, attempt)) {
       attempt.start_sent = true;
-      commands.push_back({Verb::Start, id.task, id.attempt, 0});
+      commands.push_back({CommandType::Start, id.task, id.attempt, 0});
     } else if (attempt.state == TaskAttemptState::Exited) {
       if (include_discards && may_discard(id, attempt))
-        commands.push_back({Verb::Forget, id.task, id.attempt, 0});
+        commands.push_back({CommandType::Discard, id.task, id.attempt, 0});
     }
   }
   return commands;
@@ -86,25 +86,25 @@
                        const auto& [id, attempt] = entry;
                        if (attempt.desired_running)
                          return !attempt.start_sent && startable(machine, id, attempt);
-                       return attempt.possibly_present() &&
+                       return attempt.may_be_present() &&
                               attempt.state != TaskAttemptState::Scheduled && !attempt.stop_sent;
                      });
 }
 
 void CommandDispatcher::dispatch_to(const std::string& id, Machine& machine, Seconds now,
                                     std::vector<Action>& actions) {
-  ++work_.dispatch_checks;
+  ++work_counters_.dispatch_checks;
   if (machine.state != MachineState::Up || machine.commands_in_flight ||
       now < machine.next_commands_at)
     return;
-  if (machine.info.addr.empty() || !machine.fencing_token_acknowledged ||
+  if (machine.host.addr.empty() || !machine.fencing_token_acknowledged ||
       !has_unsent_commands(machine))
     return;
-  SendCommands batch{id, machine.info.addr, state_.fencing_token(machine),
-                     std::max<uint64_t>(machine.latest.agent_epoch, 1),
+  SendCommands batch{id, machine.host.addr, state_.fencing_token(machine),
+                     std::max<uint64_t>(machine.latest_sequence.agent_epoch, 1),
                      commands_for(machine, false)};
   for (auto& [attempt_id, attempt] : machine.attempts)
-    if (!attempt.desired_running && attempt.possibly_present()) attempt.stop_sent = true;
+    if (!attempt.desired_running && attempt.may_be_present()) attempt.stop_sent = true;
   machine.commands_in_flight = true;
   actions.emplace_back(std::move(batch));
 }
--- a/src/dispatch/command_dispatcher.h
+++ b/src/dispatch/command_dispatcher.h
@@ -15,7 +15,8 @@
 /// queue is only a hint: each machine is checked again when it leaves the queue.
 class CommandDispatcher {
  public:
-  CommandDispatcher(ClusterState& state, WorkCounters& work) : state_(state), work_(work) {}
+  CommandDispatcher(ClusterState& state, WorkCounters& work_counters)
+      : state_(state), work_counters_(work_counters) {}
 
   /// Queues the machine, which may have commands to send.
   void enqueue(const Machine& machine);
@@ -23,7 +24,7 @@
   void enqueue_machines_of(const Job& job);
   /// Queues machines with unsent commands that no event has queued, mostly because a command became
   /// due with time. Called once per round; checks every machine.
-  void enqueue_overlooked();
+  void enqueue_all_due();
 
   /// All commands that are due for the worker: stops first, which are never truncated, then starts
   /// and, if `include_discards`, permissions to discard attempts that have exited.
@@ -40,7 +41,7 @@
                    std::vector<Action>& actions);
 
   ClusterState& state_;
-  WorkCounters& work_;
+  WorkCounters& work_counters_;
   PendingQueue queued_machines_;
 };
 
--- a/src/dispatch/failure_attribution.cpp
+++ b/src/dispatch/failure_attribution.cpp
@@ -31,9 +31,9 @@
 
 void FailureAttribution::record_task_failure(Machine& machine, Job& job, Seconds now) {
   if (job.failed_machines.size() >= kMaxAvoidedMachines) job.failed_machines.clear();
-  job.failed_machines.insert(machine.info.id);
+  job.failed_machines.insert(machine.host.id);
   const bool was_crash_looping = crash_looping(job);
-  job.failed_machines_since_success.insert(machine.info.id);
+  job.failed_machines_since_success.insert(machine.host.id);
   if (!crash_looping(job)) return attribute_to_machine(machine, job, now);
   if (!was_crash_looping) {
     if (runs_steadily(job, now)) {
@@ -57,7 +57,8 @@
     Machine* machine = state_.find_machine(id);
     if (!machine) continue;
     if (failures_were_cleared) attribute_to_machine(*machine, job, now);
-    if (machine->failed_jobs.contains(job.spec().id)) machine->failed_jobs_succeed_elsewhere = true;
+    if (machine->failed_jobs.contains(job.spec().id))
+      machine->failed_job_succeeded_elsewhere = true;
   }
   job.failed_retries = 0;
   job.backoff_until = std::min(job.backoff_until, now + state_.settings().heartbeat_period_s);
@@ -67,7 +68,7 @@
   machine.failed_jobs.insert(job.spec().id);
   if (machine.failed_jobs.size() < kMinFailedJobsForQuarantine || machine.quarantined()) return;
   machine.quarantined_since = now;
-  log_info("machine_quarantined", log_field("machine", machine.info.id),
+  log_info("machine_quarantined", log_field("machine", machine.host.id),
            log_field("count", machine.failed_jobs.size()));
 }
 
@@ -99,7 +100,7 @@
 }
 
 bool FailureAttribution::quarantine_confirmed(const Machine& machine, Seconds now) const {
-  return machine.failed_jobs_succeed_elsewhere ||
+  return machine.failed_job_succeeded_elsewhere ||
          now - *machine.quarantined_since >
              kQuarantineConfirmationLeases * state_.settings().lease_s;
 }
--- a/src/dispatch/failure_detector.cpp
+++ b/src/dispatch/failure_detector.cpp
@@ -57,19 +57,19 @@
   if (pause <= state_.settings().lease_s * kPauseThresholdLeases) return;
   observing_since_ += pause;
   for (auto& [id, machine] : state_.machines()) {
-    machine.last_heard += pause;
+    machine.last_seen_at += pause;
     machine.partition_healed_at += pause;
   }
 }
 
 void FailureDetector::record_heartbeat(Machine& machine, Seconds now) {
-  machine.last_heartbeat = latest_heartbeat_ = now;
+  machine.last_heartbeat_at = latest_heartbeat_ = now;
 }
 
 void FailureDetector::mark_up(Machine& machine, Seconds now) {
   if (machine.state == MachineState::Booting) {
     machine.up_since = now;
-    auto& newest = newest_first_seen_[machine.info.type];
+    auto& newest = newest_first_seen_[machine.host.type];
     newest = std::max(newest, machine.first_seen);
   }
   if (machine.state == MachineState::Booting || machine.state == MachineState::LeaseExpired)
@@ -97,7 +97,7 @@
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.state != MachineState::Up) continue;
     ++up;
-    latest = std::max(latest, machine.last_heartbeat);
+    latest = std::max(latest, machine.last_heartbeat_at);
   }
   return up >= kMinMachinesForPartition && now - latest > isolation_timeout;
 }
@@ -106,8 +106,8 @@
 /// delegate or an earlier leader may have sent to the worker.
 Seconds FailureDetector::latest_lease_expiry(const Machine& machine, Seconds now) const {
   Seconds last_answer =
-      std::max(machine.last_lease_renewal, delegations_.last_answer(machine.info.zone, now));
-  if (machine.previous_leader_may_answer)
+      std::max(machine.last_lease_renewal_at, delegations_.last_answer(machine.host.zone, now));
+  if (machine.previous_leader_may_renew)
     last_answer = std::max(last_answer, previous_leader_fenced_at_);
   return last_answer + state_.settings().lease_s * (1 + kMaxClockDrift) + kLeaseMargin;
 }
@@ -120,7 +120,7 @@
     if (!releasing && machine.state != MachineState::Up) continue;
     if (now <= latest_lease_expiry(machine, now)) continue;
     log_info("machine_lease_expired", log_field("machine", id),
-             log_field("zone", machine.info.zone), log_field("count", machine.attempts.size()));
+             log_field("zone", machine.host.zone), log_field("count", machine.attempts.size()));
     if (!releasing) state_.set_machine_state(machine, MachineState::LeaseExpired);
     machine.fencing_token_acknowledged = false;
     attempts_.remove_all(machine);
@@ -134,7 +134,7 @@
 /// on.
 void FailureDetector::on_partition_healed(const std::string& zone, Seconds now) {
   for (auto& [id, machine] : state_.machines())
-    if (machine.info.zone == zone) machine.partition_healed_at = now;
+    if (machine.host.zone == zone) machine.partition_healed_at = now;
 }
 
 void FailureDetector::update_partitioned_zones(Seconds now) {
@@ -143,11 +143,11 @@
   const Seconds suspicion_timeout = settings.tuning.suspect * settings.lease_s;
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.state != MachineState::Up) continue;
-    ZonePartitionDetector::Count& count = zones[machine.info.zone];
+    ZonePartitionDetector::Count& count = zones[machine.host.zone];
     ++count.up;
     const Seconds silence = time_since_heartbeat(machine, now);
     if (silence > suspicion_timeout * kZoneSilenceFraction) ++count.silent;
-    if (silence < kRecentHeartbeatPeriods * settings.heartbeat_period_s) ++count.heard_recently;
+    if (silence < kRecentHeartbeatPeriods * settings.heartbeat_period_s) ++count.recently_seen;
   }
   for (const auto& zone : zones_.update(zones, now, settings.lease_s))
     on_partition_healed(zone, now);
@@ -156,9 +156,9 @@
 /// Whether a booting machine is assumed never to come up.
 bool FailureDetector::boot_failed(const Machine& machine, Seconds now) const {
   if (machine.listed_failed) return true;
-  if (zone_partitioned(machine.info.zone)) return false;
-  const MachineType* type = state_.find_machine_type(machine.info.type);
-  const auto newest = newest_first_seen_.find(machine.info.type);
+  if (zone_partitioned(machine.host.zone)) return false;
+  const MachineType* type = state_.find_machine_type(machine.host.type);
+  const auto newest = newest_first_seen_.find(machine.host.type);
   const bool later_request_is_up =
       newest != newest_first_seen_.end() && newest->second > machine.first_seen;
   return now - machine.first_seen >
@@ -173,10 +173,10 @@
 /// the machine once the cloud has terminated it.
 bool FailureDetector::suspected(const Machine& machine, Seconds now) const {
   const Settings& settings = state_.settings();
-  if (zone_partitioned(machine.info.zone) || !machine.may_run_tasks()) return false;
+  if (zone_partitioned(machine.host.zone) || !machine.may_run_tasks()) return false;
   if (time_since_heartbeat(machine, now) > settings.tuning.suspect * settings.lease_s) return true;
   return machine.probe_unanswered && heartbeat_overdue(machine, now) &&
-         zones_.reachable(machine.info.zone);
+         zones_.reachable(machine.host.zone);
 }
 
 bool FailureDetector::should_release(const Machine& machine, Seconds now) const {
@@ -184,10 +184,10 @@
     case MachineState::Booting:
       return boot_failed(machine, now);
     case MachineState::LeaseExpired:
-      return now - machine.last_heard > state_.settings().lease_s;
+      return now - machine.last_seen_at > state_.settings().lease_s;
     case MachineState::Up:
       return machine.listed_failed ||
-             (machine.quarantined() && !machine.has_possible_attempts() &&
+             (machine.quarantined() && !machine.may_have_attempts() &&
               failures_.quarantine_confirmed(machine, now)) ||
              suspected(machine, now);
     case MachineState::Releasing:
@@ -197,7 +197,7 @@
 }
 
 Seconds FailureDetector::time_since_heartbeat(const Machine& machine, Seconds now) const {
-  return now - std::max({machine.last_heard, machine.partition_healed_at, observing_since_});
+  return now - std::max({machine.last_seen_at, machine.partition_healed_at, observing_since_});
 }
 
 bool FailureDetector::heartbeat_overdue(const Machine& machine, Seconds now) const {
@@ -207,19 +207,18 @@
 
 void FailureDetector::probe(Seconds now, std::vector<Action>& actions) {
   for (auto& [id, machine] : state_.machines()) {
-    if (machine.state != MachineState::Up || machine.probe_in_flight || machine.info.addr.empty())
+    if (machine.state != MachineState::Up || machine.probe_in_flight || machine.host.addr.empty())
       continue;
     const bool token_probe_due = !machine.fencing_token_acknowledged &&
-                                 machine.previous_leader_may_answer && !machine.reconciled &&
-                                 now >= machine.next_greeting_probe_at;
+                                 machine.previous_leader_may_renew && !machine.reconciled &&
+                                 now >= machine.next_token_probe_at;
     const bool heartbeat_probe_due =
         !machine.probe_unanswered && heartbeat_overdue(machine, now) && machine.may_run_tasks();
     if (!token_probe_due && !heartbeat_probe_due) continue;
-    if (token_probe_due)
-      machine.next_greeting_probe_at = now + state_.settings().heartbeat_period_s;
+    if (token_probe_due) machine.next_token_probe_at = now + state_.settings().heartbeat_period_s;
     machine.probe_in_flight = true;
-    actions.emplace_back(Probe{id, machine.info.addr, state_.fencing_token(machine),
-                               std::max<uint64_t>(machine.latest.agent_epoch, 1)});
+    actions.emplace_back(Probe{id, machine.host.addr, state_.fencing_token(machine),
+                               std::max<uint64_t>(machine.latest_sequence.agent_epoch, 1)});
   }
 }
 
--- a/src/dispatch/failure_detector.h
+++ b/src/dispatch/failure_detector.h
@@ -41,7 +41,7 @@
   void on_previous_leader_fenced(Seconds now);
   /// The delegates: nodes that answer the workers of their zone on behalf of this leader while the
   /// nodes can't reach it.
-  Delegations& delegations() { return delegations_; }
+  DelegationTracker& delegations() { return delegations_; }
 
   // Periodic checks.
 
@@ -74,7 +74,7 @@
   ClusterState& state_;
   AttemptTracker& attempts_;
   const FailureAttribution& failures_;
-  Delegations delegations_;
+  DelegationTracker delegations_;
   Seconds previous_leader_fenced_at_;
   bool previous_leader_fenced_ = false;  ///< confirmed before `previous_leader_fenced_at_`
   Seconds last_event_at_;
--- a/src/dispatch/fleet_summary_log.cpp
+++ b/src/dispatch/fleet_summary_log.cpp
@@ -13,16 +13,16 @@
   Resources running;
   Resources capacity;
   for (const auto& [id, machine] : state_.machines()) {
-    if (machine.info.type != type.name) continue;
+    if (machine.host.type != type.name) continue;
     if (machine.state == MachineState::Booting) ++booting;
     if (machine.state == MachineState::Releasing || machine.state == MachineState::LeaseExpired)
       ++leaving;
     if (machine.state != MachineState::Up) continue;
     ++up;
-    if (!machine.has_possible_attempts()) ++idle;
+    if (!machine.may_have_attempts()) ++idle;
     capacity += type.capacity;
     for (const auto& [attempt_id, attempt] : machine.attempts) {
-      if (!attempt.possibly_present()) continue;
+      if (!attempt.may_be_present()) continue;
       (attempt.state == TaskAttemptState::Running ? running : changing) += attempt.request;
     }
   }
@@ -38,8 +38,8 @@
   next_summary_at_ = now + state_.settings().lease_s;
   for (const auto& type : state_.machine_types()) write_type(type);
   log_info("jobs_summary", log_field("jobs", state_.jobs().size()),
-           log_field("unplaced", unplaced_jobs), log_field("rounds", work_.rounds),
-           log_field("victim_lists", work_.victim_lists));
+           log_field("unplaced", unplaced_jobs), log_field("rounds", work_counters_.rounds),
+           log_field("victim_lists", work_counters_.victim_lists));
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/fleet_summary_log.h
+++ b/src/dispatch/fleet_summary_log.h
@@ -11,8 +11,8 @@
 /// next summary.
 class FleetSummaryLog {
  public:
-  FleetSummaryLog(const ClusterState& state, const WorkCounters& work)
-      : state_(state), work_(work) {}
+  FleetSummaryLog(const ClusterState& state, const WorkCounters& work_counters)
+      : state_(state), work_counters_(work_counters) {}
 
   /// `unplaced_jobs`: the number of jobs that could not be placed in the last round.
   void write_if_due(size_t unplaced_jobs, Seconds now);
@@ -21,7 +21,7 @@
   void write_type(const MachineType& type) const;
 
   const ClusterState& state_;
-  const WorkCounters& work_;
+  const WorkCounters& work_counters_;
   Seconds next_summary_at_ = 0;
 };
 
--- a/src/dispatch/host_record_writes.h
+++ b/src/dispatch/host_record_writes.h
@@ -14,13 +14,13 @@
   /// Marks the write as no longer in flight: its outcome was reported, whether committed or not.
   void end(const std::string& machine) { in_flight_.erase(machine); }
 
-  void request_deletion(const std::string& machine) { to_delete_.insert(machine); }
-  void deleted(const std::string& machine) { to_delete_.erase(machine); }
-  const std::set<std::string>& to_delete() const { return to_delete_; }
+  void request_deletion(const std::string& machine) { pending_deletions_.insert(machine); }
+  void complete_deletion(const std::string& machine) { pending_deletions_.erase(machine); }
+  const std::set<std::string>& pending_deletions() const { return pending_deletions_; }
 
  private:
   std::set<std::string> in_flight_;
-  std::set<std::string> to_delete_;
+  std::set<std::string> pending_deletions_;
 };
 
 }  // namespace sumacquay
--- a/src/dispatch/job_state.h
+++ b/src/dispatch/job_state.h
@@ -33,7 +33,7 @@
   /// restricts the hosts. An unacknowledged write may be applied minutes later, and a later leader
   /// would not find tasks on a host that it omits.
   std::optional<std::vector<std::string>> hosts_in_all_writes;
-  Ranges done;                            ///< tasks that are done, a superset of stored.done
+  TaskRangeSet done;                      ///< tasks that are done, a superset of stored.done
   std::optional<Seconds> progress_since;  ///< when `done` first held tasks that are not stored
   /// Where each task is or may be. An attempt stays listed until it is proven absent.
   std::map<uint32_t, std::set<TaskPlacement>> possible_placements;
@@ -50,8 +50,8 @@
   const JobSpec& spec() const { return stored.spec; }
   /// Whether a later leader will find the machine among the hosts of the record, whichever of the
   /// unacknowledged writes are applied.
-  bool next_leader_knows(const std::string& machine) const {
-    return stored.may_be_on(machine) &&
+  bool host_recorded(const std::string& machine) const {
+    return stored.may_have_task_on(machine) &&
            (!hosts_in_all_writes ||
             std::binary_search(hosts_in_all_writes->begin(), hosts_in_all_writes->end(), machine));
   }
@@ -59,7 +59,7 @@
   bool complete() const { return done.count() == stored.spec.tasks; }
   /// Whether the record can cover another host: it has room, or it already covers every machine.
   /// Otherwise no task of the job can be started.
-  bool start_recordable() const {
+  bool can_record_host() const {
     return record_capacity.any() || (stored.started && !stored.hosts);
   }
   /// Whether the job is pending and has tasks that are not done.
--- a/src/dispatch/placement_round.cpp
+++ b/src/dispatch/placement_round.cpp
@@ -16,34 +16,34 @@
 }  // namespace
 
 void PlacementRound::run(Seconds now) {
-  ++links_.work.rounds;
+  ++context_.work_counters.rounds;
   unplaced_.clear();
-  links_.quota.count_usage();
-  links_.preemptor.end_round();
-  auto candidates = links_.capacity.up(now);
-  for (Job* job : links_.queue.waiting_jobs(now)) place_job(*job, candidates, now);
-  links_.preemptor.end_round();
-  links_.queue.end_round();
+  context_.quota.count_usage();
+  context_.preemptor.end_round();
+  auto candidates = context_.capacity.up(now);
+  for (Job* job : context_.queue.waiting_jobs(now)) place_job(*job, candidates, now);
+  context_.preemptor.end_round();
+  context_.queue.end_round();
 }
 
 /// Places the tasks that fit, preempts for the others and adds those that remain to `unplaced_`.
 void PlacementRound::place_job(Job& job, std::vector<CandidateMachine>& candidates, Seconds now) {
   const size_t max_tasks =
-      std::min(links_.quota.remaining_tasks(job), state_.token_allocator().attempts_left());
+      std::min(context_.quota.remaining_tasks(job), state_.token_allocator().attempts_left());
   auto request = max_tasks > 0 ? create_request(job, max_tasks) : std::nullopt;
   if (!request) return;
-  if (request->image_first && !links_.failures.crash_looping(job))
+  if (request->prefer_cached_image && !context_.failures.crash_looping(job))
     place_on_machines_with_image(job, *request, candidates, now);
   if (!request->tasks.empty()) place_fitting_tasks(job, *request, candidates, now);
   if (request->tasks.empty()) return;
   // A crash-looping job does not preempt other jobs.
-  if (!links_.failures.crash_looping(job)) {
+  if (!context_.failures.crash_looping(job)) {
     if (job.spec().kind == JobKind::Gang && request->tasks.size() > 1)
-      links_.preemptor.reserve_partial_gang(job, *request, candidates, now);
+      context_.preemptor.reserve_partial_gang(job, *request, candidates, now);
     else
-      links_.preemptor.preempt_for(job, *request, candidates, now);
+      context_.preemptor.preempt_for(job, *request, candidates, now);
     if (request->tasks.empty()) return;
-    if (job.priority == Priority::Low) reserve_beside_gpus(*request, candidates);
+    if (job.priority == Priority::Low) reserve_for_gpu_tasks(*request, candidates);
   }
   unplaced_.push_back(std::move(*request));
 }
@@ -73,25 +73,25 @@
   const JobSpec& spec = job.spec();
   const bool gang = spec.kind == JobKind::Gang;
   if (gang && max_tasks < spec.tasks) return std::nullopt;
-  if (!gang && links_.failures.crash_looping(job)) max_tasks = std::min<size_t>(max_tasks, 1);
+  if (!gang && context_.failures.crash_looping(job)) max_tasks = std::min<size_t>(max_tasks, 1);
   const size_t limit = gang ? spec.tasks : std::min(max_tasks, max_tasks_per_round());
   PlacementRequest request;
   request.spec = &spec;
   request.tasks = tasks_to_place(job, limit);
   if (request.tasks.empty()) return std::nullopt;
-  if (spec.counts_zones())
+  if (spec.has_zone_constraint())
     for_each_possible_placement(job, [this, &request](uint32_t, const TaskPlacement& placement) {
       if (const Machine* machine = state_.find_machine(placement.machine))
-        ++request.zones[machine->info.zone];
+        ++request.tasks_per_zone[machine->host.zone];
     });
   if (job.priority > spec.priority) request.inherited_priority = job.priority;
-  request.image_first = image_fetch_misses_objective(job);
-  request.within_fair_share = links_.queue.within_fair_share(spec.id);
-  request.avoid = [&job](const CandidateMachine& candidate) {
+  request.prefer_cached_image = image_fetch_misses_objective(job);
+  request.within_fair_share = context_.queue.within_fair_share(spec.id);
+  request.excluded = [&job](const CandidateMachine& candidate) {
     return job.failed_machines.contains(candidate.machine);
   };
   request.has_image = [&job](const CandidateMachine& candidate) {
-    return candidate.of && candidate.of->images.has(job.spec().image);
+    return candidate.source && candidate.source->images.has(job.spec().image);
   };
   return request;
 }
@@ -124,16 +124,16 @@
                                                   std::vector<CandidateMachine>& candidates,
                                                   Seconds now) {
   PlacementRequest cached_request = request;
-  cached_request.avoid = [&request](const CandidateMachine& candidate) {
-    return request.avoid(candidate) || !request.has_image(candidate);
+  cached_request.excluded = [&request](const CandidateMachine& candidate) {
+    return request.excluded(candidate) || !request.has_image(candidate);
   };
   // No preemption between teams here: machines without the image may have room.
   cached_request.within_fair_share = false;
   place_fitting_tasks(job, cached_request, candidates, now);
   if (!cached_request.tasks.empty())
-    links_.preemptor.preempt_for(job, cached_request, candidates, now);
+    context_.preemptor.preempt_for(job, cached_request, candidates, now);
   request.tasks = cached_request.tasks;
-  request.zones = cached_request.zones;
+  request.tasks_per_zone = cached_request.tasks_per_zone;
 }
 
 void PlacementRound::place_fitting_tasks(Job& job, PlacementRequest& request,
@@ -141,7 +141,7 @@
   const auto assignments = bin_pack(request, candidates);
   start_assignments(job, assignments, candidates, now);
   for (const Assignment& assignment : assignments) {
-    ++request.zones[candidates[assignment.candidate].zone];
+    ++request.tasks_per_zone[candidates[assignment.candidate].zone];
     std::erase(request.tasks, assignment.task);
   }
 }
@@ -162,20 +162,20 @@
     const TaskAttemptId id{{spec.id, assignment.task},
                            gang ? job.gang_attempt : token_allocator.new_attempt()};
     log_debug("task_placed", log_field("job", spec.id), log_field("task", assignment.task),
-              log_field("attempt", id.attempt), log_field("machine", machine.info.id));
+              log_field("attempt", id.attempt), log_field("machine", machine.host.id));
     TaskAttempt& attempt = machine.attempts[id];
     attempt.placed_at = now;
     attempt.request = spec.request;
     attempt.image = spec.image;
     attempt.image_gb = spec.image_gb;
     machine.request_host_record();
-    if (!job.next_leader_knows(machine.info.id)) job.hosts_record_requested = true;
+    if (!job.host_recorded(machine.host.id)) job.hosts_record_requested = true;
     state_.add_possible_placement(machine, id);
-    links_.quota.add_usage(spec.team, attempt.request);
-    links_.records.enqueue_machine(machine);
-    links_.commands.enqueue(machine);
+    context_.quota.add_usage(spec.team, attempt.request);
+    context_.records.enqueue_machine(machine);
+    context_.commands.enqueue(machine);
   }
-  links_.records.enqueue_job(job, now);
+  context_.records.enqueue_job(job, now);
 }
 
 }  // namespace sumacquay
--- a/src/dispatch/placement_round.h
+++ b/src/dispatch/placement_round.h
@@ -18,7 +18,7 @@
 namespace sumacquay {
 
 /// The modules that a placement round uses.
-struct PlacementRoundLinks {
+struct PlacementRoundContext {
   const CapacityView& capacity;
   const FailureAttribution& failures;
   SchedulingQueue& queue;
@@ -26,15 +26,15 @@
   Preemptor& preemptor;
   CommandDispatcher& commands;
   RecordQueue& records;
-  WorkCounters& work;
+  WorkCounters& work_counters;
 };
 
 /// Runs placement rounds: in queue order, packs the tasks of each waiting job onto machines. Tasks
 /// that do not fit stay queued. Owns the requests that the last round could not place.
 class PlacementRound {
  public:
-  PlacementRound(ClusterState& state, const PlacementRoundLinks& links)
-      : state_(state), links_(links) {}
+  PlacementRound(ClusterState& state, const PlacementRoundContext& context)
+      : state_(state), context_(context) {}
 
   void run(Seconds now);
   /// Requests that the last round could not place, in queue order. They point to the jobs' specs,
@@ -56,7 +56,7 @@
                          const std::vector<CandidateMachine>& candidates, Seconds now);
 
   ClusterState& state_;
-  PlacementRoundLinks links_;
+  PlacementRoundContext context_;
   std::vector<PlacementRequest> unplaced_;
 };
 
--- a/src/dispatch/preemptor.cpp
+++ b/src/dispatch/preemptor.cpp
@@ -45,8 +45,8 @@
   victim.priority = job.priority;
   victim.loss_s = preemption_loss(job, attempt, now);
   victim.gang = gang;
-  victim.beyond_fair_share = !links_.queue.within_fair_share(victim.job);
-  victim.stops = gang ? attempt.request.times(spec.tasks) : attempt.request;
+  victim.beyond_fair_share = !context_.queue.within_fair_share(victim.job);
+  victim.team_loss = gang ? attempt.request.times(spec.tasks) : attempt.request;
   return victim;
 }
 
@@ -54,11 +54,11 @@
                                             Seconds now) const {
   std::vector<Victim> victims;
   for (size_t candidate = 0; candidate < candidates.size(); ++candidate) {
-    const Machine* machine = candidates[candidate].of;
+    const Machine* machine = candidates[candidate].source;
     if (!machine) continue;
     const Job* job = nullptr;  // attempts are sorted by job: one look-up per job
     for (const auto& [id, attempt] : machine->attempts) {
-      if (!attempt.possibly_present() || !attempt.desired_running) continue;
+      if (!attempt.may_be_present() || !attempt.desired_running) continue;
       if (!job || job->spec().id != id.task.job) job = state_.find_job(id.task.job);
       if (job) victims.push_back(victim_for(*job, id, attempt, candidate, now));
     }
@@ -74,7 +74,7 @@
     victims_ = list_victims(candidates, now);
     running_resources_ = RunningResources(state_.settings().teams);
     for (const Victim& victim : *victims_) running_resources_.add(victim.team, victim.request);
-    ++links_.work.victim_lists;
+    ++context_.work_counters.victim_lists;
   }
   return *victims_;
 }
@@ -83,11 +83,11 @@
 /// preempts it again.
 void Preemptor::mark_preempted(const Victim& stopped_victim) {
   if (!victims_) return;
-  running_resources_.remove(stopped_victim.team, stopped_victim.stops);
+  running_resources_.remove(stopped_victim.team, stopped_victim.team_loss);
   for (Victim& victim : *victims_)
     if (victim.job == stopped_victim.job &&
         (stopped_victim.gang || victim.task == stopped_victim.task))
-      victim.stopped = true;
+      victim.being_stopped = true;
 }
 
 // ---------------------------------------------------------------- waiting or preempting
@@ -97,9 +97,9 @@
 std::optional<Seconds> Preemptor::startup_time_on_new_machine(const JobSpec& spec,
                                                               Seconds now) const {
   std::optional<Seconds> shortest;
-  for (const InstanceOffering& offering : links_.autoscaler.offerings(now)) {
+  for (const InstanceOffering& offering : context_.autoscaler.offerings(now)) {
     const MachineType& type = *offering.type;
-    if (offering.blocked || !allowed(spec, type.name, offering.zone, offering.spot) ||
+    if (offering.blocked || !constraints_allow(spec, type.name, offering.zone, offering.spot) ||
         !spec.request.fits_in(type.capacity))
       continue;
     const Seconds startup_time =
@@ -128,9 +128,9 @@
     const auto preemption = preempt(request, candidates, victims, running);
     if (!preemption) return false;
     for (const size_t index : preemption->victims)
-      running.remove(victims[index].team, victims[index].stops);
+      running.remove(victims[index].team, victims[index].team_loss);
     candidates[preemption->candidate].schedulable = false;
-    ++request.zones[candidates[preemption->candidate].zone];
+    ++request.tasks_per_zone[candidates[preemption->candidate].zone];
   }
   return true;
 }
@@ -148,15 +148,15 @@
   const auto new_machine_startup_time = startup_time_on_new_machine(job.spec(), now);
   const bool late =
       !new_machine_startup_time || misses_objective(job, *new_machine_startup_time, now);
-  const auto avoid = request.avoid;
+  const auto excluded = request.excluded;
   if (!late)
-    request.avoid = [&](const CandidateMachine& candidate) {
-      const Machine& machine = *candidate.of;
-      return avoid(candidate) || (machine.state == MachineState::Up &&
-                                  machine.up_since.value_or(kNever) < state_.arrival(job));
+    request.excluded = [&](const CandidateMachine& candidate) {
+      const Machine& machine = *candidate.source;
+      return excluded(candidate) || (machine.state == MachineState::Up &&
+                                     machine.up_since.value_or(kNever) < state_.arrival(job));
     };
-  reserve_for_gang(request, candidates, links_.capacity.booting(now));
-  request.avoid = avoid;
+  reserve_for_gang(request, candidates, context_.capacity.booting(now));
+  request.excluded = excluded;
   if (request.tasks.empty() || !late) return;
   auto victims = victims_in_round(candidates, now);
   if (new_machine_startup_time)
@@ -183,7 +183,7 @@
     CandidateMachine& candidate = candidates[preemption->candidate];
     for (const size_t index : preemption->victims) stop_victim(victims[index], job, candidate, now);
     candidate.available -= request.spec->request;
-    ++request.zones[candidate.zone];
+    ++request.tasks_per_zone[candidate.zone];
     request.tasks.pop_back();
     if (!preemption->victims.empty()) return;
   }
@@ -196,11 +196,11 @@
   log_info("job_preempted", log_field("job", victim.job), log_field("task", victim.task),
            log_field("machine", candidate.machine), log_field("for_job", job.spec().id));
   if (preempted->spec().kind == JobKind::Gang) {
-    links_.attempts.stop_job(*preempted, true, now);
+    context_.attempts.stop_job(*preempted, true, now);
   } else {
     for (auto& [id, attempt] : state_.machines().at(candidate.machine).attempts)
-      if (id.task.job == victim.job && id.task.task == victim.task && attempt.possibly_present())
-        links_.attempts.request_stop(attempt, true, now);
+      if (id.task.job == victim.job && id.task.task == victim.task && attempt.may_be_present())
+        context_.attempts.request_stop(attempt, true, now);
   }
   candidate.releasing += victim.request;
   mark_preempted(victim);
--- a/src/dispatch/preemptor.h
+++ b/src/dispatch/preemptor.h
@@ -14,12 +14,12 @@
 namespace sumacquay {
 
 /// The modules that preemption uses.
-struct PreemptorLinks {
+struct PreemptorContext {
   const CapacityView& capacity;
   const SchedulingQueue& queue;
   const Autoscaler& autoscaler;
   AttemptTracker& attempts;
-  WorkCounters& work;
+  WorkCounters& work_counters;
 };
 
 /// Makes room for jobs that could not be placed by preempting tasks of lower priority or tasks
@@ -30,7 +30,8 @@
 /// are recorded in them.
 class Preemptor {
  public:
-  Preemptor(ClusterState& state, const PreemptorLinks& links) : state_(state), links_(links) {}
+  Preemptor(ClusterState& state, const PreemptorContext& context)
+      : state_(state), context_(context) {}
 
   /// Preempts tasks to make room for the tasks of `request`, which could not be placed. Resources
   /// of a victim become available once the victim is proven gone; within the round they are
@@ -63,7 +64,7 @@
   void mark_preempted(const Victim& stopped_victim);
 
   ClusterState& state_;
-  PreemptorLinks links_;
+  PreemptorContext context_;
   std::optional<std::vector<Victim>> victims_;  ///< none: not listed in this round yet
   RunningResources running_resources_;          ///< of the teams; set with `victims_`
 };
--- a/src/dispatch/rebalancer.cpp
+++ b/src/dispatch/rebalancer.cpp
@@ -56,12 +56,13 @@
   PlacementRequest request;
   request.spec = &job.spec();
   request.tasks = {task};
-  if (request.spec->counts_zones())
+  if (request.spec->has_zone_constraint())
     for_each_possible_placement(job, [&](uint32_t other, const TaskPlacement& placement) {
-      if (other != task) ++request.zones[state_.machines().at(placement.machine).info.zone];
+      if (other != task)
+        ++request.tasks_per_zone[state_.machines().at(placement.machine).host.zone];
     });
-  request.avoid = [&job](const CandidateMachine& candidate) {
-    return empty(candidate) || !candidate.of->images.has(job.spec().image) ||
+  request.excluded = [&job](const CandidateMachine& candidate) {
+    return empty(candidate) || !candidate.source->images.has(job.spec().image) ||
            job.failed_machines.contains(candidate.machine);
   };
   return request;
@@ -72,22 +73,22 @@
 bool Rebalancer::drainable(const Machine& machine, TentativePlacement& relocation,
                            Seconds now) const {
   for (const auto& [id, attempt] : machine.attempts) {
-    if (!attempt.possibly_present()) continue;
+    if (!attempt.may_be_present()) continue;
     const Job* job = state_.find_job(id.task.job);
     if (!job || job->spec().kind != JobKind::Service || !attempt.desired_running) return false;
     if (attempt.state != TaskAttemptState::Running ||
         now - attempt.running_since.value_or(now) < kMinRunningTimeBeforeMove)
       return false;
-    if (!relocation.fits(relocation_request(*job, id.task.task))) return false;
+    if (!relocation.place(relocation_request(*job, id.task.task))) return false;
   }
   return true;
 }
 
 void Rebalancer::drain(Machine& machine, std::string_view reason, Seconds now) {
-  log_info("machine_drained", log_field("machine", machine.info.id), log_field("reason", reason));
+  log_info("machine_drained", log_field("machine", machine.host.id), log_field("reason", reason));
   machine.draining = true;
   for (auto& [id, attempt] : machine.attempts)
-    if (attempt.possibly_present()) attempts_.request_stop(attempt, false, now);
+    if (attempt.may_be_present()) attempts_.request_stop(attempt, false, now);
 }
 
 /// Ends the drain of machines that have become empty. Returns how many are still being drained.
@@ -95,7 +96,7 @@
   size_t draining = 0;
   for (auto& [id, machine] : state_.machines()) {
     if (!machine.draining || machine.state != MachineState::Up) continue;
-    if (machine.has_possible_attempts()) {
+    if (machine.may_have_attempts()) {
       ++draining;
       continue;
     }
@@ -125,7 +126,7 @@
 
 void Rebalancer::rebalance(const std::vector<PlacementRequest>& unplaced, Seconds now) {
   size_t draining = complete_drains(now);
-  if (now < next_rebalance_ || !capacity_.settled(now)) return;
+  if (now < next_rebalance_ || !capacity_.reconciled_or_timed_out(now)) return;
   auto candidates = capacity_.up(now);
   const size_t max_draining =
       1 + static_cast<size_t>(kMaxDrainingFraction * static_cast<double>(candidates.size()));
@@ -141,7 +142,7 @@
     TentativePlacement relocation(candidates);
     if (drainable(machine, relocation, now) &&
         (gang_task || autoscaler_.has_headroom(relocation))) {
-      for (const size_t receiver : relocation.keep()) receiving.insert(receiver);
+      for (const size_t receiver : relocation.commit()) receiving.insert(receiver);
       drain(machine, gang_task ? "gang_needs_machine" : "can_be_released", now);
       if (++draining >= max_draining) return;
     } else {
--- a/src/dispatch/reconciler.cpp
+++ b/src/dispatch/reconciler.cpp
@@ -65,31 +65,31 @@
   Machine& machine = entry->second;
   if (added) {
     machine.first_seen = now;
-    machine.info.id = heartbeat.machine;
+    machine.host.id = heartbeat.machine;
     machine.reconciled = true;  // without a host record no task was ever started there
   }
-  machine.info.addr = heartbeat.addr;
-  machine.info.type = heartbeat.type;
-  machine.info.zone = heartbeat.zone;
-  machine.info.spot = heartbeat.spot;
+  machine.host.addr = heartbeat.addr;
+  machine.host.type = heartbeat.type;
+  machine.host.zone = heartbeat.zone;
+  machine.host.spot = heartbeat.spot;
   return machine;
 }
 
-HeartbeatAnswer Reconciler::on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act,
-                                         Seconds now) {
+HeartbeatResponse Reconciler::on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act,
+                                           Seconds now) {
   failure_detector_.record_event(now);
   // The heartbeat was delayed in the network until after the machine was released.
   if (state_.released_machines().contains(heartbeat.machine)) return {};
   Machine& machine = find_or_add_machine(heartbeat, now);
-  HeartbeatAnswer answer;
-  if (heartbeat.sequence() <= machine.latest_own ||
-      heartbeat.agent_epoch < machine.latest.agent_epoch)
+  HeartbeatResponse answer;
+  if (heartbeat.sequence() <= machine.latest_heartbeat_sequence ||
+      heartbeat.agent_epoch < machine.latest_sequence.agent_epoch)
     return answer;
-  machine.latest_own = heartbeat.sequence();
-  answer.fresh = true;
-  machine.last_lease_renewal = now;
+  machine.latest_heartbeat_sequence = heartbeat.sequence();
+  answer.accepted = true;
+  machine.last_lease_renewal_at = now;
   failure_detector_.record_heartbeat(machine, now);
-  const bool newest = heartbeat.sequence() > machine.latest;
+  const bool newest = heartbeat.sequence() > machine.latest_sequence;
   const bool no_commands_in_flight = !machine.commands_in_flight;
   if (newest) reconcile(machine, heartbeat, no_commands_in_flight, now);
   if (newest && may_act && machine.fencing_token_acknowledged && no_commands_in_flight)
@@ -97,10 +97,10 @@
   else
     // The response renews the worker's lease. Without these stops, a cancelled task whose stop
     // command was lost would keep running for as long as the lease is renewed.
-    answer.commands =
-        stops_of_ended(heartbeat, [this](const std::string& id) { return state_.ended(id); });
+    answer.commands = stop_commands_for_ended_jobs(
+        heartbeat, [this](const std::string& id) { return state_.job_ended(id); });
   // A probe delivers the fencing token and its acknowledgement before the next heartbeat does.
-  if (!machine.fencing_token_acknowledged) machine.next_greeting_probe_at = now;
+  if (!machine.fencing_token_acknowledged) machine.next_token_probe_at = now;
   answer.fencing_token = state_.fencing_token(machine);
   return answer;
 }
@@ -122,7 +122,7 @@
   }
   commands_.enqueue(*machine);
   if (!heartbeat || heartbeat->machine != machine_id) return;
-  if (heartbeat->sequence() > machine->latest) reconcile(*machine, *heartbeat, false, now);
+  if (heartbeat->sequence() > machine->latest_sequence) reconcile(*machine, *heartbeat, false, now);
 }
 
 void Reconciler::on_probe_answered(const std::string& machine_id,
@@ -135,7 +135,7 @@
     machine->probe_unanswered = failure_detector_.heartbeat_overdue(*machine, now);
     return;
   }
-  if (heartbeat->sequence() > machine->latest) reconcile(*machine, *heartbeat, false, now);
+  if (heartbeat->sequence() > machine->latest_sequence) reconcile(*machine, *heartbeat, false, now);
 }
 
 void Reconciler::on_probe_not_sent(const std::string& machine_id) {
@@ -150,7 +150,7 @@
   // The lease of the new epoch starts now. If the epoch is first seen in a response to commands or
   // a probe, the last renewal dates from the previous epoch, and the lease would count as expired
   // while new tasks run.
-  machine.last_lease_renewal = std::max(machine.last_lease_renewal, now);
+  machine.last_lease_renewal_at = std::max(machine.last_lease_renewal_at, now);
 }
 
 /// Removes attempts that the heartbeat of a worker with the current fencing token does not list,
@@ -159,7 +159,7 @@
   for (const auto& id : absent_attempts(machine, heartbeat)) {
     const auto attempt = machine.attempts.find(id);
     if (attempt == machine.attempts.end()) continue;
-    const bool present = attempt->second.possibly_present();
+    const bool present = attempt->second.may_be_present();
     state_.remove_attempt(machine, id);
     if (present) attempts_.stop_gang_of(id.task, now);
   }
@@ -168,9 +168,9 @@
 /// Marks the worker as following this leader: it rejects responses of earlier leaders from now on.
 void Reconciler::accept_worker(Machine& machine, Seconds now) {
   // An earlier leader cannot have renewed the lease later than now.
-  if (machine.previous_leader_may_answer)
-    machine.last_lease_renewal = std::max(machine.last_lease_renewal, now);
-  machine.previous_leader_may_answer = false;
+  if (machine.previous_leader_may_renew)
+    machine.last_lease_renewal_at = std::max(machine.last_lease_renewal_at, now);
+  machine.previous_leader_may_renew = false;
   state_.mark_reconciled(machine);
 }
 
@@ -179,9 +179,9 @@
 /// to commands or probes.
 void Reconciler::reconcile(Machine& machine, const WorkerHeartbeat& heartbeat,
                            bool absence_is_conclusive, Seconds now) {
-  if (heartbeat.agent_epoch > machine.latest.agent_epoch) begin_agent_epoch(machine, now);
-  machine.latest = heartbeat.sequence();
-  machine.last_heard = now;
+  if (heartbeat.agent_epoch > machine.latest_sequence.agent_epoch) begin_agent_epoch(machine, now);
+  machine.latest_sequence = heartbeat.sequence();
+  machine.last_seen_at = now;
   machine.probe_unanswered = false;
   failure_detector_.mark_up(machine, now);
   machine.reclaim_at = heartbeat.preemption_notice_s
--- a/src/dispatch/reconciler.h
+++ b/src/dispatch/reconciler.h
@@ -13,8 +13,8 @@
 namespace sumacquay {
 
 /// The answer to a worker's heartbeat, which renews the worker's lease.
-struct HeartbeatAnswer {
-  bool fresh = false;  ///< false: late or duplicate, no response is expected
+struct HeartbeatResponse {
+  bool accepted = false;  ///< false: late or duplicate, no response is expected
   uint64_t fencing_token = 0;
   std::vector<Command> commands;
 };
@@ -36,7 +36,7 @@
 
   /// Applies a worker's periodic heartbeat. Without `may_act` the response contains only stop
   /// commands for tasks of jobs that have ended.
-  HeartbeatAnswer on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act, Seconds now);
+  HeartbeatResponse on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act, Seconds now);
   /// Handles the outcome of `SendCommands`. `executed` is false if the commands may still be
   /// carried out later.
   void on_commands_answered(const std::string& machine_id,
--- a/src/dispatch/record_ingestion.cpp
+++ b/src/dispatch/record_ingestion.cpp
@@ -14,7 +14,7 @@
                        const auto& placements = entry.second;
                        return std::all_of(placements.begin(), placements.end(),
                                           [&job](const TaskPlacement& placement) {
-                                            return job.next_leader_knows(placement.machine);
+                                            return job.host_recorded(placement.machine);
                                           });
                      });
 }
@@ -39,10 +39,10 @@
   job.hosts_record_requested = job.hosts_record_requested && !all_hosts_recorded(job);
   state_.track_dependencies(record);
   if (added) add_job(job, now);
-  if (record.state != JobState::Pending) links_.attempts.stop_job(job, false, now);
-  if (record.state == JobState::Cancelled) links_.failures.clear_failures(job);
-  if (starts_unblocked) links_.commands.enqueue_machines_of(job);
-  links_.records.enqueue_job(job, now);
+  if (record.state != JobState::Pending) context_.attempts.stop_job(job, false, now);
+  if (record.state == JobState::Cancelled) context_.failures.clear_failures(job);
+  if (starts_unblocked) context_.commands.enqueue_machines_of(job);
+  context_.records.enqueue_job(job, now);
 }
 
 /// Initializes a new job whose record has been applied.
@@ -50,7 +50,7 @@
   const JobRecord& record = job.stored;
   job.done = record.done;
   state_.inherit_priority(job);
-  count_arrival(state_, links_.arrivals, job);
+  count_arrival(state_, context_.arrivals, job);
   job.record_capacity = wire::record_capacity(record, state_.settings().state_value_bytes());
   if (!job.record_capacity.any())
     log_error("job_description_too_large", log_field("job", record.spec.id));
@@ -65,9 +65,9 @@
   for (auto& [machine_id, machine] : state_.machines())
     for (auto attempt = machine.attempts.lower_bound({{id, 0}, 0});
          attempt != machine.attempts.end() && attempt->first.task.job == id; ++attempt) {
-      ++links_.work.adoption_checks;
-      if (attempt->second.possibly_present())
-        links_.attempts.adopt(machine, attempt->first, attempt->second, job, now);
+      ++context_.work_counters.adoption_checks;
+      if (attempt->second.may_be_present())
+        context_.attempts.adopt(machine, attempt->first, attempt->second, job, now);
     }
 }
 
@@ -81,21 +81,21 @@
     const auto attempt = machine->attempts.find({{id, task}, placement.attempt});
     if (attempt != machine->attempts.end()) attempt->second.desired_running = false;
   });
-  if (!job.complete()) links_.failures.clear_failures(job);
+  if (!job.complete()) context_.failures.clear_failures(job);
   state_.jobs().erase(entry);
-  state_.dependencies().forget(id);
+  state_.dependencies().on_live_record_deleted(id);
 }
 
 void RecordIngestion::on_dependency_finished(const std::string& id, const FinishedRecord& record) {
-  state_.dependencies().finished(id, record.state, record.ended_ms);
+  state_.dependencies().set_finished(id, record.state, record.ended_ms);
 }
 
 void RecordIngestion::restore_machine(const HostRecord& host, Seconds now) {
   Machine& machine = state_.machines()[host.id];
-  machine.info = host;
+  machine.host = host;
   state_.set_machine_state(machine, MachineState::Up);
-  machine.record = HostRecordState::Durable;
-  machine.first_seen = machine.last_heartbeat = now;  // until the worker's first heartbeat
+  machine.host_record_state = HostRecordState::Durable;
+  machine.first_seen = machine.last_heartbeat_at = now;  // until the worker's first heartbeat
   state_.add_unreconciled_machine();
 }
 
--- a/src/dispatch/record_ingestion.h
+++ b/src/dispatch/record_ingestion.h
@@ -12,21 +12,21 @@
 namespace sumacquay {
 
 /// The modules that new records are passed on to.
-struct RecordIngestionLinks {
+struct RecordIngestionContext {
   FailureAttribution& failures;
   AttemptTracker& attempts;
   CommandDispatcher& commands;
   RecordQueue& records;
   ArrivalForecast& arrivals;
-  WorkCounters& work;
+  WorkCounters& work_counters;
 };
 
 /// Applies durable records to the ClusterState: records that the node reads and records that the
 /// leader's own writes have stored. Owns no state.
 class RecordIngestion {
  public:
-  RecordIngestion(ClusterState& state, const RecordIngestionLinks& links)
-      : state_(state), links_(links) {}
+  RecordIngestion(ClusterState& state, const RecordIngestionContext& context)
+      : state_(state), context_(context) {}
 
   /// Applies a job's live record after it was read or written. Versions that are not newer than the
   /// stored one are ignored.
@@ -44,7 +44,7 @@
   void adopt_reported_attempts(Job& job, Seconds now);
 
   ClusterState& state_;
-  RecordIngestionLinks links_;
+  RecordIngestionContext context_;
 };
 
 /// Adds the job to the arrival forecast, once, as soon as its dependencies are done.
--- a/src/dispatch/record_planner.cpp
+++ b/src/dispatch/record_planner.cpp
@@ -38,7 +38,7 @@
   bool full() const { return bytes_ > kMaxBytes; }
   /// `bytes`: upper bound on the size of the record's value.
   void add(RecordWrite write, size_t bytes) {
-    mutations_ += write.changes();
+    mutations_ += write.mutation_count();
     bytes_ += bytes;
     writes_.push_back(std::move(write));
   }
@@ -62,7 +62,7 @@
 /// Adds the records of machines that are to get their first task, which is not started before the
 /// record is durable.
 void RecordPlanner::add_machine_writes(Batch& batch) {
-  if (!queue_.prompt()) {
+  if (!queue_.prompt_dispatch_enabled()) {
     for (const auto& [id, machine] : state_.machines()) {
       if (!batch.fits(1)) return;
       add_machine_write(batch, id, machine);
@@ -77,16 +77,16 @@
 }
 
 void RecordPlanner::add_machine_write(Batch& batch, const std::string& id, const Machine& machine) {
-  ++work_.dispatch_checks;
-  if (machine.record != HostRecordState::Requested || !host_writes_.begin(id)) return;
+  ++work_counters_.dispatch_checks;
+  if (machine.host_record_state != HostRecordState::Requested || !host_writes_.begin(id)) return;
   RecordWrite write;
   write.host = id;
-  write.host_record = machine.info;
+  write.host_record = machine.host;
   batch.add(std::move(write), kMachineRecordBytes);
 }
 
 void RecordPlanner::add_machine_deletions(Batch& batch) {
-  for (const auto& id : host_writes_.to_delete()) {
+  for (const auto& id : host_writes_.pending_deletions()) {
     if (!batch.fits(1)) return;
     if (!host_writes_.begin(id)) continue;
     RecordWrite write;
@@ -98,14 +98,14 @@
 /// Adds job records in order of priority: those that task starts wait for, then those that users
 /// wait for, then progress and cleanup. Returns false if the batch is full before all are added.
 bool RecordPlanner::add_job_writes(Batch& batch, Seconds now) {
-  if (queue_.prompt()) return add_queued_job_writes(batch, now);
+  if (queue_.prompt_dispatch_enabled()) return add_queued_job_writes(batch, now);
   struct PrioritizedJob {
     WritePriority priority;
     Job* job;
   };
   std::vector<PrioritizedJob> order;
   for (auto& [id, job] : state_.jobs()) {
-    ++work_.dispatch_checks;
+    ++work_counters_.dispatch_checks;
     const WritePriority priority = queue_.write_priority(job, now);
     if (priority != WritePriority::None) order.push_back({priority, &job});
   }
@@ -124,7 +124,7 @@
   while (batch.fits(kMaxMutationsPerJob) && !batch.full()) {
     const auto id = queue_.pop_job();
     if (!id) return true;
-    ++work_.dispatch_checks;
+    ++work_counters_.dispatch_checks;
     Job* job = state_.find_job(*id);
     if (job && queue_.write_priority(*job, now) != WritePriority::None)
       add_job_write(batch, *job, now);
@@ -148,7 +148,7 @@
   JobRecord& record = *write.record;
   if (job.stored.state == JobState::Pending && job.complete()) {
     record.state = JobState::Done;
-    record.ended_ms = state_.time_of_day_ms(now);
+    record.ended_ms = state_.unix_time_ms(now);
   }
   if (state_.cancelled_by_dependency(job)) record.state = JobState::Cancelled;
   record.started = job.stored.started || job.start_record_requested;
@@ -195,10 +195,10 @@
 
 void RecordPlanner::on_machine_write_answered(const RecordWrite& write, bool committed) {
   host_writes_.end(write.host);
-  if (committed && !write.host_record) host_writes_.deleted(write.host);
+  if (committed && !write.host_record) host_writes_.complete_deletion(write.host);
   Machine* machine = state_.find_machine(write.host);
   if (!machine) return;
-  if (committed && write.host_record) machine->record = HostRecordState::Durable;
+  if (committed && write.host_record) machine->host_record_state = HostRecordState::Durable;
   queue_.enqueue_machine(*machine);
   commands_.enqueue(*machine);
 }
--- a/src/dispatch/record_planner.h
+++ b/src/dispatch/record_planner.h
@@ -19,8 +19,12 @@
 class RecordPlanner {
  public:
   RecordPlanner(ClusterState& state, RecordQueue& queue, RecordIngestion& ingestion,
-                CommandDispatcher& commands, WorkCounters& work)
-      : state_(state), queue_(queue), ingestion_(ingestion), commands_(commands), work_(work) {}
+                CommandDispatcher& commands, WorkCounters& work_counters)
+      : state_(state),
+        queue_(queue),
+        ingestion_(ingestion),
+        commands_(commands),
+        work_counters_(work_counters) {}
 
   /// Returns the writes of one transaction with at most `max_mutations` mutations, the most urgent
   /// first. Each write is in flight until `on_write_answered`.
@@ -50,7 +54,7 @@
   RecordQueue& queue_;
   RecordIngestion& ingestion_;
   CommandDispatcher& commands_;
-  WorkCounters& work_;
+  WorkCounters& work_counters_;
   HostRecordWrites host_writes_;
 };
 
--- a/src/dispatch/record_queue.cpp
+++ b/src/dispatch/record_queue.cpp
@@ -30,22 +30,23 @@
   return due && done_for_record(job).count() > job.stored.done.count();
 }
 
-Ranges RecordQueue::done_for_record(const Job& job) {
-  return job.done.first_spans(job.record_capacity.spans, job.stored.done);
+TaskRangeSet RecordQueue::done_for_record(const Job& job) {
+  return job.done.subset_of_ranges(job.record_capacity.spans, job.stored.done);
 }
 
 void RecordQueue::enqueue_machine(const Machine& machine) {
-  if (prompt() && machine.record == HostRecordState::Requested) machines_.put(machine.info.id);
+  if (prompt_dispatch_enabled() && machine.host_record_state == HostRecordState::Requested)
+    machines_.put(machine.host.id);
 }
 
 void RecordQueue::enqueue_job(const Job& job, Seconds now) {
-  if (!prompt()) return;
+  if (!prompt_dispatch_enabled()) return;
   const WritePriority priority = write_priority(job, now);
   if (priority != WritePriority::None) jobs_.put(job.spec().id, static_cast<size_t>(priority));
 }
 
-void RecordQueue::enqueue_overlooked(Seconds now) {
-  if (!prompt()) return;
+void RecordQueue::enqueue_all_due(Seconds now) {
+  if (!prompt_dispatch_enabled()) return;
   for (const auto& [id, machine] : state_.machines()) enqueue_machine(machine);
   for (const auto& [id, job] : state_.jobs()) enqueue_job(job, now);
 }
--- a/src/dispatch/record_queue.h
+++ b/src/dispatch/record_queue.h
@@ -4,7 +4,7 @@
 
 #include "backlog/pending_queue.h"
 #include "dispatch/cluster_state.h"
-#include "jobs/ranges.h"
+#include "jobs/task_range_set.h"
 
 namespace sumacquay {
 
@@ -21,17 +21,17 @@
   explicit RecordQueue(ClusterState& state) : state_(state) {}
 
   /// Whether records are queued (prompt dispatch).
-  bool prompt() const { return state_.settings().tuning.prompt_dispatch; }
+  bool prompt_dispatch_enabled() const { return state_.settings().tuning.prompt_dispatch; }
   WritePriority write_priority(const Job& job, Seconds now) const;
   /// Returns the done tasks that fit into the job's record. Stored completions come first, since
   /// the workers may have dropped them already. Workers keep reporting a completion that does not
   /// fit, until earlier tasks are done and close the gaps between ranges.
-  static Ranges done_for_record(const Job& job);
+  static TaskRangeSet done_for_record(const Job& job);
 
   void enqueue_job(const Job& job, Seconds now);
   void enqueue_machine(const Machine& machine);
   /// Enqueues due records that no event has enqueued. Scans all records; called once per round.
-  void enqueue_overlooked(Seconds now);
+  void enqueue_all_due(Seconds now);
   /// Removes and returns the next machine or job to check; none if the queue is empty.
   std::optional<std::string> pop_machine() { return machines_.pop(); }
   std::optional<std::string> pop_job() { return jobs_.pop(); }
--- a/src/dispatch/record_write.h
+++ b/src/dispatch/record_write.h
@@ -18,7 +18,7 @@
   std::optional<HostRecord> host_record;  ///< machine: the new record; none: delete it
   /// How many keys the write changes in a transaction. A finished job is deleted from one key and
   /// written to another.
-  size_t changes() const { return finished ? 2 : 1; }
+  size_t mutation_count() const { return finished ? 2 : 1; }
 };
 
 }  // namespace sumacquay
--- a/src/dispatch/scale_out_requests.cpp
+++ b/src/dispatch/scale_out_requests.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-ScaleOut ScaleOutRequests::open(const OfferingKey& offering, int count) {
+ScaleOut ScaleOutRequests::create(const OfferingKey& offering, int count) {
   // The term is unique to this leader, so no two nodes use the same name.
   const std::string name = "sq-" + std::to_string(term_) + "-" + std::to_string(next_number_++);
   ScaleOut request{name, offering.type, offering.zone, offering.spot, count};
@@ -30,12 +30,12 @@
 }
 
 void ScaleOutRequests::retry_after(const ScaleOut& request, Seconds now, Seconds delay) {
-  const auto entry = in_flight_.find(request.request);
+  const auto entry = in_flight_.find(request.request_name);
   if (entry != in_flight_.end()) entry->second.retry_at = now + delay;
 }
 
 bool ScaleOutRequests::complete(const ScaleOut& request, size_t granted, Seconds now) {
-  if (in_flight_.erase(request.request) == 0) return false;
+  if (in_flight_.erase(request.request_name) == 0) return false;
   Refusals& refusals = refusals_[{request.type, request.zone, request.spot}];
   if (static_cast<int>(granted) >= request.count) {
     refusals.consecutive = 0;
--- a/src/dispatch/scale_out_requests.h
+++ b/src/dispatch/scale_out_requests.h
@@ -25,7 +25,7 @@
   explicit ScaleOutRequests(uint64_t term) : term_(term) {}
 
   /// Creates a request with a name that no leader uses again. It is in flight until `complete`.
-  ScaleOut open(const OfferingKey& offering, int count);
+  ScaleOut create(const OfferingKey& offering, int count);
   /// Whether any request is in flight, so that the number of its machines is not known yet.
   bool any_in_flight() const { return !in_flight_.empty(); }
   /// Returns the requests whose retry is due, each once per call of `retry_after`.
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -6,22 +6,23 @@
                      Seconds previous_leader_fenced_at, Seconds wall_offset)
     : state_(settings, term, now, wall_offset),
       failures_(state_),
-      commands_(state_, work_),
+      commands_(state_, work_counters_),
       record_queue_(state_),
-      attempts_(state_, failures_, commands_, record_queue_, work_),
+      attempts_(state_, failures_, commands_, record_queue_, work_counters_),
       failure_detector_(state_, attempts_, failures_, now, previous_leader_fenced_at),
       reconciler_(state_, attempts_, commands_, failure_detector_),
-      ingestion_(state_, {failures_, attempts_, commands_, record_queue_, arrivals_, work_}),
-      record_planner_(state_, record_queue_, ingestion_, commands_, work_),
+      ingestion_(state_,
+                 {failures_, attempts_, commands_, record_queue_, arrivals_, work_counters_}),
+      record_planner_(state_, record_queue_, ingestion_, commands_, work_counters_),
       capacity_(state_),
       autoscaler_(state_, {capacity_, attempts_, failure_detector_, record_planner_, arrivals_}),
       queue_(state_, failures_, arrivals_),
       quota_(state_),
-      preemptor_(state_, {capacity_, queue_, autoscaler_, attempts_, work_}),
-      round_(state_,
-             {capacity_, failures_, queue_, quota_, preemptor_, commands_, record_queue_, work_}),
+      preemptor_(state_, {capacity_, queue_, autoscaler_, attempts_, work_counters_}),
+      round_(state_, {capacity_, failures_, queue_, quota_, preemptor_, commands_, record_queue_,
+                      work_counters_}),
       rebalancer_(state_, capacity_, autoscaler_, attempts_),
-      summary_log_(state_, work_) {}
+      summary_log_(state_, work_counters_) {}
 
 void Scheduler::on_cached_image(const std::string& machine_id, const std::string& image,
                                 double size_gb) {
@@ -58,8 +59,8 @@
     const size_t unplaced_jobs = round_.unplaced().size();
     autoscaler_.scale_out(round_.release_unplaced(), now, actions);
     summary_log_.write_if_due(unplaced_jobs, now);
-    commands_.enqueue_overlooked();
-    record_queue_.enqueue_overlooked(now);
+    commands_.enqueue_all_due();
+    record_queue_.enqueue_all_due(now);
   }
   autoscaler_.scale_in(now, actions);
   commands_.dispatch(now, actions);
@@ -69,7 +70,7 @@
 
 std::vector<Action> Scheduler::dispatch(Seconds now) {
   std::vector<Action> actions;
-  if (!record_queue_.prompt()) return actions;
+  if (!record_queue_.prompt_dispatch_enabled()) return actions;
   failure_detector_.record_event(now);
   commands_.dispatch(now, actions);
   return actions;
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -45,7 +45,8 @@
 class Scheduler {
  public:
   /// `previous_leader_fenced_at`: the latest time at which an earlier leader may have responded to
-  /// workers. `wall_offset`: the time of day minus the steady time, used only for arrival times.
+  /// workers. `wall_offset`: the wall-clock time minus the steady time, used only for arrival
+  /// times.
   Scheduler(const Settings& settings, uint64_t term, Seconds now, Seconds previous_leader_fenced_at,
             Seconds wall_offset = 0);
   Scheduler(const Scheduler&) = delete;
@@ -66,7 +67,7 @@
   }
   /// Dependencies that are not among the live jobs. The node reads their finished records.
   const std::set<std::string>& unknown_dependencies() const {
-    return state_.dependencies().unknown();
+    return state_.dependencies().unknown_jobs();
   }
   /// Adds a machine from its record, read at the failover. Tasks may be on the machine until it is
   /// reconciled.
@@ -89,11 +90,11 @@
 
   // Workers.
 
-  using HeartbeatAnswer = sumacquay::HeartbeatAnswer;
+  using HeartbeatResponse = sumacquay::HeartbeatResponse;
   /// Applies a worker's periodic heartbeat. The response renews the worker's lease, so it is sent
   /// only while the leader may respond. Without `may_act` it contains only stop commands for tasks
   /// of jobs that have ended.
-  HeartbeatAnswer on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act, Seconds now) {
+  HeartbeatResponse on_heartbeat(const WorkerHeartbeat& heartbeat, bool may_act, Seconds now) {
     return reconciler_.on_heartbeat(heartbeat, may_act, now);
   }
   /// Handles the outcome of `SendCommands`. `executed` is false if the commands may still be
@@ -117,7 +118,7 @@
   void on_previous_leader_fenced(Seconds now) { failure_detector_.on_previous_leader_fenced(now); }
   /// Nodes that respond to workers of their zone on behalf of this leader while the workers cannot
   /// reach it.
-  Delegations& delegations() { return failure_detector_.delegations(); }
+  DelegationTracker& delegations() { return failure_detector_.delegations(); }
 
   // Cloud.
 
@@ -169,11 +170,11 @@
   const std::unordered_map<std::string, Job>& jobs() const { return state_.jobs(); }
   const std::map<std::string, Machine>& machines() const { return state_.machines(); }
   uint64_t term() const { return state_.term(); }
-  const WorkCounters& work() const { return work_; }
+  const WorkCounters& work_counters() const { return work_counters_; }
 
  private:
   // Declared in order of their dependencies on one another.
-  WorkCounters work_;
+  WorkCounters work_counters_;
   ArrivalForecast arrivals_;
   ClusterState state_;
   FailureAttribution failures_;
--- a/src/dispatch/scheduling_queue.cpp
+++ b/src/dispatch/scheduling_queue.cpp
@@ -57,7 +57,7 @@
   if (!job.runnable() || !state_.ready(job) || now < job.backoff_until ||
       state_.placement_unknown(job))
     return false;
-  if (!job.start_recordable()) return false;
+  if (!job.can_record_host()) return false;
   count_arrival(state_, arrivals_, job);
   if (job.possible_placements.size() + job.done.count() >= job.spec().tasks) return false;
   if (job.spec().kind == JobKind::Gang && !job.possible_placements.empty()) return false;
--- a/src/dispatch/zone_partition_detector.cpp
+++ b/src/dispatch/zone_partition_detector.cpp
@@ -25,7 +25,7 @@
   reachable_.clear();
   std::vector<std::string> healed;
   for (const auto& [zone, count] : zones) {
-    if (exceeds_fraction(kMinReachableFraction, count.heard_recently, count.up))
+    if (exceeds_fraction(kMinReachableFraction, count.recently_seen, count.up))
       reachable_.insert(zone);
     const bool is_partitioned = exceeds_fraction(kMinSilentFraction, count.silent, count.up);
     if (is_partitioned != partitioned(zone))
--- a/src/dispatch/zone_partition_detector.h
+++ b/src/dispatch/zone_partition_detector.h
@@ -22,8 +22,8 @@
   /// Counts of the machines in a zone that are up.
   struct Count {
     size_t up = 0;
-    size_t silent = 0;          ///< silent for most of the time after which a machine is suspected
-    size_t heard_recently = 0;  ///< silent for a fraction of a heartbeat period at most
+    size_t silent = 0;         ///< silent for most of the time after which a machine is suspected
+    size_t recently_seen = 0;  ///< silent for a fraction of a heartbeat period at most
   };
   /// Applies new counts and returns the zones that are no longer partitioned. A partitioned zone
   /// without machines cannot be judged; it stays partitioned for at most `retention`, since
--- a/src/fleet/image_cache.h
+++ b/src/fleet/image_cache.h
@@ -19,7 +19,7 @@
  public:
   /// Records that a task on the machine uses the image. Evicts the least recently used images until
   /// the others fit in `disk_gb`, but never the image passed in.
-  void use(const std::string& image, double gb, double disk_gb) {
+  void record_use(const std::string& image, double gb, double disk_gb) {
     std::erase_if(images_, [&](const CachedImage& cached) { return cached.image == image; });
     images_.push_back({image, gb});
     double total_gb = 0;
@@ -35,7 +35,7 @@
                        [&](const CachedImage& cached) { return cached.image == image; });
   }
   /// All cached images, most recently used last.
-  const std::vector<CachedImage>& kept() const { return images_; }
+  const std::vector<CachedImage>& images() const { return images_; }
 
  private:
   std::vector<CachedImage> images_;  ///< most recently used last
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -46,7 +46,7 @@
   std::string image;
   double image_gb = 0;
 
-  bool possibly_present() const { return state != TaskAttemptState::Exited; }
+  bool may_be_present() const { return state != TaskAttemptState::Exited; }
 };
 
 /// States of a machine in the usual order of its life cycle.
@@ -63,28 +63,29 @@
 
 /// The leader's state of one machine.
 struct Machine {
-  HostRecord info;
+  HostRecord host;
   MachineState state = MachineState::Booting;
-  HostRecordState record = HostRecordState::None;
+  HostRecordState host_record_state = HostRecordState::None;
 
-  HeartbeatSequence latest;      ///< newest applied heartbeat, including responses to commands
-  HeartbeatSequence latest_own;  ///< newest worker-initiated heartbeat
-  uint64_t counter = 0;          ///< low bits of the worker's current fencing token
-  bool fencing_token_acknowledged = false;  ///< its heartbeats carry the current fencing token
+  /// Newest applied heartbeat, including responses to commands.
+  HeartbeatSequence latest_sequence;
+  HeartbeatSequence latest_heartbeat_sequence;  ///< newest worker-initiated heartbeat
+  uint64_t fencing_token_counter = 0;           ///< low bits of the worker's current fencing token
+  bool fencing_token_acknowledged = false;      ///< its heartbeats carry the current fencing token
   /// Since the failover, the worker has reported its tasks, or it can have none.
   bool reconciled = false;
   /// Time of the last applied heartbeat, including responses to commands and probes.
-  Seconds last_heard = kNever;
+  Seconds last_seen_at = kNever;
   /// Time of the last worker-initiated heartbeat. Responses to commands and probes do not count,
   /// because they do not show that the worker's lease was renewed.
-  Seconds last_heartbeat = kNever;
+  Seconds last_heartbeat_at = kNever;
   Seconds partition_healed_at = kNever;  ///< when the last partition of its zone ended
   /// When the last response that may renew the worker's lease was sent.
-  Seconds last_lease_renewal = kNever;
+  Seconds last_lease_renewal_at = kNever;
   /// The previous leader may have renewed the worker's lease up to the time that leader was fenced.
-  bool previous_leader_may_answer = true;
+  bool previous_leader_may_renew = true;
   bool commands_in_flight = false;
-  Seconds next_commands_at = 0, next_greeting_probe_at = 0;
+  Seconds next_commands_at = 0, next_token_probe_at = 0;
   bool probe_in_flight = false;   ///< a liveness probe is in flight
   bool probe_unanswered = false;  ///< the last probe got no response
 
@@ -97,7 +98,7 @@
   /// released once the failures are confirmed to be the machine's fault.
   std::optional<Seconds> quarantined_since;
   bool quarantined() const { return quarantined_since.has_value(); }
-  bool failed_jobs_succeed_elsewhere = false;  ///< a job that failed here succeeded elsewhere
+  bool failed_job_succeeded_elsewhere = false;  ///< a job that failed here succeeded elsewhere
   std::set<std::string> failed_jobs;  ///< jobs that failed here since any job last succeeded here
   ImageCache images;
   bool draining = false;  ///< its tasks are moved to other machines, and it gets no new ones
@@ -106,13 +107,13 @@
 
   /// Requests a write of the host record, which must be durable before any task is started here.
   void request_host_record() {
-    if (record == HostRecordState::None) record = HostRecordState::Requested;
+    if (host_record_state == HostRecordState::None) host_record_state = HostRecordState::Requested;
   }
   /// True until the machine is reconciled, even if it has no known attempts.
-  bool may_run_tasks() const { return !reconciled || has_possible_attempts(); }
-  bool has_possible_attempts() const {
+  bool may_run_tasks() const { return !reconciled || may_have_attempts(); }
+  bool may_have_attempts() const {
     return std::any_of(attempts.begin(), attempts.end(),
-                       [](const auto& entry) { return entry.second.possibly_present(); });
+                       [](const auto& entry) { return entry.second.may_be_present(); });
   }
 };
 
--- a/src/fleet/worker_heartbeat.h
+++ b/src/fleet/worker_heartbeat.h
@@ -20,9 +20,19 @@
 /// State of a task attempt as reported by its worker.
 enum class TaskState { Fetching, Waiting, Running, Checkpointing, Exited };
 /// Reason why a task attempt has exited. `GangMemberGone`: another task of its gang exited.
-/// `Alone`: its gang was not complete within `gang_wait_s`. `Busy`: the worker refused the start
-/// because another attempt of the same task is on the machine.
-enum class ExitCause { None, Done, Stopped, GangMemberGone, Alone, Error, NoRoom, Busy, Unknown };
+/// `GangIncomplete`: its gang was not complete within `gang_wait_s`. `Busy`: the worker refused the
+/// start because another attempt of the same task is on the machine.
+enum class ExitCause {
+  None,
+  Done,
+  Stopped,
+  GangMemberGone,
+  GangIncomplete,
+  Error,
+  InsufficientResources,
+  Busy,
+  Unknown
+};
 
 /// A task attempt as reported by its worker.
 struct TaskStatus {
@@ -60,13 +70,13 @@
   HeartbeatSequence sequence() const { return {agent_epoch, sequence_number}; }
 };
 
-/// Kind of a command. `Forget`: the leader has recorded the exit, so the worker may drop the
+/// Kind of a command. `Discard`: the leader has recorded the exit, so the worker may drop the
 /// attempt from its heartbeats.
-enum class Verb { Start, Stop, Forget };
+enum class CommandType { Start, Stop, Discard };
 
 /// A command to a worker about one task attempt.
 struct Command {
-  Verb verb = Verb::Start;
+  CommandType type = CommandType::Start;
   TaskKey key;
   uint64_t attempt = 0;
   double grace_s = 0;  ///< for Stop: time to write a checkpoint, in seconds
@@ -77,11 +87,12 @@
 /// predicate on the job id. Any node that renews a worker's lease sends them. They are always safe,
 /// because attempt numbers are never reused.
 template <class JobEnded>
-std::vector<Command> stops_of_ended(const WorkerHeartbeat& heartbeat, JobEnded&& job_ended) {
+std::vector<Command> stop_commands_for_ended_jobs(const WorkerHeartbeat& heartbeat,
+                                                  JobEnded&& job_ended) {
   std::vector<Command> commands;
   for (const auto& status : heartbeat.tasks)
     if (status.state != TaskState::Exited && job_ended(status.key.job))
-      commands.push_back({Verb::Stop, status.key, status.attempt, 0});
+      commands.push_back({CommandType::Stop, status.key, status.attempt, 0});
   return commands;
 }
 
--- a/src/frontend/job_lookup.cpp
+++ b/src/frontend/job_lookup.cpp
@@ -58,7 +58,7 @@
 JobLookupResult JobLookup::live_result(const Versioned<JobRecord>& record) const {
   const JobRecord& job = record.value;
   // The state is undetermined while the outcome of a dependency has not been read yet.
-  if (!record_cache_.dependencies().certain(job.spec.id)) return {};
+  if (!record_cache_.dependencies().cancellation_is_conclusive(job.spec.id)) return {};
   return {Outcome::Live, effective_state(job), job.done.count(), &record};
 }
 
--- a/src/frontend/submission_handler.cpp
+++ b/src/frontend/submission_handler.cpp
@@ -32,7 +32,7 @@
   const JobSpec& spec = *parsed.spec;
   if (sources_.types().empty() || lookup_.cached_state(spec.id))
     return respond_existing_job(spec.id, unavailable_reply(), respond);
-  const auto reason = never_runs(spec, sources_.types(), settings_.team(spec.team));
+  const auto reason = unschedulable_reason(spec, sources_.types(), settings_.team(spec.team));
   if (!reason.empty()) return respond_existing_job(spec.id, refusal_reply(422, reason), respond);
   if (!record_cache_.loaded()) return respond(unavailable_reply());
   auto submission = std::make_shared<Submission>();
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -20,15 +20,15 @@
       add_dependencies(id, record.spec.dependencies);
     return;
   }
-  finished(id, record.state, record.ended_ms);
+  set_finished(id, record.state, record.ended_ms);
 }
 
-void DependencyGraph::finished(const std::string& id, JobState state, uint64_t ended_ms) {
+void DependencyGraph::set_finished(const std::string& id, JobState state, uint64_t ended_ms) {
   if (!nodes_.contains(id)) return;
   set_state(id, state == JobState::Done ? State::Done : State::Cancelled, ended_ms);
 }
 
-void DependencyGraph::forget(const std::string& id) {
+void DependencyGraph::on_live_record_deleted(const std::string& id) {
   const auto found = nodes_.find(id);
   if (found == nodes_.end()) return;
   if (!is_terminal(found->second)) set_state(id, State::Unknown, 0);
@@ -38,7 +38,7 @@
 
 void DependencyGraph::clear() {
   nodes_.clear();
-  unknown_.clear();
+  unknown_jobs_.clear();
 }
 
 void DependencyGraph::set_state(const std::string& id, State next, uint64_t ended_ms) {
@@ -46,9 +46,9 @@
   if (node.state == next || is_terminal(node)) return;
   node.state = next;
   if (next == State::Unknown)
-    unknown_.insert(id);
+    unknown_jobs_.insert(id);
   else
-    unknown_.erase(id);
+    unknown_jobs_.erase(id);
   if (!is_terminal(node)) return;
   node.ended_ms = ended_ms;
   if (next == State::Done) {
@@ -70,7 +70,7 @@
     node.dependencies.push_back(dependency_id);
     ++node.unfinished_dependencies;
     if (dependency.state == State::Done) on_dependency_done(node, dependency);
-    if (dependency.state == State::Unknown) unknown_.insert(dependency_id);
+    if (dependency.state == State::Unknown) unknown_jobs_.insert(dependency_id);
     has_cancelled_dependency = has_cancelled_dependency || dependency.cancelled;
   }
   if (!has_cancelled_dependency) return;
@@ -113,7 +113,7 @@
   if (found == nodes_.end()) return;
   const Node& node = found->second;
   if (node.state == State::Pending || !node.dependents.empty()) return;
-  unknown_.erase(id);
+  unknown_jobs_.erase(id);
   nodes_.erase(found);
 }
 
@@ -127,8 +127,8 @@
   return node && node->cancelled;
 }
 
-bool DependencyGraph::certain(const std::string& id) const {
-  if (unknown_.empty() || cancelled(id)) return true;
+bool DependencyGraph::cancellation_is_conclusive(const std::string& id) const {
+  if (unknown_jobs_.empty() || cancelled(id)) return true;
   std::unordered_set<std::string_view> seen{id};
   std::vector<std::string_view> to_visit{id};
   while (!to_visit.empty()) {
@@ -147,7 +147,7 @@
   return node ? node->ready_ms : 0;
 }
 
-std::optional<FinishedRecord> DependencyGraph::end_of(const std::string& id) const {
+std::optional<FinishedRecord> DependencyGraph::outcome(const std::string& id) const {
   const Node* node = find(id);
   if (!node || !is_terminal(*node)) return std::nullopt;
   FinishedRecord record;
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -27,10 +27,10 @@
   void update(const JobRecord& record);
   /// Sets the terminal state of a job that is in the graph; does nothing for other jobs. `ended_ms`
   /// is wall-clock time.
-  void finished(const std::string& id, JobState state, uint64_t ended_ms);
+  void set_finished(const std::string& id, JobState state, uint64_t ended_ms);
   /// Handles the deletion of the job's live record: if its terminal state is not set yet, its state
   /// becomes unknown. The job is removed unless other jobs depend on it.
-  void forget(const std::string& id);
+  void on_live_record_deleted(const std::string& id);
   void clear();
 
   /// Whether all dependencies are done. True for jobs that are not in the graph.
@@ -39,20 +39,20 @@
   bool cancelled(const std::string& id) const;
   /// Whether the result of cancelled() is conclusive: it is true, or the states of all direct and
   /// transitive dependencies are known.
-  bool certain(const std::string& id) const;
+  bool cancellation_is_conclusive(const std::string& id) const;
   /// Wall-clock time in milliseconds at which the last dependency was done; 0 if there was none or
   /// the time is not known.
   uint64_t ready_ms(const std::string& id) const;
 
   /// Outcome of a job that other jobs depend on, without its count of done tasks; none if unknown.
-  std::optional<FinishedRecord> end_of(const std::string& id) const;
+  std::optional<FinishedRecord> outcome(const std::string& id) const;
 
   /// Empty for a job in a terminal state.
   const std::vector<std::string>& dependencies(const std::string& id) const;
   /// Unfinished jobs that depend on this one.
   const std::set<std::string>& dependents(const std::string& id) const;
   /// Jobs that other jobs depend on and whose states are not known.
-  const std::set<std::string>& unknown() const { return unknown_; }
+  const std::set<std::string>& unknown_jobs() const { return unknown_jobs_; }
   size_t size() const { return nodes_.size(); }
 
  private:
@@ -81,7 +81,7 @@
   void erase_if_unreferenced(const std::string& id);
 
   std::unordered_map<std::string, Node> nodes_;
-  std::set<std::string> unknown_;
+  std::set<std::string> unknown_jobs_;
 };
 
 }  // namespace sumacquay
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "jobs/ranges.h"
 #include "jobs/spec.h"
+#include "jobs/task_range_set.h"
 
 /// The records kept in the key-value store, as plain values. src/wire defines their encoding.
 namespace sumacquay {
@@ -21,10 +21,10 @@
   /// Wall-clock time at which the last dependency was done; set once started; 0: no dependencies.
   uint64_t ready_ms = 0;
   uint64_t ended_ms = 0;  ///< wall-clock time at which the job was done; 0: not known
-  Ranges done;            ///< tasks that are done
+  TaskRangeSet done;      ///< tasks that are done
   bool operator==(const JobRecord&) const = default;
   /// Whether a task of the job may be on the machine according to this record.
-  bool may_be_on(const std::string& machine) const {
+  bool may_have_task_on(const std::string& machine) const {
     return started && (!hosts || std::binary_search(hosts->begin(), hosts->end(), machine));
   }
 };
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -24,8 +24,8 @@
   return !types || std::find(types->begin(), types->end(), type) != types->end();
 }
 
-std::string never_runs(const JobSpec& spec, const std::vector<MachineType>& types,
-                       const TeamSettings* team) {
+std::string unschedulable_reason(const JobSpec& spec, const std::vector<MachineType>& types,
+                                 const TeamSettings* team) {
   if (!team) return "unknown team";
   const bool fits = std::any_of(types.begin(), types.end(), [&](const MachineType& type) {
     return spec.allows_type(type.name) && spec.request.fits_in(type.capacity) &&
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -68,7 +68,7 @@
   /// Maximum number of tasks in one zone.
   uint32_t zone_limit() const { return spread ? (tasks + 1) / 2 : tasks; }
   /// Whether the placement of a task depends on the zones of the job's other tasks.
-  bool counts_zones() const { return one_zone || spread; }
+  bool has_zone_constraint() const { return one_zone || spread; }
   /// Whether its tasks write checkpoints.
   bool checkpoints() const { return checkpoint_interval_s > 0; }
 };
@@ -85,7 +85,7 @@
 
 /// Reason why a well-formed job can never run, as an error text for the user; empty if it can run.
 /// `team` is null if the settings have no team of that name.
-std::string never_runs(const JobSpec& spec, const std::vector<MachineType>& types,
-                       const struct TeamSettings* team);
+std::string unschedulable_reason(const JobSpec& spec, const std::vector<MachineType>& types,
+                                 const struct TeamSettings* team);
 
 }  // namespace sumacquay
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -38,7 +38,7 @@
     lease_ = 0;
     renewal_in_flight_ = false;
   }
-  effects_.changed(from, next);
+  effects_.state_changed(from, next);
 }
 
 void LeaderElection::tick(Seconds now, bool loaded, bool leader_known, double jitter) {
--- a/src/leadership/leader_election.h
+++ b/src/leadership/leader_election.h
@@ -46,7 +46,7 @@
     /// Renews the lease. Outcome: `renewed`.
     std::function<void(uint64_t lease)> renew;
     /// Called after each state change, from within the method that caused it.
-    std::function<void(State from, State to)> changed;
+    std::function<void(State from, State to)> state_changed;
   };
 
   LeaderElection(Config config, Effects effects) : config_(config), effects_(std::move(effects)) {}
@@ -83,14 +83,16 @@
     return state_ == State::Leading && now < valid_until_;
   }
   /// Reports that this node's copy of the records is at least as recent as `at`.
-  void records_known(Seconds at) { records_current_at_ = std::max(records_current_at_, at); }
+  void set_records_current_at(Seconds at) {
+    records_current_at_ = std::max(records_current_at_, at);
+  }
   /// Whether this node may answer workers. Limited by the age of its records: a node partitioned
   /// from the state service does not see cancellations, and would keep cancelled tasks running.
   [[nodiscard]] bool may_answer(Seconds now) const {
-    return (state_ == State::Leading || state_ == State::LeaseExpired) && now < answers_until();
+    return (state_ == State::Leading || state_ == State::LeaseExpired) && now < may_answer_until();
   }
   /// Latest time until which `may_answer` can hold without a renewal or newer records.
-  Seconds answers_until() const {
+  Seconds may_answer_until() const {
     return std::min(records_current_at_, valid_until_) + config_.grace;
   }
 
--- a/src/leadership/lease_delegation.cpp
+++ b/src/leadership/lease_delegation.cpp
@@ -12,9 +12,10 @@
 
 }  // namespace
 
-void DelegatedResponder::delegated(const Delegation& delegation, Seconds sent_at, Seconds now) {
+void DelegatedResponder::on_delegation(const Delegation& delegation, Seconds sent_at, Seconds now) {
   const bool older_term = delegation.term < newest_.term;
-  const bool not_newer = delegation.term == newest_.term && delegation.number <= newest_.number;
+  const bool not_newer =
+      delegation.term == newest_.term && delegation.issued_at_ms <= newest_.issued_at_ms;
   if (older_term || not_newer) return;
   newest_ = delegation;
   valid_until_ = sent_at + delegation.valid_for_s * (1 - kMaxClockDrift);
@@ -27,32 +28,33 @@
 }
 
 DelegationStatus DelegatedResponder::status(Seconds now) const {
-  DelegationStatus status{incarnation_, newest_.term, newest_.number, std::nullopt};
+  DelegationStatus status{incarnation_, newest_.term, newest_.issued_at_ms, std::nullopt};
   if (last_answer_at_) status.last_answer_age_s = now - *last_answer_at_;
   return status;
 }
 
-Delegations::Delegate& Delegations::find_or_add(const std::string& name, const std::string& zone) {
+DelegationTracker::Delegate& DelegationTracker::find_or_add(const std::string& name,
+                                                            const std::string& zone) {
   Delegate& delegate = delegates_[name];
   delegate.zone = zone;
   return delegate;
 }
 
-Delegation Delegations::delegate(const std::string& name, const std::string& zone, Seconds until,
-                                 Seconds now) {
+Delegation DelegationTracker::delegate(const std::string& name, const std::string& zone,
+                                       Seconds until, Seconds now) {
   Delegate& delegate = find_or_add(name, zone);
   delegate.valid_until = std::max(delegate.valid_until, until);
   return {term_, static_cast<uint64_t>(now * kMillisecondsPerSecond), until - now};
 }
 
-void Delegations::heard(const std::string& name, const std::string& zone,
-                        const DelegationStatus& status, Seconds now) {
+void DelegationTracker::on_status(const std::string& name, const std::string& zone,
+                                  const DelegationStatus& status, Seconds now) {
   Delegate& delegate = find_or_add(name, zone);
-  if (delegate.incarnation != status.process) {
+  if (delegate.incarnation != status.incarnation) {
     // The node has restarted. The answers of its earlier process are unknown, but none was given
     // after the new process started.
     if (delegate.incarnation != 0) delegate.last_answer = std::max(delegate.last_answer, now);
-    delegate.incarnation = status.process;
+    delegate.incarnation = status.incarnation;
     delegate.inactive_until = -1;
   }
   if (status.last_answer_age_s)
@@ -61,12 +63,12 @@
   // The delegate is inactive for `takeover_delay_` from when it received the delegation, which is
   // no earlier than when this leader sent it.
   if (status.term == term_)
-    delegate.inactive_until = std::max(delegate.inactive_until,
-                                       static_cast<double>(status.number) / kMillisecondsPerSecond +
-                                           takeover_delay_ * (1 - kMaxClockDrift));
+    delegate.inactive_until = std::max(
+        delegate.inactive_until, static_cast<double>(status.issued_at_ms) / kMillisecondsPerSecond +
+                                     takeover_delay_ * (1 - kMaxClockDrift));
 }
 
-Seconds Delegations::last_answer(const std::string& zone, Seconds now) const {
+Seconds DelegationTracker::last_answer(const std::string& zone, Seconds now) const {
   Seconds last = -1;
   for (const auto& [name, delegate] : delegates_) {
     if (delegate.zone != zone) continue;
--- a/src/leadership/lease_delegation.h
+++ b/src/leadership/lease_delegation.h
@@ -21,14 +21,14 @@
 /// no longer receives heartbeats from the leader.
 struct Delegation {
   uint64_t term = 0;
-  uint64_t number = 0;      ///< when it was sent, in ms of the leader's steady clock; increases
-  Seconds valid_for_s = 0;  ///< from when the node sent the heartbeat that this answers
+  uint64_t issued_at_ms = 0;  ///< when it was sent, in ms of the leader's steady clock; increases
+  Seconds valid_for_s = 0;    ///< from when the node sent the heartbeat that this answers
 };
 
 /// State of a node's delegation, which the node reports in every heartbeat to its peers.
 struct DelegationStatus {
-  uint64_t process = 0;           ///< distinguishes successive processes of a node
-  uint64_t term = 0, number = 0;  ///< of the newest delegation received
+  uint64_t incarnation = 0;             ///< distinguishes successive processes of a node
+  uint64_t term = 0, issued_at_ms = 0;  ///< of the newest delegation received
   std::optional<Seconds>
       last_answer_age_s;  ///< since it last answered a worker on behalf of the leader
 };
@@ -44,25 +44,25 @@
       : incarnation_(incarnation), takeover_delay_(takeover_delay), answer_grace_(answer_grace) {}
   /// Handles a delegation received in the answer to a heartbeat sent at `sent_at`. Delegations
   /// that are not newer than the current one are ignored.
-  void delegated(const Delegation& delegation, Seconds sent_at, Seconds now);
+  void on_delegation(const Delegation& delegation, Seconds sent_at, Seconds now);
   /// Whether this node acts on behalf of the leader: the leader has been silent long enough, the
   /// delegation is valid, and no higher term than the delegation's is known.
   [[nodiscard]] bool active(uint64_t highest_term, Seconds now) const;
   /// Returns the commands of an answer on behalf of the leader, or nothing if this node must not
-  /// answer. `records_known_at`: the time as of which this node's records are current. The leader's
-  /// may be newer, but this node stops only jobs that it knows to have ended, so its answers are
-  /// limited by the age of its own records. `ended(job)`: whether a job is known to be cancelled or
-  /// finished.
-  template <class Ended>
+  /// answer. `records_current_at`: the time as of which this node's records are current. The
+  /// leader's may be newer, but this node stops only jobs that it knows to have ended, so its
+  /// answers are limited by the age of its own records. `job_ended(job)`: whether a job is known to
+  /// be cancelled or finished.
+  template <class JobEnded>
   [[nodiscard]] std::optional<std::vector<Command>> answer(const WorkerHeartbeat& heartbeat,
                                                            uint64_t highest_term,
-                                                           Seconds records_known_at, Ended&& ended,
-                                                           Seconds now) {
-    const bool records_recent = now < records_known_at + answer_grace_;
+                                                           Seconds records_current_at,
+                                                           JobEnded&& job_ended, Seconds now) {
+    const bool records_recent = now < records_current_at + answer_grace_;
     if (heartbeat.fencing_token == 0 || !records_recent || !active(highest_term, now))
       return std::nullopt;
     last_answer_at_ = now;
-    return stops_of_ended(heartbeat, ended);
+    return stop_commands_for_ended_jobs(heartbeat, job_ended);
   }
   /// Status to report in this node's heartbeats to its peers.
   DelegationStatus status(Seconds now) const;
@@ -79,18 +79,18 @@
 
 /// The leader's side: tracks until when delegates may have answered a zone's workers. Owned by the
 /// scheduler of a term.
-class Delegations {
+class DelegationTracker {
  public:
   /// `takeover_delay`: the same value as in the delegates' DelegatedResponder.
-  Delegations(uint64_t term, Seconds takeover_delay)
+  DelegationTracker(uint64_t term, Seconds takeover_delay)
       : term_(term), takeover_delay_(takeover_delay) {}
   /// Records and returns a delegation to the node `name`, valid until `until`. The caller sends it
   /// in the answer to that node's heartbeat.
   [[nodiscard]] Delegation delegate(const std::string& name, const std::string& zone, Seconds until,
                                     Seconds now);
   /// Handles the delegation status in a heartbeat of the node `name`.
-  void heard(const std::string& name, const std::string& zone, const DelegationStatus& status,
-             Seconds now);
+  void on_status(const std::string& name, const std::string& zone, const DelegationStatus& status,
+                 Seconds now);
   /// Latest time at which a delegate may have answered a worker of this zone; -1 if none can have.
   [[nodiscard]] Seconds last_answer(const std::string& zone, Seconds now) const;
 
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -120,8 +120,8 @@
 
 void ActionExecutor::perform(const ScaleOut& scale_out) {
   cloud_.request("POST", wire::path::kMachines,
-                 wire::rent_body(scale_out.request, scale_out.type, scale_out.zone, scale_out.spot,
-                                 scale_out.count),
+                 wire::rent_body(scale_out.request_name, scale_out.type, scale_out.zone,
+                                 scale_out.spot, scale_out.count),
                  settings_.lease_s * kCloudTimeoutLeaseFraction,
                  [this, scale_out, generation = scheduler_.generation()](const HttpResult& result) {
                    Scheduler* scheduler = scheduler_.get(generation);
--- a/src/node/election_driver.cpp
+++ b/src/node/election_driver.cpp
@@ -41,7 +41,7 @@
     elect(campaign, lease);
   };
   effects.renew = [this](uint64_t lease) { renew(lease); };
-  effects.changed = std::move(on_state_changed);
+  effects.state_changed = std::move(on_state_changed);
   return effects;
 }
 
@@ -60,7 +60,7 @@
 /// is idle for long, which cannot be distinguished from a lost connection.
 void ElectionDriver::refresh_records() {
   const Seconds current_at = to_seconds(record_cache_.known_at());
-  election_.records_known(current_at);
+  election_.set_records_current_at(current_at);
   if (refresh_in_flight_ || steady_now() - current_at < settings_.renew_s()) return;
   refresh_in_flight_ = true;
   record_cache_.read_barrier([this](bool) { refresh_in_flight_ = false; });
--- a/src/node/leader_hints_source.cpp
+++ b/src/node/leader_hints_source.cpp
@@ -12,14 +12,14 @@
 
 void add_hints(const Scheduler& scheduler, Seconds now, wire::PeerHeartbeat& heartbeat) {
   for (const auto& [id, machine] : scheduler.machines()) {
-    for (const auto& [image, gb] : machine.images.kept())
+    for (const auto& [image, gb] : machine.images.images())
       heartbeat.images.push_back({id, image, gb});
     if (machine.state != MachineState::Booting) continue;
     ListedMachine booting;
     booting.id = id;
-    booting.type = machine.info.type;
-    booting.zone = machine.info.zone;
-    booting.spot = machine.info.spot;
+    booting.type = machine.host.type;
+    booting.zone = machine.host.zone;
+    booting.spot = machine.host.spot;
     booting.state = ListedMachine::State::Booting;
     booting.age_s = now - machine.first_seen;
     heartbeat.booting.push_back(std::move(booting));
--- a/src/node/peer_heartbeat_exchange.cpp
+++ b/src/node/peer_heartbeat_exchange.cpp
@@ -53,7 +53,7 @@
   election_.observe_term(now, heartbeat.term);
   const std::string* zone = zone_of(heartbeat.node);
   if (scheduler_ && zone)
-    scheduler_->delegations().heard(heartbeat.node, *zone, heartbeat.status, now);
+    scheduler_->delegations().on_status(heartbeat.node, *zone, heartbeat.status, now);
 }
 
 /// Delegations are sent only in answers, because a delegate counts their validity from when it sent
@@ -63,8 +63,8 @@
   wire::PeerHeartbeat answer = own_heartbeat(wire::PeerHeartbeatPart::StatusOnly);
   const std::string* zone = zone_of(from.node);
   if (leads_now(scheduler_, election_) && zone && settings_.finds_delegated_responder(*zone))
-    answer.delegation = scheduler_->delegations().delegate(from.node, *zone,
-                                                           election_.answers_until(), steady_now());
+    answer.delegation = scheduler_->delegations().delegate(
+        from.node, *zone, election_.may_answer_until(), steady_now());
   return answer;
 }
 
@@ -72,7 +72,7 @@
                                       std::chrono::steady_clock::time_point sent_at) {
   on_heartbeat(heartbeat);
   if (heartbeat.delegation)
-    delegated_responder_.delegated(*heartbeat.delegation, to_seconds(sent_at), steady_now());
+    delegated_responder_.on_delegation(*heartbeat.delegation, to_seconds(sent_at), steady_now());
   if (!scheduler_ || heartbeat.leading || heartbeat.term < election_.term()) return;
   // The peer has acknowledged this term and no longer answers workers under an older one. Once all
   // peers have, no other node can renew a worker's lease.
--- a/src/node/worker_endpoint.cpp
+++ b/src/node/worker_endpoint.cpp
@@ -29,7 +29,7 @@
 void WorkerEndpoint::answer_as_leader(const WorkerHeartbeat& heartbeat, const Respond& respond) {
   const Seconds now = steady_now();
   const auto answer = scheduler_->on_heartbeat(heartbeat, election_.may_act(now), now);
-  if (!answer.fresh) return respond({503, {}, 0});
+  if (!answer.accepted) return respond({503, {}, 0});
   respond({200, wire::heartbeat_answer(answer.fencing_token, answer.commands), 0});
 }
 
--- a/src/placement/bin_packing.cpp
+++ b/src/placement/bin_packing.cpp
@@ -39,7 +39,7 @@
   const bool has_image = placement_request.has_image && placement_request.has_image(candidate);
   CandidateRank rank;
   rank.wastes_gpus = placement_request.spec->request.gpus == 0 && candidate.capacity.gpus > 0;
-  rank.must_fetch_large_image = placement_request.image_first && !has_image;
+  rank.must_fetch_large_image = placement_request.prefer_cached_image && !has_image;
   rank.capacity_gpus = candidate.capacity.gpus;
   rank.must_fetch_image = !has_image;
   rank.available_gpus = candidate.available.gpus;
@@ -53,10 +53,11 @@
 class CandidateQueue {
  public:
   CandidateQueue(const PlacementRequest& placement_request,
-                 const std::vector<CandidateMachine>& candidates, const TasksPerZone& zones) {
+                 const std::vector<CandidateMachine>& candidates,
+                 const TasksPerZone& tasks_per_zone) {
     for (size_t i = 0; i < candidates.size(); ++i)
       if (candidates[i].fits(placement_request.spec->request) &&
-          eligible(candidates[i], placement_request, zones))
+          eligible(candidates[i], placement_request, tasks_per_zone))
         heap_.push_back({rank_of(candidates[i], placement_request), i});
     std::make_heap(heap_.begin(), heap_.end(), std::greater<>());
   }
@@ -88,7 +89,7 @@
   std::vector<std::string> zones;
   append_zones(zones, candidates);
   for (const auto& zone : zones) {
-    if (!allowed_zone(*placement_request.spec, zone)) continue;
+    if (!constraints_allow_zone(*placement_request.spec, zone)) continue;
     auto assignments = pack_partially_in_zone(zone, placement_request, candidates);
     if (assignments.size() == placement_request.tasks.size()) return assignments;
     release(placement_request, candidates, assignments);
@@ -114,17 +115,17 @@
 std::vector<Assignment> pack_partially(const PlacementRequest& placement_request,
                                        std::vector<CandidateMachine>& candidates) {
   const JobSpec& spec = *placement_request.spec;
-  TasksPerZone zones = placement_request.zones;
-  CandidateQueue queue(placement_request, candidates, zones);
+  TasksPerZone tasks_per_zone = placement_request.tasks_per_zone;
+  CandidateQueue queue(placement_request, candidates, tasks_per_zone);
   std::vector<Assignment> assignments;
   auto task = placement_request.tasks.begin();
   while (task != placement_request.tasks.end() && !queue.empty()) {
     const size_t index = queue.pop();
     CandidateMachine& candidate = candidates[index];
     while (task != placement_request.tasks.end() && candidate.fits(spec.request) &&
-           zone_has_room(spec, zones, candidate.zone)) {
+           zone_constraints_allow(spec, tasks_per_zone, candidate.zone)) {
       candidate.available -= spec.request;
-      ++zones[candidate.zone];
+      ++tasks_per_zone[candidate.zone];
       assignments.push_back({*task++, index});
     }
   }
--- a/src/placement/candidate_machine.h
+++ b/src/placement/candidate_machine.h
@@ -12,7 +12,7 @@
 /// A machine on which tasks may be placed.
 struct CandidateMachine {
   std::string machine, type, zone;
-  const Machine* of = nullptr;  ///< back-reference for the scheduler; opaque to placement
+  const Machine* source = nullptr;  ///< back-reference for the scheduler; opaque to placement
   bool spot = false;
   Resources capacity;       ///< total resources of the machine
   Resources available;      ///< part of the capacity that no task takes
--- a/src/placement/placement_request.h
+++ b/src/placement/placement_request.h
@@ -15,17 +15,18 @@
 
 /// Request to place tasks of one job, with the zones of the job's other tasks.
 struct PlacementRequest {
-  const JobSpec* spec = nullptr;                    ///< must outlive the request
-  std::vector<uint32_t> tasks;                      ///< numbers of the tasks to place
-  std::unordered_map<std::string, uint32_t> zones;  ///< number of the job's tasks in each zone
+  const JobSpec* spec = nullptr;  ///< must outlive the request
+  std::vector<uint32_t> tasks;    ///< numbers of the tasks to place
+  /// Number of the job's tasks in each zone.
+  std::unordered_map<std::string, uint32_t> tasks_per_zone;
   /// Highest priority of the jobs that depend on this one, if higher than the job's own.
   std::optional<Priority> inherited_priority;
-  bool image_first = false;  ///< fetching the image costs more than tight packing gains
+  bool prefer_cached_image = false;  ///< fetching the image costs more than tight packing gains
   /// The job is within its team's fair share, so it may preempt tasks of other teams that are
   /// beyond theirs.
   bool within_fair_share = false;
   /// Whether to exclude a machine, such as one where the job failed.
-  std::function<bool(const CandidateMachine&)> avoid;
+  std::function<bool(const CandidateMachine&)> excluded;
   /// Whether a machine likely has the image cached.
   std::function<bool(const CandidateMachine&)> has_image;
 
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -24,7 +24,7 @@
 bool may_preempt(const PlacementRequest& placement_request, const Victim& victim) {
   constexpr double kMinGangRequestFraction = 0.4;
   const JobSpec& spec = *placement_request.spec;
-  if (victim.stopped) return false;
+  if (victim.being_stopped) return false;
   if (victim.priority >= placement_request.priority() &&
       !yields_to_fair_share(placement_request, victim))
     return false;
@@ -73,7 +73,7 @@
     free_resources += candidate.releasing;
     // Cheap check first: it rules out most machines before victims are sorted.
     if (!fits_without_all_victims(preemptible, free_resources) ||
-        !eligible(candidate, placement_request_, placement_request_.zones))
+        !eligible(candidate, placement_request_, placement_request_.tasks_per_zone))
       return std::nullopt;
     if (request_.fits_in(free_resources)) return PreemptionPlan{{index, {}, true}, 0};
     sort_by_cost(preemptible);
@@ -117,9 +117,9 @@
   /// Whether the victim's team keeps its fair share if it loses this victim in addition to the
   /// chosen ones.
   bool team_keeps_fair_share(const Victim& victim, const std::vector<size_t>& chosen) const {
-    Resources lost = victim.stops;
+    Resources lost = victim.team_loss;
     for (const size_t other : chosen)
-      if (victims_[other].team == victim.team) lost += victims_[other].stops;
+      if (victims_[other].team == victim.team) lost += victims_[other].team_loss;
     return running_.keeps_fair_share_without(victim.team, lost);
   }
 
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -22,10 +22,10 @@
   Priority priority = Priority::Low;
   double loss_s = 0;  ///< progress lost if it is preempted, in seconds
   bool gang = false;  ///< preempting it also stops the other tasks of its gang
-  bool stopped = false;
+  bool being_stopped = false;
   std::string_view team = {};
   bool beyond_fair_share = false;  ///< its job is beyond its team's fair share
-  Resources stops = {};            ///< resources its team loses; for a gang, those of all tasks
+  Resources team_loss = {};        ///< resources its team loses; for a gang, those of all tasks
 };
 
 /// A machine where one task fits once the victims are gone.
--- a/src/placement/reservation.cpp
+++ b/src/placement/reservation.cpp
@@ -24,7 +24,7 @@
   std::optional<std::string> best;
   size_t best_count = 0;
   for (const auto& zone : zones) {
-    if (!allowed_zone(*placement_request.spec, zone)) continue;
+    if (!constraints_allow_zone(*placement_request.spec, zone)) continue;
     const size_t count = count_fitting_in_zone(zone, placement_request, candidates) +
                          count_fitting_in_zone(zone, placement_request, booting);
     if (count <= best_count) continue;
@@ -48,15 +48,15 @@
     const auto zone = best_zone(placement_request, candidates, booting);
     if (!zone) return;
     reserved = pack_partially_in_zone(*zone, placement_request, candidates);
-    placement_request.zones[*zone] += 1;  // binds the remaining tasks to this zone
+    placement_request.tasks_per_zone[*zone] += 1;  // binds the remaining tasks to this zone
   } else {
     reserved = pack_partially(placement_request, candidates);
   }
   for (const auto& assignment : reserved) std::erase(placement_request.tasks, assignment.task);
 }
 
-void reserve_beside_gpus(const PlacementRequest& placement_request,
-                         std::vector<CandidateMachine>& candidates) {
+void reserve_for_gpu_tasks(const PlacementRequest& placement_request,
+                           std::vector<CandidateMachine>& candidates) {
   const Resources& request = placement_request.spec->request;
   if (request.gpus <= 0) return;
   struct Reservable {
@@ -67,7 +67,7 @@
   std::vector<Reservable> order;
   for (size_t i = 0; i < candidates.size(); ++i)
     if (has_gpus_for(candidates[i], request) &&
-        eligible(candidates[i], placement_request, placement_request.zones))
+        eligible(candidates[i], placement_request, placement_request.tasks_per_zone))
       order.push_back({candidates[i].reserved.cpus - candidates[i].available.cpus, i});
   std::sort(order.begin(), order.end());
   size_t tasks_left = placement_request.tasks.size();
--- a/src/placement/reservation.h
+++ b/src/placement/reservation.h
@@ -19,7 +19,7 @@
 /// Reserves CPUs and memory on machines with available GPUs for unplaced tasks that need GPUs, by
 /// raising `reserved`, so that tasks without GPUs do not take them. Prefers the machines with the
 /// most available CPUs, which lack the least.
-void reserve_beside_gpus(const PlacementRequest& placement_request,
-                         std::vector<CandidateMachine>& candidates);
+void reserve_for_gpu_tasks(const PlacementRequest& placement_request,
+                           std::vector<CandidateMachine>& candidates);
 
 }  // namespace sumacquay
--- a/src/placement/tentative_placement.h
+++ b/src/placement/tentative_placement.h
@@ -11,7 +11,7 @@
 namespace sumacquay {
 
 /// Subtracts the resources of placed tasks from the candidates and returns them on destruction
-/// unless keep() was called. The candidates must outlive the object.
+/// unless commit() was called. The candidates must outlive the object.
 class TentativePlacement {
  public:
   explicit TentativePlacement(std::vector<CandidateMachine>& candidates)
@@ -21,10 +21,10 @@
   ~TentativePlacement();
 
   /// Places as many tasks as fit in addition to earlier ones; returns whether all of them fit.
-  [[nodiscard]] bool fits(const PlacementRequest& placement_request);
+  [[nodiscard]] bool place(const PlacementRequest& placement_request);
 
   /// Makes all placements so far permanent; returns the candidate of each task.
-  std::vector<size_t> keep();
+  std::vector<size_t> commit();
 
  private:
   std::vector<CandidateMachine>& candidates_;
--- a/src/simulators/rule_checker.cpp
+++ b/src/simulators/rule_checker.cpp
@@ -64,7 +64,7 @@
       spec.spread && locations.tasks_by_zone.at(worker.zone) > spec.zone_limit();
   const bool in_several_zones = spec.one_zone && locations.tasks_by_zone.size() > 1;
   if (zone_limit_exceeded || in_several_zones ||
-      !allowed(spec, worker.type, worker.zone, worker.spot))
+      !constraints_allow(spec, worker.type, worker.zone, worker.spot))
     add_violation("wrong_place " + format_task_key(key) + " on " + worker.id, now);
 }
 
--- a/src/simulators/simulated_worker.cpp
+++ b/src/simulators/simulated_worker.cpp
@@ -131,7 +131,7 @@
       expedite_heartbeat(now);
       return context_.gang_task_ready(state_.id, key, task.attempt);
     case TaskState::Waiting:
-      return set_exited(key, task, ExitCause::Alone);
+      return set_exited(key, task, ExitCause::GangIncomplete);
     case TaskState::Running:
       return set_exited(key, task, ExitCause::Done);
     case TaskState::Checkpointing:
@@ -177,14 +177,14 @@
 
 void SimulatedWorker::execute(const std::vector<Command>& commands, Seconds now) {
   for (const auto& command : commands) {
-    if (command.verb == Verb::Start) {
+    if (command.type == CommandType::Start) {
       start_task(command, now);
       continue;
     }
     WorkerTask* task = state_.find(command);
     if (!task) continue;
-    if (command.verb == Verb::Forget && !task->present()) state_.tasks.erase(command.key);
-    if (command.verb == Verb::Stop && task->present())
+    if (command.type == CommandType::Discard && !task->present()) state_.tasks.erase(command.key);
+    if (command.type == CommandType::Stop && task->present())
       set_exited(command.key, *task, ExitCause::Stopped);
   }
 }
--- a/src/store/dependency_reader.cpp
+++ b/src/store/dependency_reader.cpp
@@ -25,7 +25,7 @@
 
 /// Reads one record at a time: there are few to read, except on a node that has just started.
 void DependencyReader::read_unknown() {
-  const auto& unknown = tables_.dependencies().unknown();
+  const auto& unknown = tables_.dependencies().unknown_jobs();
   if (read_in_flight_ || unknown.empty()) return;
   read_in_flight_ = true;
   const auto next = unknown.upper_bound(last_read_id_);
--- a/src/store/record_tables.cpp
+++ b/src/store/record_tables.cpp
@@ -46,7 +46,7 @@
   // A finished job never becomes live again, even if an older change of its live record arrives.
   if (item.value.missing() || finished_.contains(id)) {
     live_.erase(id);
-    dependencies_.forget(id);
+    dependencies_.on_live_record_deleted(id);
     return {ChangeEffect::JobEnded, id};
   }
   auto record = wire::decode_job(item.value);
@@ -98,7 +98,7 @@
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
     if (const auto* existing = finished(id))
-      dependencies_.finished(id, existing->state, existing->ended_ms);
+      dependencies_.set_finished(id, existing->state, existing->ended_ms);
     if (const auto* existing = live(id)) dependencies_.update(existing->value);
   }
 }
@@ -148,8 +148,8 @@
 
 void RecordTables::add_finished(const std::string& id, FinishedRecord record) {
   live_.erase(id);
-  dependencies_.finished(id, record.state, record.ended_ms);
-  dependencies_.forget(id);
+  dependencies_.set_finished(id, record.state, record.ended_ms);
+  dependencies_.on_live_record_deleted(id);
   if (!finished_.emplace(id, record).second) return;
   finished_order_.push_back(id);
   if (finished_order_.size() <= max_finished_) return;
@@ -174,7 +174,7 @@
 
 std::optional<FinishedRecord> RecordTables::dependency_end(const std::string& id) const {
   if (const auto* record = finished(id)) return *record;
-  return dependencies_.end_of(id);
+  return dependencies_.outcome(id);
 }
 
 }  // namespace sumacquay
--- a/src/wire/enum_names.h
+++ b/src/wire/enum_names.h
@@ -18,13 +18,13 @@
 inline constexpr EnumNames<ExitCause, 8> kExitCauses{{{ExitCause::Done, "done"},
                                                       {ExitCause::Stopped, "stopped"},
                                                       {ExitCause::GangMemberGone, "mates_gone"},
-                                                      {ExitCause::Alone, "alone"},
+                                                      {ExitCause::GangIncomplete, "alone"},
                                                       {ExitCause::Error, "error"},
-                                                      {ExitCause::NoRoom, "no_room"},
+                                                      {ExitCause::InsufficientResources, "no_room"},
                                                       {ExitCause::Busy, "in_use"},
                                                       {ExitCause::Unknown, "unknown"}}};
-inline constexpr EnumNames<Verb, 3> kVerbs{
-    {{Verb::Start, "start"}, {Verb::Stop, "kill"}, {Verb::Forget, "clear"}}};
+inline constexpr EnumNames<CommandType, 3> kVerbs{
+    {{CommandType::Start, "start"}, {CommandType::Stop, "kill"}, {CommandType::Discard, "clear"}}};
 
 inline constexpr EnumNames<UserVisibleState, 4> kUserVisibleStates{
     {{UserVisibleState::Pending, "pending"},
--- a/src/wire/peer_heartbeat.cpp
+++ b/src/wire/peer_heartbeat.cpp
@@ -39,16 +39,16 @@
 
 void pack_status(Packer& packer, const DelegationStatus& status) {
   pack_list(packer, status.last_answer_age_s ? kStatusFields + 1 : kStatusFields);
-  packer.pack_uint64(status.process);
+  packer.pack_uint64(status.incarnation);
   packer.pack_uint64(status.term);
-  packer.pack_uint64(status.number);
+  packer.pack_uint64(status.issued_at_ms);
   if (status.last_answer_age_s) packer.pack_double(*status.last_answer_age_s);
 }
 
 void pack_delegation(Packer& packer, const Delegation& delegation) {
   pack_list(packer, kDelegationFields);
   packer.pack_uint64(delegation.term);
-  packer.pack_uint64(delegation.number);
+  packer.pack_uint64(delegation.issued_at_ms);
   packer.pack_double(delegation.valid_for_s);
 }
 
@@ -125,9 +125,9 @@
 DelegationStatus read_status(View list) {
   DelegationStatus status;
   if (list.size() < kStatusFields || list.size() > kStatusFields + 1) return status;
-  status.process = list.at(0).count().value_or(0);
+  status.incarnation = list.at(0).count().value_or(0);
   status.term = list.at(1).count().value_or(0);
-  status.number = list.at(2).count().value_or(0);
+  status.issued_at_ms = list.at(2).count().value_or(0);
   if (list.size() > kStatusFields) status.last_answer_age_s = list.at(3).number();
   return status;
 }
--- a/src/wire/record_capacity.cpp
+++ b/src/wire/record_capacity.cpp
@@ -77,7 +77,7 @@
 }
 
 size_t RecordCapacity::taken_by(const JobRecord& record) const {
-  const double done_bytes = spans_size(record.done.spans(), record.spec.tasks);
+  const double done_bytes = spans_size(record.done.range_count(), record.spec.tasks);
   const size_t host_bytes = record.hosts ? names_size(*record.hosts) : 0;
   return described + host_bytes + static_cast<size_t>(std::ceil(done_bytes));
 }
@@ -96,7 +96,7 @@
 JobRecord fitting_record(JobRecord record, size_t max_bytes) {
   const RecordCapacity capacity = record_capacity(record, max_bytes);
   if (record.hosts && !capacity.holds(*record.hosts)) record.hosts.reset();
-  record.done = record.done.first_spans(capacity.spans, record.done);
+  record.done = record.done.subset_of_ranges(capacity.spans, record.done);
   return record;
 }
 
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -40,13 +40,13 @@
 constexpr codec::EnumNames<JobState, 3> kJobStates{
     {{JobState::Pending, "pending"}, {JobState::Cancelled, "cancelled"}, {JobState::Done, "done"}}};
 
-void pack_ranges(Packer& packer, const Ranges& ranges) {
+void pack_ranges(Packer& packer, const TaskRangeSet& ranges) {
   const std::vector<uint32_t> lengths = ranges.to_lengths();
   codec::pack_list(packer, lengths,
                    [](Packer& list, uint32_t length) { list.pack_uint32(length); });
 }
 
-bool read_ranges(View value, uint32_t tasks, Ranges& ranges) {
+bool read_ranges(View value, uint32_t tasks, TaskRangeSet& ranges) {
   std::vector<uint32_t> lengths;
   for (size_t i = 0; i < value.size(); ++i) {
     // An unreadable length becomes UINT32_MAX, which exceeds any number of tasks and makes the
@@ -54,7 +54,7 @@
     const uint64_t length = value.at(i).count().value_or(UINT32_MAX);
     lengths.push_back(static_cast<uint32_t>(length));
   }
-  return Ranges::from_lengths(lengths, tasks, ranges);
+  return TaskRangeSet::from_lengths(lengths, tasks, ranges);
 }
 
 constexpr uint32_t kRequiredFields = 5;
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -79,9 +79,9 @@
 }
 
 void pack_command(Packer& packer, const Command& command) {
-  const bool is_stop = command.verb == Verb::Stop;
+  const bool is_stop = command.type == CommandType::Stop;
   packer.pack_map(is_stop ? 4 : 3);
-  pack_field(packer, "verb", name_of(enum_names::kVerbs, command.verb));
+  pack_field(packer, "verb", name_of(enum_names::kVerbs, command.type));
   pack_field(packer, field::kTask, task_name(command.key));
   pack_field(packer, field::kAttempt, command.attempt);
   if (is_stop) pack_field(packer, "easing_s", command.grace_s);
--- a/tests/arrival_forecast_test.cpp
+++ b/tests/arrival_forecast_test.cpp
@@ -49,9 +49,9 @@
 TEST(ArrivalForecast, DropsArrivalsAfterFiveBootTimes) {
   ArrivalForecast forecast;
   forecast.add(make_spec("web", JobKind::Service, 5), 1000);
-  forecast.forget_old(1000 + 5 * kBootTime, kBootTime);
+  forecast.drop_old_arrivals(1000 + 5 * kBootTime, kBootTime);
   EXPECT_EQ(forecast.expected(1).at(0).tasks, 2u);
-  forecast.forget_old(1000 + 5 * kBootTime + 1, kBootTime);
+  forecast.drop_old_arrivals(1000 + 5 * kBootTime + 1, kBootTime);
   EXPECT_TRUE(forecast.expected(1).empty());
 }
 
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -39,7 +39,7 @@
   EXPECT_FALSE(graph.ready("job-3"));
   graph.update(ended_record("job-2", JobState::Done, 70));
   EXPECT_FALSE(graph.ready("job-3"));
-  graph.finished("job-1", JobState::Done, 50);
+  graph.set_finished("job-1", JobState::Done, 50);
   EXPECT_TRUE(graph.ready("job-3"));
   EXPECT_EQ(graph.ready_ms("job-3"), 70u) << "the time at which the last dependency ended";
 }
@@ -65,13 +65,13 @@
   graph.update(pending_record("job-1"));
   graph.update(pending_record("job-2", {"job-1"}));
   graph.update(pending_record("job-3", {"job-2"}));
-  graph.forget("job-1");
-  EXPECT_EQ(graph.unknown(), std::set<std::string>{"job-1"});
+  graph.on_live_record_deleted("job-1");
+  EXPECT_EQ(graph.unknown_jobs(), std::set<std::string>{"job-1"});
   EXPECT_FALSE(graph.ready("job-2"));
-  EXPECT_FALSE(graph.certain("job-3"))
+  EXPECT_FALSE(graph.cancellation_is_conclusive("job-3"))
       << "job-1, on which it depends through job-2, may be cancelled";
-  graph.finished("job-1", JobState::Done, 5);
-  EXPECT_TRUE(graph.certain("job-3"));
+  graph.set_finished("job-1", JobState::Done, 5);
+  EXPECT_TRUE(graph.cancellation_is_conclusive("job-3"));
   EXPECT_TRUE(graph.ready("job-2"));
 }
 
@@ -82,7 +82,7 @@
   graph.update(pending_record("job-2", {"job-1"}));
   graph.update(ended_record("job-1", JobState::Cancelled));
   graph.update(pending_record("job-1"));
-  graph.finished("job-1", JobState::Done, 5);
+  graph.set_finished("job-1", JobState::Done, 5);
   EXPECT_FALSE(graph.ready("job-2"));
   EXPECT_TRUE(graph.cancelled("job-2"));
 }
@@ -94,7 +94,7 @@
   graph.update(pending_record("job-2", {"job-1"}));
   graph.update(pending_record("job-2"));
   EXPECT_FALSE(graph.ready("job-2"));
-  graph.finished("job-1", JobState::Done, 5);
+  graph.set_finished("job-1", JobState::Done, 5);
   graph.update(pending_record("job-2"));
   EXPECT_TRUE(graph.ready("job-2"));
 }
@@ -106,10 +106,10 @@
     const std::string second = "job-" + std::to_string(2 * i + 1);
     graph.update(pending_record(first));
     graph.update(pending_record(second, {first}));
-    graph.finished(first, JobState::Done, 1);
-    graph.forget(first);
-    graph.finished(second, i % 2 == 0 ? JobState::Done : JobState::Cancelled, 1);
-    graph.forget(second);
+    graph.set_finished(first, JobState::Done, 1);
+    graph.on_live_record_deleted(first);
+    graph.set_finished(second, i % 2 == 0 ? JobState::Done : JobState::Cancelled, 1);
+    graph.on_live_record_deleted(second);
   }
   EXPECT_EQ(graph.size(), 0u);
 }
@@ -133,8 +133,8 @@
   EXPECT_TRUE(chain.cancelled(last));
   EXPECT_TRUE(fan.ready(last));
   for (int i = 0; i < kJobs; ++i) {
-    chain.forget("job-" + std::to_string(i));
-    fan.forget("job-" + std::to_string(i));
+    chain.on_live_record_deleted("job-" + std::to_string(i));
+    fan.on_live_record_deleted("job-" + std::to_string(i));
   }
   EXPECT_EQ(chain.size(), 0u);
   EXPECT_EQ(fan.size(), 0u);
@@ -198,9 +198,9 @@
     graph.update(pending_record(job_id(index), dependencies));
     for (size_t d : job.dependencies) {
       const auto state = model.job(d).state;
-      if (state == ReferenceModel::State::Done) graph.finished(job_id(d), JobState::Done, d);
+      if (state == ReferenceModel::State::Done) graph.set_finished(job_id(d), JobState::Done, d);
       if (state == ReferenceModel::State::Cancelled)
-        graph.finished(job_id(d), JobState::Cancelled, 0);
+        graph.set_finished(job_id(d), JobState::Cancelled, 0);
     }
     job.state = ReferenceModel::State::Pending;
   } else if (event == 1 && model.ready(index)) {
@@ -208,8 +208,8 @@
     graph.update(ended_record(job_id(index), JobState::Done, index));
   } else if (event == 2) {
     job.state = ReferenceModel::State::Cancelled;
-    graph.finished(job_id(index), JobState::Cancelled, 0);
-    graph.forget(job_id(index));
+    graph.set_finished(job_id(index), JobState::Cancelled, 0);
+    graph.on_live_record_deleted(job_id(index));
   }
 }
 
@@ -229,7 +229,7 @@
             if (model.job(i).state != ReferenceModel::State::Pending) continue;
             RC_ASSERT(graph.ready(job_id(i)) == model.ready(i));
             RC_ASSERT(graph.cancelled(job_id(i)) == model.cancelled(i));
-            RC_ASSERT(graph.certain(job_id(i)) == model.certain(i));
+            RC_ASSERT(graph.cancellation_is_conclusive(job_id(i)) == model.certain(i));
           }
         }
       },
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -111,7 +111,7 @@
     victim.job = "other";
     victim.team = "loses";
     victim.priority = Priority::Normal;
-    victim.request = victim.stops = {gpus, gpus, gpus};
+    victim.request = victim.team_loss = {gpus, gpus, gpus};
     victim.loss_s = loss_s;
     victim.beyond_fair_share = true;
     victims.push_back(victim);
@@ -156,9 +156,9 @@
 }
 TEST_F(FairSharePreemption, GangIsNotPreemptedIfItTakesItsTeamBelowShare) {
   victims[0].gang = true;
-  victims[0].stops = {7, 7, 7};
+  victims[0].team_loss = {7, 7, 7};
   EXPECT_FALSE(preemption().has_value());
-  victims[0].stops = {6, 6, 6};
+  victims[0].team_loss = {6, 6, 6};
   EXPECT_TRUE(preemption().has_value());
 }
 TEST_F(FairSharePreemption, NoVictimsWhileEnoughIsBeingReleased) {
@@ -205,7 +205,7 @@
         placement_request.within_fair_share = within.contains(jobs[i].id);
         Victim victim;
         victim.team = jobs[j].team;
-        victim.request = victim.stops = kOneGpu;
+        victim.request = victim.team_loss = kOneGpu;
         victim.priority = jobs[j].priority;
         victim.beyond_fair_share = !within.contains(jobs[j].id);
         can_stop[i][j] = preempt(placement_request, candidates, {victim}, running).has_value();
@@ -309,10 +309,10 @@
   void execute(Tasks& tasks, const std::vector<Command>& commands) {
     for (const auto& command : commands) {
       const TaskAttemptId key{command.key, command.attempt};
-      if (command.verb == Verb::Start) tasks.try_emplace(key);
-      if (command.verb == Verb::Forget) tasks.erase(key);
+      if (command.type == CommandType::Start) tasks.try_emplace(key);
+      if (command.type == CommandType::Discard) tasks.erase(key);
       const auto found = tasks.find(key);
-      if (command.verb != Verb::Stop || found == tasks.end()) continue;
+      if (command.type != CommandType::Stop || found == tasks.end()) continue;
       if (found->second.state != TaskState::Running) continue;
       found->second = {TaskState::Checkpointing, now_ + kStopDuration};
       ++stop_commands_[key.task.job];
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -110,8 +110,8 @@
        {TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Checkpointing})
     heartbeat.tasks.push_back({{"job-1", task++}, 70000, state, ExitCause::None});
   for (const auto cause :
-       {ExitCause::Done, ExitCause::Stopped, ExitCause::GangMemberGone, ExitCause::Alone,
-        ExitCause::Error, ExitCause::NoRoom, ExitCause::Busy, ExitCause::Unknown})
+       {ExitCause::Done, ExitCause::Stopped, ExitCause::GangMemberGone, ExitCause::GangIncomplete,
+        ExitCause::Error, ExitCause::InsufficientResources, ExitCause::Busy, ExitCause::Unknown})
     heartbeat.tasks.push_back({{"job-2", task++}, 3, TaskState::Exited, cause});
   return heartbeat;
 }
@@ -133,9 +133,9 @@
 }
 
 std::vector<Command> one_command_of_each_verb() {
-  return {{Verb::Start, {"job-1", 0}, 70000, 0},
-          {Verb::Stop, {"job-2", 12}, 3, 2.5},
-          {Verb::Forget, {"job-3", 200}, 1, 0}};
+  return {{CommandType::Start, {"job-1", 0}, 70000, 0},
+          {CommandType::Stop, {"job-2", 12}, 3, 2.5},
+          {CommandType::Discard, {"job-3", 200}, 1, 0}};
 }
 
 std::vector<MachineType> machine_types() {
--- a/tests/host_record_writes_test.cpp
+++ b/tests/host_record_writes_test.cpp
@@ -21,20 +21,20 @@
   writes.request_deletion("i-1");
   EXPECT_TRUE(writes.begin("i-1"));
   writes.end("i-1");
-  EXPECT_EQ(writes.to_delete(), std::set<std::string>{"i-1"})
+  EXPECT_EQ(writes.pending_deletions(), std::set<std::string>{"i-1"})
       << "the write has ended without being executed";
-  writes.deleted("i-1");
-  EXPECT_TRUE(writes.to_delete().empty());
+  writes.complete_deletion("i-1");
+  EXPECT_TRUE(writes.pending_deletions().empty());
 }
 
 TEST(Machine, DurableHostRecordIsNotRequestedAgain) {
   Machine machine;
-  EXPECT_EQ(machine.record, HostRecordState::None);
+  EXPECT_EQ(machine.host_record_state, HostRecordState::None);
   machine.request_host_record();
-  EXPECT_EQ(machine.record, HostRecordState::Requested);
-  machine.record = HostRecordState::Durable;
+  EXPECT_EQ(machine.host_record_state, HostRecordState::Requested);
+  machine.host_record_state = HostRecordState::Durable;
   machine.request_host_record();
-  EXPECT_EQ(machine.record, HostRecordState::Durable);
+  EXPECT_EQ(machine.host_record_state, HostRecordState::Durable);
 }
 
 }  // namespace
--- a/tests/large_fleet_failures_test.cpp
+++ b/tests/large_fleet_failures_test.cpp
@@ -89,7 +89,7 @@
 
   void count_commands(const std::vector<Command>& commands) {
     for (const auto& command : commands)
-      if (command.verb == Verb::Start)
+      if (command.type == CommandType::Start)
         started_jobs_.insert(command.key.job);
       else
         ++stop_commands_;
@@ -124,7 +124,7 @@
   for (int i = 0; i < 60; ++i)  // gangs that fit nowhere and can't preempt tasks of higher priority
     scheduler_->on_job_record(
         job_record("job-2" + std::to_string(i), JobKind::Gang, 4, {16, 4, 64}), ++revision_, now_);
-  const auto before = scheduler_->work();
+  const auto before = scheduler_->work_counters();
   const auto fails = [](int i) { return i % 10 == 0; };
   advance(26, fails);
   EXPECT_EQ(released_.size(), 200u) << "exactly the machines that failed";
@@ -135,7 +135,7 @@
     EXPECT_EQ(started_jobs_.contains(job_id(i)), fails(i)) << job_id(i);
     EXPECT_EQ(released_.count(placements.begin()->second.begin()->machine), 0u);
   }
-  const auto& after = scheduler_->work();
+  const auto& after = scheduler_->work_counters();
   EXPECT_GT(after.rounds, before.rounds);
   EXPECT_LE(after.victim_lists - before.victim_lists, after.rounds - before.rounds)
       << "at most one victim list per round, however many jobs wait";
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -141,10 +141,10 @@
           const TaskStatus task{{job_id(i), 0}, kOldFencingToken | 1, TaskState::Running};
           const auto answer =
               scheduler->on_heartbeat(next_heartbeat(i, kOldFencingToken, {task}), true, kNow);
-          RC_ASSERT(answer.fresh && answer.fencing_token >= fencing_token);
+          RC_ASSERT(answer.accepted && answer.fencing_token >= fencing_token);
           const bool stops =
               std::any_of(answer.commands.begin(), answer.commands.end(),
-                          [](const Command& command) { return command.verb == Verb::Stop; });
+                          [](const Command& command) { return command.type == CommandType::Stop; });
           RC_ASSERT(stops == (i < cancelled));
           scheduler->on_heartbeat(next_heartbeat(i, fencing_token, {task}), true, kNow);
         }
--- a/tests/lease_delegation_test.cpp
+++ b/tests/lease_delegation_test.cpp
@@ -43,7 +43,7 @@
         const double skew = 1 + draw(-0.0005, 0.0005);
         Seconds now = 100;
         auto node_clock = [&] { return now * skew + 5; };
-        Delegations delegations(7, kLeaderSilence);
+        DelegationTracker delegations(7, kLeaderSilence);
         uint64_t process = 1;
         DelegatedResponder responder(process, kLeaderSilence, kValidFor);
         std::multimap<Seconds, std::function<void()>> messages_in_flight;
@@ -66,13 +66,13 @@
             messages_in_flight.emplace(
                 now + request_delay,
                 [&, status = responder.status(node_clock()), sent_at = node_clock(), process] {
-                  delegations.heard("n", "z", status, now);
+                  delegations.on_status("n", "z", status, now);
                   const auto delegation = delegations.delegate("n", "z", now + kValidFor, now);
                   const double response_delay = draw(0, 1) < 0.1 ? draw(0, 30) : 0.01;
                   messages_in_flight.emplace(
                       now + response_delay, [&, delegation, sent_at, sender = process] {
                         if (sender == process && now >= partitioned_until)
-                          responder.delegated(delegation, sent_at, node_clock());
+                          responder.on_delegation(delegation, sent_at, node_clock());
                       });
                 });
           }
@@ -90,11 +90,11 @@
 }
 
 TEST(LeaseDelegation, DelegateInContactWithLeaderDoesNotDelayLeaseExpiry) {
-  Delegations delegations(7, kLeaderSilence);
+  DelegationTracker delegations(7, kLeaderSilence);
   DelegatedResponder responder(1, kLeaderSilence, kValidFor);
   for (Seconds now = 10; now < 50; now += kHeartbeatPeriod) {
-    delegations.heard("n", "z", responder.status(now), now);
-    responder.delegated(delegations.delegate("n", "z", now + kValidFor, now), now, now);
+    delegations.on_status("n", "z", responder.status(now), now);
+    responder.on_delegation(delegations.delegate("n", "z", now + kValidFor, now), now, now);
     EXPECT_FALSE(responder.active(7, now));
     if (now > 12) {
       EXPECT_LT(delegations.last_answer("z", now), 0);
@@ -106,21 +106,21 @@
   EXPECT_NEAR(delegations.last_answer("z", 49 + kLeaderSilence), 49 + kLeaderSilence, 1e-9);
   EXPECT_NEAR(delegations.last_answer("z", 200), 49 + kValidFor, 1e-9);
   EXPECT_TRUE(responder.answer(heartbeat(), 7, 60, no_job_ended, 60));
-  delegations.heard("n", "z", responder.status(70), 70);
-  responder.delegated(delegations.delegate("n", "z", 70 + kValidFor, 70), 70, 70);
-  delegations.heard("n", "z", responder.status(71), 71);
+  delegations.on_status("n", "z", responder.status(70), 70);
+  responder.on_delegation(delegations.delegate("n", "z", 70 + kValidFor, 70), 70, 70);
+  delegations.on_status("n", "z", responder.status(71), 71);
   EXPECT_NEAR(delegations.last_answer("z", 71), 60, 0.1)
       << "the status reports the time of the last answer";
 }
 
 TEST(LeaseDelegation, DelegateStopsEndedJobsAndAnswersOnlyWhileItsRecordsAreRecent) {
-  Delegations delegations(7, kLeaderSilence);
+  DelegationTracker delegations(7, kLeaderSilence);
   DelegatedResponder responder(1, kLeaderSilence, 10);
-  responder.delegated(delegations.delegate("n", "z", 30, 10), 10, 10);
+  responder.on_delegation(delegations.delegate("n", "z", 30, 10), 10, 10);
   const auto ended = [](const std::string& job) { return job == "job-2"; };
   const auto answer = responder.answer(heartbeat(), 7, 9, ended, 18.9);
   ASSERT_TRUE(answer);
-  EXPECT_EQ(*answer, (std::vector<Command>{{Verb::Stop, {"job-2", 3}, 5, 0}}));
+  EXPECT_EQ(*answer, (std::vector<Command>{{CommandType::Stop, {"job-2", 3}, 5, 0}}));
   EXPECT_FALSE(responder.answer(heartbeat(), 7, 9, ended, 19))
       << "10 s after the records were last read";
   EXPECT_FALSE(responder.answer(heartbeat(), 8, 15, ended, 19))
@@ -163,14 +163,14 @@
                          *rc::gen::inRange(0, 1000) / 7.0};
         const auto received = wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(sent));
         RC_ASSERT(received.has_value());
-        RC_ASSERT(received->status.process == sent.status.process &&
+        RC_ASSERT(received->status.incarnation == sent.status.incarnation &&
                   received->status.term == sent.status.term);
-        RC_ASSERT(received->status.number == sent.status.number &&
+        RC_ASSERT(received->status.issued_at_ms == sent.status.issued_at_ms &&
                   received->status.last_answer_age_s == sent.status.last_answer_age_s);
         RC_ASSERT(received->delegation.has_value() == sent.delegation.has_value());
         if (sent.delegation) {
           RC_ASSERT(received->delegation->term == sent.delegation->term);
-          RC_ASSERT(received->delegation->number == sent.delegation->number);
+          RC_ASSERT(received->delegation->issued_at_ms == sent.delegation->issued_at_ms);
           RC_ASSERT(received->delegation->valid_for_s == sent.delegation->valid_for_s);
         }
       },
--- a/tests/placement_and_election_test.cpp
+++ b/tests/placement_and_election_test.cpp
@@ -100,10 +100,10 @@
       << "the small machine is chosen although the large one is fuller";
   std::vector<CandidateMachine> other_candidates{candidate("large", "e", {8, 8, 64}),
                                                  candidate("small", "e", {4, 4, 32})};
-  request.image_first = true;
+  request.prefer_cached_image = true;
   request.has_image = [](const CandidateMachine& c) { return c.machine == "large"; };
   EXPECT_EQ(bin_pack(request, other_candidates).at(0).candidate, 0u)
-      << "with image_first the cached image takes precedence over the machine's size";
+      << "with prefer_cached_image the cached image takes precedence over the machine's size";
 }
 
 TEST(VictimSelection, PicksCheapestVictimOfLowerPriority) {
@@ -145,7 +145,7 @@
     if (request.spec->request.fits_in(capacity)) return Preemption{i, {}, true};
     std::vector<size_t> sorted_victims;
     for (size_t v = 0; v < victims.size(); ++v)
-      if (victims[v].candidate == i && !victims[v].stopped &&
+      if (victims[v].candidate == i && !victims[v].being_stopped &&
           victims[v].priority < request.spec->priority)
         sorted_victims.push_back(v);
     std::stable_sort(sorted_victims.begin(), sorted_victims.end(), [&](size_t a, size_t b) {
@@ -192,7 +192,7 @@
       Victim victim{
           "job",     0,      *rc::gen::inRange<size_t>(0, candidates.size()), random_resources(10),
           *priority, i * 0.5};  // all losses differ: ties have no defined order
-      victim.stopped = *rc::gen::inRange(0, 5) == 0;
+      victim.being_stopped = *rc::gen::inRange(0, 5) == 0;
       victims.push_back(victim);
     }
     const auto actual = preempt(request, candidates, victims);
@@ -235,7 +235,7 @@
   gpu_request.spec = &gpu_job;
   gpu_request.tasks = {0};
   ASSERT_TRUE(bin_pack(gpu_request, candidates).empty());
-  reserve_beside_gpus(gpu_request, candidates);
+  reserve_for_gpu_tasks(gpu_request, candidates);
   cpu_request.spec = &cpu_job;
   for (uint32_t t = 0; t < 100; ++t) cpu_request.tasks.push_back(t);
   const auto assignments = bin_pack(cpu_request, candidates);
@@ -348,7 +348,7 @@
               });
             });
           };
-          effects.changed = [](LeaderElection::State, LeaderElection::State) {};
+          effects.state_changed = [](LeaderElection::State, LeaderElection::State) {};
           cluster.nodes[i].election = std::make_unique<LeaderElection>(
               LeaderElection::Config{lease, 0.5, 10, 0.002}, effects);
         }
@@ -409,7 +409,7 @@
     };
     effects.elect = [this](LeaderElection::Campaign, uint64_t) { log.emplace_back("elect"); };
     effects.renew = [this](uint64_t) { log.emplace_back("renew"); };
-    effects.changed = [this](LeaderElection::State, LeaderElection::State to) {
+    effects.state_changed = [this](LeaderElection::State, LeaderElection::State to) {
       log.emplace_back(name(to));
     };
     return effects;
@@ -463,7 +463,9 @@
   effects.grant = [](uint64_t, Seconds) {};
   effects.elect = [](uint64_t, uint64_t) {};
   effects.renew = [](uint64_t) {};
-  effects.changed = [&](LeaderElection::State, LeaderElection::State to) { states.push_back(to); };
+  effects.state_changed = [&](LeaderElection::State, LeaderElection::State to) {
+    states.push_back(to);
+  };
   auto new_leader = [&] {
     LeaderElection election({2, 0.5, 10, 0}, effects);
     election.tick(0, true, false, 0);
@@ -473,7 +475,7 @@
     return election;
   };
   LeaderElection election = new_leader();
-  election.records_known(5);
+  election.set_records_current_at(5);
   EXPECT_TRUE(election.may_act(1.9));
   EXPECT_FALSE(election.may_act(2.1));
   election.tick(2.1, true, true, 0);
--- a/tests/prompt_dispatch_test.cpp
+++ b/tests/prompt_dispatch_test.cpp
@@ -192,7 +192,7 @@
   scheduler->on_job_record(cancelled, ++revision, kNow);
   const auto stopped = dispatched_commands();
   ASSERT_EQ(stopped.size(), 1u);
-  EXPECT_EQ(stopped[0].commands[0].verb, Verb::Stop);
+  EXPECT_EQ(stopped[0].commands[0].type, CommandType::Stop);
 }
 
 TEST_F(PromptDispatchScheduler, NextRoundPlansWritesThatBecameDueByTime) {
@@ -244,10 +244,10 @@
                                   PromptDispatchScheduler::kNow);
   leader.scheduler->request_round();
   leader.scheduler->tick(PromptDispatchScheduler::kNow);
-  const size_t before = leader.scheduler->work().dispatch_checks;
+  const size_t before = leader.scheduler->work_counters().dispatch_checks;
   leader.commit_all_writes();
   EXPECT_EQ(leader.dispatched_commands().size(), 1u);
-  return leader.scheduler->work().dispatch_checks - before;
+  return leader.scheduler->work_counters().dispatch_checks - before;
 }
 
 TEST_F(PromptDispatchScheduler, WorkDoesNotGrowWithTheFleet) {
--- a/tests/record_capacity_test.cpp
+++ b/tests/record_capacity_test.cpp
@@ -19,8 +19,8 @@
 }
 
 /// Numbers of done tasks with gaps of random sizes between them.
-Ranges scattered_task_numbers(uint32_t tasks) {
-  Ranges done;
+TaskRangeSet scattered_task_numbers(uint32_t tasks) {
+  TaskRangeSet done;
   const auto widest = *rc::gen::element<uint32_t>(2, 3, 12, 130, 1100);
   uint32_t task = *rc::gen::inRange<uint32_t>(0, widest);
   while (task < tasks) {
@@ -84,7 +84,7 @@
   record.hosts.emplace();
   for (int i = 100; i < 160; ++i) record.hosts->push_back("i-" + std::to_string(i));
   for (uint32_t task = 0; task < record.spec.tasks; task += 2) record.done.add(task);
-  EXPECT_EQ(wire::fitting_record(record, 2048), record) << "50 spans and 60 hosts";
+  EXPECT_EQ(wire::fitting_record(record, 2048), record) << "50 ranges and 60 hosts";
 }
 
 TEST(RecordCapacity, NoneIfTheDescriptionLeavesNoRoom) {
@@ -95,22 +95,22 @@
   EXPECT_TRUE(wire::record_capacity(record, 8192).any());
 }
 
-TEST(Ranges, FirstSpansPrefersKeptNumbers) {
+TEST(TaskRangeSet, SubsetOfRangesPrefersKeptNumbers) {
   EXPECT_TRUE(holds("what is kept stays", [] {
-    Ranges kept;
-    Ranges all;
+    TaskRangeSet kept;
+    TaskRangeSet all;
     for (const auto n : *rc::gen::container<std::vector<uint32_t>>(rc::gen::inRange(0u, 80u))) {
       all.add(n);
       if (*rc::gen::arbitrary<bool>()) kept.add(n);
     }
-    const auto max_spans = *rc::gen::inRange<size_t>(0, 20);
-    const Ranges chosen = all.first_spans(max_spans, kept);
-    RC_ASSERT(chosen.spans() == std::min(max_spans, all.spans()));
+    const auto max_ranges = *rc::gen::inRange<size_t>(0, 20);
+    const TaskRangeSet chosen = all.subset_of_ranges(max_ranges, kept);
+    RC_ASSERT(chosen.range_count() == std::min(max_ranges, all.range_count()));
     uint32_t count = 0;
     for (uint32_t n = 0; n < 80; ++n) {
       count += chosen.contains(n);
       RC_ASSERT(all.contains(n) || !chosen.contains(n));
-      if (kept.spans() <= max_spans) RC_ASSERT(chosen.contains(n) || !kept.contains(n));
+      if (kept.range_count() <= max_ranges) RC_ASSERT(chosen.contains(n) || !kept.contains(n));
     }
     RC_ASSERT(chosen.count() == count);
   }));
@@ -242,7 +242,7 @@
   for (uint32_t task = 3999; task > 1000; task -= 7) tasks.push_back(done(task));
   heartbeat(1, tasks);
   EXPECT_EQ(writes_within(5), 1);
-  const Ranges stored = job().stored.done;
+  const TaskRangeSet stored = job().stored.done;
   ASSERT_LT(stored.count(), tasks.size()) << "not all done tasks fit into the record";
   for (uint32_t task = 0; task < 1000; task += 3) tasks.push_back(done(task));
   heartbeat(2, tasks);
--- a/tests/record_tables_test.cpp
+++ b/tests/record_tables_test.cpp
@@ -176,9 +176,9 @@
   tables.add_finished("job-1", {JobState::Done, 1, 50});
   EXPECT_TRUE(tables.wrote_job(job_record("job-2"), 1));
   EXPECT_TRUE(tables.wrote_job(job_record("job-4", {"job-1", "job-2", "job-3"}), 2));
-  EXPECT_EQ(tables.dependencies().unknown(), std::set<std::string>{"job-3"});
+  EXPECT_EQ(tables.dependencies().unknown_jobs(), std::set<std::string>{"job-3"});
   tables.add_finished("job-3", {JobState::Done, 1, 60});
-  EXPECT_TRUE(tables.dependencies().unknown().empty());
+  EXPECT_TRUE(tables.dependencies().unknown_jobs().empty());
   EXPECT_FALSE(tables.dependencies().ready("job-4"));
   tables.add_finished("job-2", {JobState::Done, 1, 70});
   EXPECT_TRUE(tables.dependencies().ready("job-4"));
--- a/tests/record_transaction_test.cpp
+++ b/tests/record_transaction_test.cpp
@@ -121,7 +121,7 @@
 TEST(RecordTransaction, MutationCountMatchesItsWrites) {
   for (const auto& write :
        {job_write("a", 4), finished_write("a", 4), host_write("i-1"), host_deletion("i-1")})
-    EXPECT_EQ(record_transaction({write}, kTermVersion).mutations.size(), write.changes());
+    EXPECT_EQ(record_transaction({write}, kTermVersion).mutations.size(), write.mutation_count());
 }
 
 }  // namespace
--- a/tests/scale_out_requests_test.cpp
+++ b/tests/scale_out_requests_test.cpp
@@ -10,10 +10,10 @@
 TEST(ScaleOutRequests, RequestNamesAreUniqueWithinAndAcrossTerms) {
   ScaleOutRequests requests(7);
   ScaleOutRequests requests_of_next_term(8);
-  const ScaleOut first = requests.open(kOffering, 2);
-  const ScaleOut second = requests.open(kOffering, 2);
-  EXPECT_NE(first.request, second.request);
-  EXPECT_NE(first.request, requests_of_next_term.open(kOffering, 2).request);
+  const ScaleOut first = requests.create(kOffering, 2);
+  const ScaleOut second = requests.create(kOffering, 2);
+  EXPECT_NE(first.request_name, second.request_name);
+  EXPECT_NE(first.request_name, requests_of_next_term.create(kOffering, 2).request_name);
   EXPECT_EQ(first.type, "g");
   EXPECT_EQ(first.zone, "e");
   EXPECT_EQ(first.count, 2);
@@ -21,13 +21,13 @@
 
 TEST(ScaleOutRequests, RetriesRequestOfUnknownOutcomeUnderItsName) {
   ScaleOutRequests requests(1);
-  const ScaleOut scale_out = requests.open(kOffering, 1);
+  const ScaleOut scale_out = requests.create(kOffering, 1);
   EXPECT_TRUE(requests.due_for_retry(1e6).empty()) << "the request is in flight";
   requests.retry_after(scale_out, 100, 2);
   EXPECT_TRUE(requests.due_for_retry(101).empty());
   const auto due = requests.due_for_retry(102);
   ASSERT_EQ(due.size(), 1u);
-  EXPECT_EQ(due[0].request, scale_out.request);
+  EXPECT_EQ(due[0].request_name, scale_out.request_name);
   EXPECT_TRUE(requests.due_for_retry(1e6).empty()) << "each retry is due once";
   EXPECT_TRUE(requests.any_in_flight());
   EXPECT_TRUE(requests.complete(scale_out, 1, 110));
@@ -40,7 +40,7 @@
   Seconds now = 100;
   for (const Seconds backoff : {5, 10, 20, 40, 80, 80}) {
     EXPECT_FALSE(requests.backing_off(kOffering, now));
-    requests.complete(requests.open(kOffering, 1), 0, now);
+    requests.complete(requests.create(kOffering, 1), 0, now);
     EXPECT_TRUE(requests.backing_off(kOffering, now + backoff - 0.1)) << backoff;
     EXPECT_FALSE(requests.backing_off({"g", "w", false}, now));
     EXPECT_FALSE(requests.backing_off({"g", "e", true}, now));
@@ -50,11 +50,11 @@
 
 TEST(ScaleOutRequests, PartialGrantCountsAsRefusalAndFullGrantResetsBackoff) {
   ScaleOutRequests requests(1);
-  requests.complete(requests.open(kOffering, 3), 2, 100);
+  requests.complete(requests.create(kOffering, 3), 2, 100);
   EXPECT_TRUE(requests.backing_off(kOffering, 104));
-  requests.complete(requests.open(kOffering, 3), 3, 105);
+  requests.complete(requests.create(kOffering, 3), 3, 105);
   EXPECT_FALSE(requests.backing_off(kOffering, 105));
-  requests.complete(requests.open(kOffering, 3), 0, 110);
+  requests.complete(requests.create(kOffering, 3), 0, 110);
   EXPECT_TRUE(requests.backing_off(kOffering, 114));
   EXPECT_FALSE(requests.backing_off(kOffering, 115))
       << "the backoff starts from its first step again";
--- a/tests/scheduler_safety_test.cpp
+++ b/tests/scheduler_safety_test.cpp
@@ -601,10 +601,10 @@
     worker.fencing_token = std::max(worker.fencing_token, fencing_token);
     for (const Command& command : commands) {
       const std::pair key{command.key, command.attempt};
-      if (command.verb == Verb::Start)
+      if (command.type == CommandType::Start)
         worker.tasks.try_emplace(
             key, Task{{command.key, command.attempt, TaskState::Running, ExitCause::None}, now});
-      else if (command.verb == Verb::Forget)
+      else if (command.type == CommandType::Discard)
         worker.tasks.erase(key);
       else if (const auto task = worker.tasks.find(key); task != worker.tasks.end())
         exit_task(task->second, ExitCause::Stopped);
@@ -731,7 +731,7 @@
     commit_planned_writes(*scheduler);
     for (const auto& c :
          scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token), true, now + 0.3).commands)
-      if (c.verb == Verb::Start) attempt = c.attempt;
+      if (c.type == CommandType::Start) attempt = c.attempt;
     scheduler->on_heartbeat(running_heartbeat(4), true, now + 1);
   }
   WorkerHeartbeat running_heartbeat(uint64_t sequence_number) {
@@ -743,9 +743,9 @@
     record.started = true;
     scheduler->on_job_record(record, 500, now + 1);
   }
-  bool contains_stop(const Scheduler::HeartbeatAnswer& answer) const {
-    return answer.fresh && std::count(answer.commands.begin(), answer.commands.end(),
-                                      Command{Verb::Stop, {"job-1", 0}, attempt, 0}) == 1;
+  bool contains_stop(const Scheduler::HeartbeatResponse& answer) const {
+    return answer.accepted && std::count(answer.commands.begin(), answer.commands.end(),
+                                         Command{CommandType::Stop, {"job-1", 0}, attempt, 0}) == 1;
   }
 };
 
@@ -810,7 +810,7 @@
   const auto answer = scheduler->on_heartbeat(running_heartbeat(7), true, now + 3);
   EXPECT_GT(answer.commands.size(), 200u);
   EXPECT_TRUE(contains_stop(answer));
-  EXPECT_EQ(answer.commands[0].verb, Verb::Stop);
+  EXPECT_EQ(answer.commands[0].type, CommandType::Stop);
 }
 
 // A delayed heartbeat reaches a new leader and shows an attempt whose task has since been started
@@ -857,9 +857,9 @@
   auto scheduler = leader(1, 0);
   const auto fencing_token =
       scheduler->on_heartbeat(heartbeat("i-9", 5, 0), true, now).fencing_token;
-  EXPECT_FALSE(scheduler->on_heartbeat(heartbeat("i-9", 5, 0), true, now + 1).fresh);
-  EXPECT_FALSE(scheduler->on_heartbeat(heartbeat("i-9", 4, 0), true, now + 1).fresh);
-  EXPECT_TRUE(scheduler->on_heartbeat(heartbeat("i-9", 6, fencing_token), true, now + 1).fresh);
+  EXPECT_FALSE(scheduler->on_heartbeat(heartbeat("i-9", 5, 0), true, now + 1).accepted);
+  EXPECT_FALSE(scheduler->on_heartbeat(heartbeat("i-9", 4, 0), true, now + 1).accepted);
+  EXPECT_TRUE(scheduler->on_heartbeat(heartbeat("i-9", 6, fencing_token), true, now + 1).accepted);
 }
 
 TEST_F(SchedulerSafetyTest, DiscardsExitedAttemptOnlyOnceItsResultIsDurable) {
@@ -877,7 +877,7 @@
   const auto answer =
       scheduler->on_heartbeat(heartbeat("i-9", 3, fencing_token, {done}), true, now);
   ASSERT_EQ(answer.commands.size(), 1u);
-  EXPECT_EQ(answer.commands[0].verb, Verb::Forget);
+  EXPECT_EQ(answer.commands[0].type, CommandType::Discard);
 }
 
 TEST_F(SchedulerSafetyTest, LargeArrayRecordStaysWithinValueSizeLimit) {
@@ -935,14 +935,14 @@
         election.tick(0, true, false, 0);
         election.tick(1, true, false, 0);
         election.granted(1, 1, 7, 1);
-        election.records_known(1);
+        election.set_records_current_at(1);
         election.elected(1, 1, true, 1);
         RC_ASSERT(election.may_answer(1));
         // The leader's lease is renewed, but it cannot read cancellations.
         election.renewed(50, 7, 50, true, false);
         RC_ASSERT(election.may_answer(0.9 + settings.answers_s()));
         RC_ASSERT(!election.may_answer(1 + settings.answers_s()));
-        election.records_known(50);
+        election.set_records_current_at(50);
         RC_ASSERT(election.may_answer(50));
       },
       200));
--- a/tests/scheduler_work_budget_test.cpp
+++ b/tests/scheduler_work_budget_test.cpp
@@ -79,18 +79,18 @@
 TEST_F(SchedulerWorkBudget, TicksBetweenRoundsExamineNoMachineWithoutCommands) {
   fail_over();
   scheduler->tick(now);
-  const size_t before = scheduler->work().dispatch_checks;
+  const size_t before = scheduler->work_counters().dispatch_checks;
   const double until_next_round = settings.tuning.round * settings.heartbeat_period_s;
   for (double fraction = 0.2; fraction < 1; fraction += 0.2)
     scheduler->tick(now + fraction * until_next_round);
-  ASSERT_EQ(scheduler->work().rounds, 1u);
-  EXPECT_EQ(scheduler->work().dispatch_checks, before);
+  ASSERT_EQ(scheduler->work_counters().rounds, 1u);
+  EXPECT_EQ(scheduler->work_counters().dispatch_checks, before);
 }
 
 TEST_F(SchedulerWorkBudget, FailoverExaminesEachTaskOnce) {
   fail_over();
   ASSERT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), kTasks);
-  EXPECT_LE(scheduler->work().adoption_checks, kTasks);
+  EXPECT_LE(scheduler->work_counters().adoption_checks, kTasks);
 }
 
 TEST_F(SchedulerWorkBudget, FailoverThatReadsRecordLastExaminesEachTaskAtMostTwice) {
@@ -99,15 +99,15 @@
   heartbeat_all(1, TaskState::Running);
   scheduler->on_job_record(array_record("job-1", kTasks), 5, now);
   ASSERT_EQ(scheduler->jobs().at("job-1").possible_placements.size(), kTasks);
-  EXPECT_LE(scheduler->work().adoption_checks, 2 * kTasks);
+  EXPECT_LE(scheduler->work_counters().adoption_checks, 2 * kTasks);
 }
 
 TEST_F(SchedulerWorkBudget, NewJobExaminesNoTasksOfOtherJobs) {
   fail_over();
-  const size_t before = scheduler->work().adoption_checks;
+  const size_t before = scheduler->work_counters().adoption_checks;
   for (int i = 2; i < 50; ++i)
     scheduler->on_job_record(array_record("job-" + std::to_string(i), 1), 5, now);
-  EXPECT_EQ(scheduler->work().adoption_checks, before);
+  EXPECT_EQ(scheduler->work_counters().adoption_checks, before);
 }
 
 }  // namespace
--- a/tests/settings_and_messages_test.cpp
+++ b/tests/settings_and_messages_test.cpp
@@ -437,9 +437,9 @@
       << "a batch with more fragments than are kept";
 }
 
-TEST(Ranges, AgreesWithSetOfNumbers) {
+TEST(TaskRangeSet, AgreesWithSetOfNumbers) {
   EXPECT_TRUE(holds("ranges agree with a set", [] {
-    Ranges ranges;
+    TaskRangeSet ranges;
     std::set<uint32_t> model;
     for (int n : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60))) {
       const auto number = static_cast<uint32_t>(n);
@@ -452,14 +452,14 @@
       while (model.contains(next)) ++next;
       RC_ASSERT(ranges.next_missing(n) == next);
     }
-    Ranges decoded;
-    RC_ASSERT(Ranges::from_lengths(ranges.to_lengths(), 60, decoded));
+    TaskRangeSet decoded;
+    RC_ASSERT(TaskRangeSet::from_lengths(ranges.to_lengths(), 60, decoded));
     RC_ASSERT(decoded == ranges && decoded.count() == ranges.count());
   }));
-  Ranges decoded;
-  EXPECT_FALSE(Ranges::from_lengths({0, 61}, 60, decoded));
-  EXPECT_FALSE(Ranges::from_lengths({0, 1, 0, 1}, 60, decoded)) << "adjacent spans";
-  EXPECT_FALSE(Ranges::from_lengths({5}, 60, decoded));
+  TaskRangeSet decoded;
+  EXPECT_FALSE(TaskRangeSet::from_lengths({0, 61}, 60, decoded));
+  EXPECT_FALSE(TaskRangeSet::from_lengths({0, 1, 0, 1}, 60, decoded)) << "adjacent ranges";
+  EXPECT_FALSE(TaskRangeSet::from_lengths({5}, 60, decoded));
 }
 
 TEST(JobFeasibility, DetectsJobsThatCanNeverRun) {
@@ -472,17 +472,19 @@
   JobSpec spec;
   spec.request = {4, 1, 16};
   spec.tasks = 100;
-  EXPECT_EQ(never_runs(spec, {type}, &team), "") << "an array can run if one of its tasks fits";
+  EXPECT_EQ(unschedulable_reason(spec, {type}, &team), "")
+      << "an array can run if one of its tasks fits";
   spec.kind = JobKind::Gang;
-  EXPECT_NE(never_runs(spec, {type}, &team), "") << "a gang can run only if all its tasks fit";
+  EXPECT_NE(unschedulable_reason(spec, {type}, &team), "")
+      << "a gang can run only if all its tasks fit";
   spec.tasks = 4;
-  EXPECT_EQ(never_runs(spec, {type}, &team), "");
-  EXPECT_NE(never_runs(spec, {type}, nullptr), "");
+  EXPECT_EQ(unschedulable_reason(spec, {type}, &team), "");
+  EXPECT_NE(unschedulable_reason(spec, {type}, nullptr), "");
   spec.zone = "west";
-  EXPECT_NE(never_runs(spec, {type}, &team), "");
+  EXPECT_NE(unschedulable_reason(spec, {type}, &team), "");
   spec.zone.reset();
   spec.types = std::vector<std::string>{"h"};
-  EXPECT_NE(never_runs(spec, {type}, &team), "");
+  EXPECT_NE(unschedulable_reason(spec, {type}, &team), "");
 }
 
 }  // namespace
--- a/tests/simulation/controller_peer_heartbeats.cpp
+++ b/tests/simulation/controller_peer_heartbeats.cpp
@@ -54,8 +54,8 @@
   wire::PeerHeartbeat answer = own_peer_heartbeat();
   const std::string& zone = env_.controllers[from].settings.zone;
   if (leads() && settings().finds_delegated_responder(zone))
-    answer.delegation = scheduler_->delegations().delegate(heartbeat.node, zone,
-                                                           election_->answers_until(), env_.now());
+    answer.delegation = scheduler_->delegations().delegate(
+        heartbeat.node, zone, election_->may_answer_until(), env_.now());
   return answer;
 }
 
@@ -63,7 +63,8 @@
                                                    Seconds sent_at) {
   if (env_.now() - sent_at > kAnswerTimeoutIntervals * settings().renew_s()) return;
   process_peer_heartbeat(answer);
-  if (answer.delegation) delegated_responder_->delegated(*answer.delegation, sent_at, env_.now());
+  if (answer.delegation)
+    delegated_responder_->on_delegation(*answer.delegation, sent_at, env_.now());
   if (!scheduler_ || answer.leading || answer.term < election_->term()) return;
   // The peer follows this term and no longer answers workers under an older one. Once all peers do,
   // no other controller can renew a worker lease.
@@ -79,8 +80,8 @@
     known_leader_ = KnownLeader{*peer, heartbeat.term, env_.now()};
   election_->observe_term(env_.now(), heartbeat.term);
   if (scheduler_ && peer)
-    scheduler_->delegations().heard(heartbeat.node, env_.controllers[*peer].settings.zone,
-                                    heartbeat.status, env_.now());
+    scheduler_->delegations().on_status(heartbeat.node, env_.controllers[*peer].settings.zone,
+                                        heartbeat.status, env_.now());
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -60,7 +60,7 @@
       self.next_read_ = self.env_.now() + self.env_.random.between(0.05, 0.2);
     });
   }
-  election_->records_known(records_.fresh_as_of());
+  election_->set_records_current_at(records_.fresh_as_of());
   election_->tick(env_.now(), records_.loaded(), records_.leader().version != 0,
                   env_.random.between(0, 1));
   resign_if_isolated_from_workers();
@@ -102,7 +102,7 @@
     run_for_election(campaign, lease);
   };
   effects.renew = [this](uint64_t lease) { renew_lease(lease); };
-  effects.changed = [this](LeaderElection::State from, LeaderElection::State to) {
+  effects.state_changed = [this](LeaderElection::State from, LeaderElection::State to) {
     on_election_state_changed(from, to);
   };
   return effects;
--- a/tests/simulation/controller_records.cpp
+++ b/tests/simulation/controller_records.cpp
@@ -95,7 +95,7 @@
 
 /// Reads one outcome at a time, as the node does.
 void ControllerProcess::read_unknown_dependencies() {
-  const auto& unknown = records_.dependencies().unknown();
+  const auto& unknown = records_.dependencies().unknown_jobs();
   if (dependency_read_in_flight_ || unknown.empty()) return;
   dependency_read_in_flight_ = true;
   const auto next = unknown.upper_bound(last_dependency_read_);
--- a/tests/simulation/controller_worker_heartbeats.cpp
+++ b/tests/simulation/controller_worker_heartbeats.cpp
@@ -40,7 +40,7 @@
   const auto answer =
       scheduler_->on_heartbeat(heartbeat, election_->may_act(env_.now()), env_.now());
   HeartbeatReply reply;
-  reply.status = answer.fresh ? HeartbeatReplyStatus::Answered : HeartbeatReplyStatus::Late;
+  reply.status = answer.accepted ? HeartbeatReplyStatus::Answered : HeartbeatReplyStatus::Late;
   reply.fencing_token = answer.fencing_token;
   reply.commands = answer.commands;
   return reply;
--- a/tests/simulation/decision_digest.cpp
+++ b/tests/simulation/decision_digest.cpp
@@ -51,7 +51,7 @@
     text(probe->addr);
     text(wire::worker_commands_body(probe->fencing_token, probe->agent_epoch, {}));
   } else if (const auto* scale_out = std::get_if<ScaleOut>(&action)) {
-    text(scale_out->request);
+    text(scale_out->request_name);
     text(scale_out->type);
     text(scale_out->zone);
     number(uint64_t{scale_out->spot});
--- a/tests/simulation/frontend.cpp
+++ b/tests/simulation/frontend.cpp
@@ -36,7 +36,7 @@
                            const LookUpHandlers& handlers) {
   const auto live = process.records().live_jobs().find(id);
   if (live == process.records().live_jobs().end()) return false;
-  if (process.records().dependencies().certain(id))
+  if (process.records().dependencies().cancellation_is_conclusive(id))
     handlers.live(process, live->second);
   else
     handlers.unavailable();
--- a/tests/simulation/simulated_record_cache.cpp
+++ b/tests/simulation/simulated_record_cache.cpp
@@ -36,7 +36,7 @@
   if (cached != live_jobs_.end() && cached->second.version >= change.version) return;
   if (change.deletes() || finished_jobs_.contains(id)) {
     live_jobs_.erase(id);
-    dependencies_.forget(id);
+    dependencies_.on_live_record_deleted(id);
   } else {
     const auto& record = std::get<JobRecord>(*change.value);
     track_dependencies(record);
@@ -100,8 +100,8 @@
 void SimulatedRecordCache::cache_finished(const std::string& id,
                                           const wire::FinishedRecord& record) {
   live_jobs_.erase(id);
-  dependencies_.finished(id, record.state, record.ended_ms);
-  dependencies_.forget(id);
+  dependencies_.set_finished(id, record.state, record.ended_ms);
+  dependencies_.on_live_record_deleted(id);
   if (!finished_jobs_.emplace(id, record).second) return;
   finished_order_.push_back(id);
   if (finished_order_.size() <= kMaxFinishedJobs) return;
@@ -114,7 +114,7 @@
   for (const auto& id : record.spec.dependencies) {
     const auto cached = finished_jobs_.find(id);
     if (cached != finished_jobs_.end())
-      dependencies_.finished(id, cached->second.state, cached->second.ended_ms);
+      dependencies_.set_finished(id, cached->second.state, cached->second.ended_ms);
     const auto live = live_jobs_.find(id);
     if (live != live_jobs_.end()) dependencies_.update(live->second.value);
   }
@@ -124,7 +124,7 @@
     const std::string& id) const {
   const auto cached = finished_jobs_.find(id);
   if (cached != finished_jobs_.end()) return cached->second;
-  return dependencies_.end_of(id);
+  return dependencies_.outcome(id);
 }
 
 void SimulatedRecordCache::on_host_written(const std::string& id, const HostRecord& record,
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -60,13 +60,13 @@
 void Workers::execute(SimulatedMachine& machine, const std::vector<Command>& commands,
                       Seconds command_sent_at) {
   for (const auto& command : commands) {
-    if (command.verb == Verb::Start) {
+    if (command.type == CommandType::Start) {
       start_task(machine, command, command_sent_at);
       continue;
     }
     MachineTask* task = machine.find(command);
     if (!task) continue;
-    if (command.verb != Verb::Stop) {
+    if (command.type != CommandType::Stop) {
       if (!task->present()) machine.tasks.erase(command.key);
     } else if (task->present()) {
       task->state = TaskState::Exited;
--- a/tests/simulators_test.cpp
+++ b/tests/simulators_test.cpp
@@ -40,8 +40,9 @@
       sent.tasks.push_back({random_task_key(), *rc::gen::arbitrary<uint64_t>(),
                             *rc::gen::element(TaskState::Fetching, TaskState::Running),
                             ExitCause::None});
-    sent.tasks.push_back({random_task_key(), 1, TaskState::Exited,
-                          *rc::gen::element(ExitCause::Done, ExitCause::Error, ExitCause::Alone)});
+    sent.tasks.push_back(
+        {random_task_key(), 1, TaskState::Exited,
+         *rc::gen::element(ExitCause::Done, ExitCause::Error, ExitCause::GangIncomplete)});
     const auto read = wire::parse_worker_heartbeat(worker_heartbeat_body(sent));
     RC_ASSERT(read.has_value());
     RC_ASSERT(worker_heartbeat_body(*read) == worker_heartbeat_body(sent));
@@ -56,9 +57,10 @@
   EXPECT_TRUE(holds("commands", [] {
     std::vector<Command> commands;
     for (int i = *rc::gen::inRange(0, 5); i > 0; --i) {
-      const Verb verb = *rc::gen::element(Verb::Start, Verb::Stop, Verb::Forget);
-      commands.push_back({verb, random_task_key(), *rc::gen::arbitrary<uint64_t>(),
-                          verb == Verb::Stop ? *rc::gen::inRange(0, 10) * 0.5 : 0});
+      const CommandType type =
+          *rc::gen::element(CommandType::Start, CommandType::Stop, CommandType::Discard);
+      commands.push_back({type, random_task_key(), *rc::gen::arbitrary<uint64_t>(),
+                          type == CommandType::Stop ? *rc::gen::inRange(0, 10) * 0.5 : 0});
     }
     const auto fencing_token = *rc::gen::arbitrary<uint64_t>();
     const auto agent_epoch = *rc::gen::arbitrary<uint64_t>();
--- a/tests/wire_encoding_test.cpp
+++ b/tests/wire_encoding_test.cpp
@@ -76,21 +76,21 @@
   return heartbeat;
 }
 
-std::vector<Command> one_command_of_each_verb() {
+std::vector<Command> one_command_of_each_type() {
   Command start;
-  start.verb = Verb::Start;
+  start.type = CommandType::Start;
   start.key = {"job-1", 0};
   start.attempt = 70000;
   Command stop;
-  stop.verb = Verb::Stop;
+  stop.type = CommandType::Stop;
   stop.key = {"job-2", 12};
   stop.attempt = 3;
   stop.grace_s = 2.5;
-  Command forget;
-  forget.verb = Verb::Forget;
-  forget.key = {"job-3", 200};
-  forget.attempt = 1;
-  return {start, stop, forget};
+  Command discard;
+  discard.type = CommandType::Discard;
+  discard.key = {"job-3", 200};
+  discard.attempt = 1;
+  return {start, stop, discard};
 }
 
 TEST(WireEncoding, RecordBytesAreUnchanged) {
@@ -146,12 +146,12 @@
 }
 
 TEST(WireEncoding, WorkerMessageBytesAreUnchanged) {
-  EXPECT_EQ(hex(wire::heartbeat_answer(70000, one_command_of_each_verb())),
+  EXPECT_EQ(hex(wire::heartbeat_answer(70000, one_command_of_each_type())),
             "82a56261746f6ece00011170a66f72646572739383a476657262a57374617274a6746872656164a7"
             "6a6f622d312f30a3747279ce0001117084a476657262a46b696c6ca6746872656164a86a6f622d32"
             "2f3132a374727903a8656173696e675f73cb400400000000000083a476657262a5636c656172a674"
             "6872656164a96a6f622d332f323030a374727901");
-  EXPECT_EQ(hex(wire::worker_commands_body(70000, 5, one_command_of_each_verb())),
+  EXPECT_EQ(hex(wire::worker_commands_body(70000, 5, one_command_of_each_type())),
             "83a56261746f6ece00011170a5736869667405a66f72646572739383a476657262a57374617274a6"
             "746872656164a76a6f622d312f30a3747279ce0001117084a476657262a46b696c6ca67468726561"
             "64a86a6f622d322f3132a374727903a8656173696e675f73cb400400000000000083a476657262a5"
