--- a/apps/loadtest/main.cpp
+++ b/apps/loadtest/main.cpp
@@ -28,7 +28,7 @@
 
 LoadSettings settings_of(const Arguments& arguments) {
   LoadSettings settings;
-  if (!arguments.settings.empty()) settings = load_settings_file(arguments.settings);
+  if (!arguments.settings.empty()) settings = read_load_settings(arguments.settings);
   return settings;
 }
 
@@ -56,7 +56,7 @@
 
 int faults(const Arguments& arguments) {
   const LoadSettings settings = settings_of(arguments);
-  check_fits_this_machine(settings, arguments.settings.empty() ? "settings" : arguments.settings);
+  check_host_capacity(settings, arguments.settings.empty() ? "settings" : arguments.settings);
   LoadTest load_test(settings, options_of(arguments));
   append_rows(arguments.table, {load_test.measure_load()});
   append_rows(arguments.table, load_test.measure_faults());
@@ -68,7 +68,7 @@
   std::vector<Measurement> rows;
   for (const auto& table : arguments.tables)
     for (auto& row : read_table(table)) rows.push_back(std::move(row));
-  std::cout << fit_table(rows);
+  std::cout << format_report(rows);
   return 0;
 }
 
--- a/apps/sumacquay/main.cpp
+++ b/apps/sumacquay/main.cpp
@@ -50,7 +50,7 @@
   asio::io_context io(1);
   sumacquay::Node node(io, settings);
   node.start();
-  spdlog::info("{} listens on {}", settings.node, settings.listen.text());
+  spdlog::info("{} listens on {}", settings.node, settings.listen.to_string());
   io.run();
   return 0;
 }
--- a/src/config/number_file.cpp
+++ b/src/config/number_file.cpp
@@ -55,7 +55,7 @@
     const double value = cfg_getfloat(parser.get(), field.name);
     check_range(source, field.name, value, field.range);
     if (field.whole && value != std::floor(value))
-      refuse_setting(source, field.name, "must be a whole number");
+      throw_setting_error(source, field.name, "must be a whole number");
     *field.value = value;
   }
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -23,8 +23,8 @@
 constexpr SettingRange kCloudRateRange{0.01, kMaxAmount};
 constexpr SettingRange kValueSizeRange{1, 1e6};
 constexpr SettingRange kTransactionOpsRange{2, 1e6};
-constexpr SettingRange kSocketsRange{1, kMaxAmount};  ///< check_sockets() has the actual minimum,
-                                                      ///< which depends on the number of peers
+/// check_socket_budget() has the actual minimum, which depends on the number of peers.
+constexpr SettingRange kSocketsRange{1, kMaxAmount};
 
 toml::table parse_toml(const std::string& text, const std::string& source) {
   try {
@@ -32,21 +32,21 @@
   } catch (const toml::parse_error& error) {
     std::ostringstream location;
     location << "line " << error.source().begin.line;
-    refuse_setting(source, location.str(), std::string(error.description()));
+    throw_setting_error(source, location.str(), std::string(error.description()));
   }
 }
 
 PeerSettings read_peer(const TomlTable& table) {
   PeerSettings peer;
-  peer.node = table.text("label");
-  peer.zone = table.text_or("area", "");
+  peer.node = table.string("label");
+  peer.zone = table.string_or("area", "");
   peer.addr = table.endpoint("peer_addr");
   return peer;
 }
 
 TeamSettings read_team(const TomlTable& table) {
   TeamSettings team;
-  team.name = table.text("name");
+  team.name = table.string("name");
   team.cpus = table.number_or("cpus", 0, kAmountRange);
   team.cpus_max = table.number_or("cpus_max", 0, kAmountRange);
   team.gpus = table.number_or("gpus", 0, kAmountRange);
@@ -56,8 +56,8 @@
 
 ServiceLevelObjective read_objective(const TomlTable& table) {
   ServiceLevelObjective objective;
-  objective.kind = table.text("kind");
-  objective.job_class = table.text_or("class", "");
+  objective.kind = table.string("kind");
+  objective.job_class = table.string_or("class", "");
   objective.within_s = table.number_or("within_s", 0, kAmountRange);
   objective.share = table.number_or("share", 0, kShareRange);
   return objective;
@@ -96,7 +96,7 @@
 
 /// Reads the platform's parameters, which are the same on all nodes.
 void read_params(const TomlTable& params, Settings& settings) {
-  settings.zones = params.texts("zones");
+  settings.zones = params.strings("zones");
   for (const TomlTable& team : params.children("teams")) settings.teams.push_back(read_team(team));
   for (const TomlTable& objective : params.children("objectives"))
     settings.objectives.push_back(read_objective(objective));
@@ -114,7 +114,7 @@
   return found == teams.end() ? nullptr : &*found;
 }
 
-double Settings::answers_s() const {
+double Settings::answer_grace_s() const {
   // The clocks of this node and of the worker may each drift. The slack, in seconds, covers delays
   // that the formula does not include.
   constexpr double kMaxClockDrift = 0.002;
@@ -125,7 +125,7 @@
                                                lease_s * (1 + kMaxClockDrift) - kSlackSeconds));
 }
 
-bool Settings::finds_delegated_responder(const std::string& of_zone) const {
+bool Settings::delegate_reachable_within_lease(const std::string& of_zone) const {
   // From the worker protocol: a worker waits 4 s for a response and tries the next node 1 s later.
   constexpr double kSecondsPerNode = 4 + 1;
   size_t nodes_elsewhere = zone == of_zone ? 0 : 1;
@@ -139,8 +139,8 @@
   const toml::table parsed = parse_toml(toml_text, source);
   const TomlTable root(source, "", &parsed);
   Settings settings;
-  settings.node = root.text("label");
-  settings.zone = root.text_or("area", "");
+  settings.node = root.string("label");
+  settings.zone = root.string_or("area", "");
   settings.listen = root.endpoint("listen");
   settings.peer_listen = root.endpoint("back");
   for (const TomlTable& peer : root.children("known")) settings.peers.push_back(read_peer(peer));
@@ -148,7 +148,7 @@
   settings.cloud = services.endpoint("cloud");
   settings.state = services.endpoint("state");
   read_params(root.child("params"), settings);
-  check_sockets(settings, source);
+  check_socket_budget(settings, source);
   return settings;
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -16,7 +16,7 @@
 struct Endpoint {
   std::string host;
   unsigned short port = 0;
-  std::string text() const { return host + ":" + std::to_string(port); }
+  std::string to_string() const { return host + ":" + std::to_string(port); }
 };
 
 /// Another controller node.
@@ -78,18 +78,18 @@
   /// workers. A job may have been cancelled since, and a response renews the worker's lease and so
   /// keeps the job's tasks running: the grace period and one worker lease together must not exceed
   /// the time that a cancellation may take.
-  double answers_s() const;
+  double answer_grace_s() const;
   /// The duration of the leader's lease, and the interval between its renewals, which is also the
   /// interval between peer heartbeats.
   double leader_lease_s() const { return tuning.leader_lease * lease_s; }
-  double renew_s() const { return tuning.renew * leader_lease_s(); }
+  double leader_renewal_interval_s() const { return tuning.renew * leader_lease_s(); }
   /// Whether a worker in a partitioned zone reaches a node of its own zone before its lease
   /// expires, even if it tries all nodes of other zones first and each attempt times out. If not,
   /// lease delegation can't keep the zone's tasks running and would only delay the leader.
-  bool finds_delegated_responder(const std::string& of_zone) const;
+  bool delegate_reachable_within_lease(const std::string& of_zone) const;
   /// The time without a heartbeat from the leader after which a delegate responds to workers in the
   /// leader's place.
-  double delegation_after_s() const { return 2.5 * renew_s(); }
+  double delegate_takeover_s() const { return 2.5 * leader_renewal_interval_s(); }
 };
 
 /// Parses and validates the platform's settings; throws SettingsError. Unknown fields are ignored.
--- a/src/config/settings_error.cpp
+++ b/src/config/settings_error.cpp
@@ -6,7 +6,8 @@
 
 namespace sumacquay {
 
-void refuse_setting(const std::string& source, const std::string& field, const std::string& why) {
+void throw_setting_error(const std::string& source, const std::string& field,
+                         const std::string& why) {
   throw SettingsError(source + ": " + field + ": " + why);
 }
 
@@ -15,7 +16,7 @@
   if (std::isfinite(value) && value >= range.min && value <= range.max) return;
   std::ostringstream why;
   why << "must be from " << range.min << " to " << range.max;
-  refuse_setting(source, field, why.str());
+  throw_setting_error(source, field, why.str());
 }
 
 std::string read_settings_file(const std::string& path) {
--- a/src/config/settings_error.h
+++ b/src/config/settings_error.h
@@ -18,8 +18,8 @@
 };
 
 /// Throws a SettingsError for a field. `source` is the file name.
-[[noreturn]] void refuse_setting(const std::string& source, const std::string& field,
-                                 const std::string& why);
+[[noreturn]] void throw_setting_error(const std::string& source, const std::string& field,
+                                      const std::string& why);
 
 /// Throws SettingsError unless the value is finite and in the range.
 void check_range(const std::string& source, const std::string& field, double value,
--- a/src/config/socket_budget.cpp
+++ b/src/config/socket_budget.cpp
@@ -40,7 +40,7 @@
   using namespace fixed_sockets;
   const size_t state = kUrgentStateConnections + kStateConnections + kWatchConnections;
   const size_t per_peer = kClientConnectionsPerPeer + kServerConnectionsPerPeer;
-  return state + kCloudConnections + peers * per_peer + kServerConnectionsSpare + kOfTheProcess;
+  return state + kCloudConnections + peers * per_peer + kSpareServerConnections + kProcessSockets;
 }
 
 size_t all_sockets(const Settings& settings) {
@@ -62,31 +62,32 @@
   budget.fixed = fixed_socket_count(settings.peers.size());
   budget.worker_commands = share_of(all_sockets(settings), kCommandShare, kMinCommandConnections);
   budget.served_and_refused = user_and_worker_sockets(settings, budget);
-  budget.refusals = share_of(budget.served_and_refused, kRefusalShare, kMinRefusals);
-  const size_t served = remaining(budget.served_and_refused, budget.refusals);
-  budget.kept_open = remaining(served, share_of(served, kTurnoverShare, kMinTurnover));
-  budget.users_in_progress = share_of(served, kUserShare, 1);
+  budget.reserved_refusal_connections =
+      share_of(budget.served_and_refused, kRefusalShare, kMinRefusals);
+  const size_t served = remaining(budget.served_and_refused, budget.reserved_refusal_connections);
+  budget.max_kept_alive = remaining(served, share_of(served, kTurnoverShare, kMinTurnover));
+  budget.max_user_requests = share_of(served, kUserShare, 1);
   return budget;
 }
 
-void check_sockets(const Settings& settings, const std::string& source) {
+void check_socket_budget(const Settings& settings, const std::string& source) {
   const SocketBudget budget = socket_budget(settings);
   if (budget.served_and_refused >= kMinServed) return;
-  refuse_setting(source, kSocketLimitField,
-                 "too few: " + std::to_string(settings.peers.size()) +
-                     " peers, the state service and the cloud need " +
-                     std::to_string(budget.fixed) + " and worker commands " +
-                     std::to_string(budget.worker_commands) + ", which leaves fewer than " +
-                     std::to_string(kMinServed) + " for users and workers");
+  throw_setting_error(source, kSocketLimitField,
+                      "too few: " + std::to_string(settings.peers.size()) +
+                          " peers, the state service and the cloud need " +
+                          std::to_string(budget.fixed) + " and worker commands " +
+                          std::to_string(budget.worker_commands) + ", which leaves fewer than " +
+                          std::to_string(kMinServed) + " for users and workers");
 }
 
-std::optional<std::string> cost_of_few_sockets(const Settings& settings) {
+std::optional<std::string> low_socket_warning(const Settings& settings) {
   const SocketBudget budget = socket_budget(settings);
   const size_t configured = share_of(all_sockets(settings), settings.tuning.sockets, kMinServed);
   if (budget.served_and_refused >= configured) return std::nullopt;
   return std::string(kSocketLimitField) + ": " + std::to_string(all_sockets(settings)) +
          " sockets are few for " + std::to_string(settings.peers.size()) + " peers: beyond " +
-         std::to_string(budget.kept_open) +
+         std::to_string(budget.max_kept_alive) +
          " open connections, users and workers must reconnect for each request";
 }
 
--- a/src/config/socket_budget.h
+++ b/src/config/socket_budget.h
@@ -18,20 +18,20 @@
 inline constexpr size_t kClientConnectionsPerPeer = 2;
 inline constexpr size_t kServerConnectionsPerPeer = 4;
 /// For clients that connect to the address for peers by mistake.
-inline constexpr size_t kServerConnectionsSpare = 8;
+inline constexpr size_t kSpareServerConnections = 8;
 /// Two listening sockets, the standard streams, and the event loop's descriptors.
-inline constexpr size_t kOfTheProcess = 8;
+inline constexpr size_t kProcessSockets = 8;
 }  // namespace fixed_sockets
 
-/// The numbers of sockets for each purpose on one node. `kept_open` and `refusals` are parts of
-/// `served_and_refused`.
+/// The numbers of sockets for each purpose on one node. `max_kept_alive` and
+/// `reserved_refusal_connections` are parts of `served_and_refused`.
 struct SocketBudget {
   size_t fixed = 0;               ///< for the key-value store, the cloud, the peers and the process
   size_t served_and_refused = 0;  ///< connections of users and workers
-  size_t refusals = 0;            ///< of these, only for rejecting requests
-  size_t kept_open = 0;           ///< of these, kept alive between requests
-  size_t users_in_progress = 0;   ///< users' requests being handled at a time
-  size_t worker_commands = 0;     ///< connections to workers
+  size_t reserved_refusal_connections = 0;  ///< of these, only for rejecting requests
+  size_t max_kept_alive = 0;                ///< of these, kept alive between requests
+  size_t max_user_requests = 0;             ///< users' requests being handled at a time
+  size_t worker_commands = 0;               ///< connections to workers
 };
 
 /// Allocates `settings.max_sockets`.
@@ -39,10 +39,10 @@
 
 /// Throws SettingsError if the sockets do not suffice for a handful of workers. `source` is the
 /// file name for the error message.
-void check_sockets(const Settings& settings, const std::string& source);
+void check_socket_budget(const Settings& settings, const std::string& source);
 
 /// A warning for operators if the sockets suffice, but leave fewer connections for users and
 /// workers than Tuning::sockets asks for. Empty if there is nothing to warn about.
-std::optional<std::string> cost_of_few_sockets(const Settings& settings);
+std::optional<std::string> low_socket_warning(const Settings& settings);
 
 }  // namespace sumacquay
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -31,23 +31,23 @@
   for (size_t i = 0; i < list->size(); ++i) {
     const std::string path = path_of(name) + "[" + std::to_string(i) + "]";
     const toml::table* table = (*list)[i].as_table();
-    if (!table) refuse_setting(source_, path, "must be a table");
+    if (!table) throw_setting_error(source_, path, "must be a table");
     tables.emplace_back(source_, path, table);
   }
   return tables;
 }
 
-std::string TomlTable::text(const char* name) const {
+std::string TomlTable::string(const char* name) const {
   const auto* value = table_->get_as<std::string>(name);
   if (!value || value->get().empty()) throw_field_error(name, "must be a text that is not empty");
   return value->get();
 }
 
-std::string TomlTable::text_or(const char* name, const std::string& fallback) const {
-  return table_->contains(name) ? text(name) : fallback;
+std::string TomlTable::string_or(const char* name, const std::string& fallback) const {
+  return table_->contains(name) ? string(name) : fallback;
 }
 
-std::vector<std::string> TomlTable::texts(const char* name) const {
+std::vector<std::string> TomlTable::strings(const char* name) const {
   std::vector<std::string> texts;
   const toml::array* list = table_->get_as<toml::array>(name);
   if (!list) throw_field_error(name, "must be a list of texts");
@@ -74,7 +74,7 @@
 Endpoint TomlTable::endpoint(const char* name) const {
   constexpr const char* kExpected = "must be address:port";
   constexpr unsigned kMaxPort = 65535;
-  const std::string value = text(name);
+  const std::string value = string(name);
   const auto colon = value.rfind(':');
   if (colon == std::string::npos || colon == 0) throw_field_error(name, kExpected);
   unsigned port = 0;
@@ -90,7 +90,7 @@
 }
 
 void TomlTable::throw_field_error(const char* name, const std::string& why) const {
-  refuse_setting(source_, path_of(name), why);
+  throw_setting_error(source_, path_of(name), why);
 }
 
 }  // namespace sumacquay
--- a/src/config/toml_table.h
+++ b/src/config/toml_table.h
@@ -28,11 +28,11 @@
   std::vector<TomlTable> children(const char* name) const;
 
   /// A required, non-empty string.
-  std::string text(const char* name) const;
+  std::string string(const char* name) const;
   /// An optional, non-empty string; `fallback` if it is missing.
-  std::string text_or(const char* name, const std::string& fallback) const;
+  std::string string_or(const char* name, const std::string& fallback) const;
   /// A required array of strings.
-  std::vector<std::string> texts(const char* name) const;
+  std::vector<std::string> strings(const char* name) const;
 
   /// A required number in the range.
   double number(const char* name, SettingRange range) const;
--- a/src/config/tuning.h
+++ b/src/config/tuning.h
@@ -9,7 +9,7 @@
 struct Tuning {
   double leader_lease = 0.2;  ///< leader lease, as a fraction of the worker lease
   double renew = 0.3;         ///< renewal interval, as a fraction of the leader lease
-  double grace = 1.0;         ///< Settings::answers_s, as a fraction of its safe maximum
+  double grace = 1.0;         ///< Settings::answer_grace_s, as a fraction of its safe maximum
   double round = 0.1;         ///< interval of placement rounds, in heartbeat periods
   double suspect = 0.45;      ///< time without heartbeats after which a machine is
                               ///< suspected to have failed, as a fraction of the worker lease
--- a/src/dispatch/failure_detector.cpp
+++ b/src/dispatch/failure_detector.cpp
@@ -46,7 +46,7 @@
     : state_(state),
       attempts_(attempts),
       failures_(failures),
-      delegations_(state.term(), state.settings().delegation_after_s()),
+      delegations_(state.term(), state.settings().delegate_takeover_s()),
       previous_leader_fenced_at_(previous_leader_fenced_at),
       last_event_at_(now),
       observing_since_(now) {}
--- a/src/dispatch/job_state.h
+++ b/src/dispatch/job_state.h
@@ -60,7 +60,7 @@
   /// Whether the record can cover another host: it has room, or it already covers every machine.
   /// Otherwise no task of the job can be started.
   bool can_record_host() const {
-    return record_capacity.any() || (stored.started && !stored.hosts);
+    return record_capacity.has_space() || (stored.started && !stored.hosts);
   }
   /// Whether the job is pending and has tasks that are not done.
   bool runnable() const { return stored.state == JobState::Pending && !complete(); }
--- a/src/dispatch/record_ingestion.cpp
+++ b/src/dispatch/record_ingestion.cpp
@@ -52,7 +52,7 @@
   state_.inherit_priority(job);
   count_arrival(state_, context_.arrivals, job);
   job.record_capacity = wire::record_capacity(record, state_.settings().state_value_bytes());
-  if (!job.record_capacity.any())
+  if (!job.record_capacity.has_space())
     log_error("job_description_too_large", log_field("job", record.spec.id));
   log_debug("job_arrived", log_field("job", record.spec.id), log_field("count", record.spec.tasks),
             log_field("class", record.spec.job_class));
--- a/src/dispatch/record_planner.cpp
+++ b/src/dispatch/record_planner.cpp
@@ -136,7 +136,7 @@
   RecordWrite write = write_for(job, now);
   job.write_in_flight = true;
   intersect_hosts_in_all_writes(job, write.record->hosts);
-  const size_t bytes = write.finished ? 0 : job.record_capacity.taken_by(*write.record);
+  const size_t bytes = write.finished ? 0 : job.record_capacity.size_bound(*write.record);
   batch.add(std::move(write), bytes);
 }
 
@@ -181,7 +181,7 @@
     if (machine && !machine->reconciled) hosts.insert(id);
   }
   std::vector<std::string> sorted(hosts.begin(), hosts.end());
-  if (!job.record_capacity.holds(sorted)) return std::nullopt;
+  if (!job.record_capacity.fits_hosts(sorted)) return std::nullopt;
   return sorted;
 }
 
--- a/src/dispatch/record_queue.cpp
+++ b/src/dispatch/record_queue.cpp
@@ -8,7 +8,7 @@
   const bool ended = !pending || job.complete();
   // The record predates the size limits and cannot be rewritten, but the job can still be moved to
   // the finished records.
-  if (!job.record_capacity.any() && !(ended && state_.absent_everywhere(job)))
+  if (!job.record_capacity.has_space() && !(ended && state_.absent_everywhere(job)))
     return WritePriority::None;
   if ((job.start_record_requested && !job.stored.started) || job.hosts_record_requested)
     return WritePriority::Start;
@@ -31,7 +31,7 @@
 }
 
 TaskRangeSet RecordQueue::done_for_record(const Job& job) {
-  return job.done.subset_of_ranges(job.record_capacity.spans, job.stored.done);
+  return job.done.subset_of_ranges(job.record_capacity.max_done_ranges, job.stored.done);
 }
 
 void RecordQueue::enqueue_machine(const Machine& machine) {
--- a/src/frontend/cancellation_handler.cpp
+++ b/src/frontend/cancellation_handler.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 HttpReply final_state_reply(const std::string& id, JobState state) {
-  return {200, wire::job_answer(id, user_visible_state(state, 0)), 0};
+  return {200, wire::job_state_body(id, user_visible_state(state, 0)), 0};
 }
 
 }  // namespace
@@ -16,7 +16,7 @@
 void CancellationHandler::attempt_cancel(const std::string& id, int retries,
                                          const Respond& respond) {
   lookup_.look_up(id, [this, id, retries, respond](const JobLookupResult& job) {
-    if (!job.found()) return respond(not_found_reply(job));
+    if (!job.found()) return respond(failed_lookup_reply(job));
     if (job.live_record == nullptr || job.state != JobState::Pending)
       return respond(final_state_reply(id, job.state));
     write_cancelled(*job.live_record, retries, respond);
@@ -25,7 +25,7 @@
 
 void CancellationHandler::write_cancelled(const Versioned<JobRecord>& record, int retries,
                                           const Respond& respond) {
-  JobRecord cancelled = wire::fitting_record(record.value, settings_.state_value_bytes());
+  JobRecord cancelled = wire::truncated_record(record.value, settings_.state_value_bytes());
   cancelled.state = JobState::Cancelled;
   const std::string key = keys::kLive + cancelled.spec.id;
   store_.compare_and_swap(RequestPriority::Record, {{key, record.version}},
@@ -40,7 +40,7 @@
   constexpr int kMaxRetries = 4;
   const std::string& id = cancelled.spec.id;
   if (result.outcome == TransactionOutcome::Committed) {
-    record_cache_.wrote_job(cancelled, result.revision);
+    record_cache_.on_job_written(cancelled, result.revision);
     return respond(final_state_reply(id, JobState::Cancelled));
   }
   // The leader changed the record after the look-up: look up the new version and retry.
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -25,18 +25,18 @@
 }  // namespace
 
 Frontend::Frontend(const Settings& settings, size_t max_in_progress, KeyValueStoreClient& store,
-                   RecordCache& record_cache, Sources sources)
-    : sources_(std::move(sources)),
+                   RecordCache& record_cache, Callbacks callbacks)
+    : callbacks_(std::move(callbacks)),
       lookup_(store, record_cache),
-      submissions_(settings, store, record_cache, lookup_, sources_),
-      queries_(lookup_, sources_),
+      submissions_(settings, store, record_cache, lookup_, callbacks_),
+      queries_(lookup_, callbacks_),
       cancellations_(settings, store, record_cache, lookup_),
       limit_(kMinLimitFraction * static_cast<double>(max_in_progress),
              static_cast<double>(max_in_progress)) {}
 
 bool Frontend::handle(const HttpRequest& request, Respond respond) {
   if (!is_user_path(request.path)) return false;
-  if (limit_.enter())
+  if (limit_.try_acquire())
     route(request, release_limit_on_response(std::move(respond)));
   else
     respond(unavailable_reply(429));
@@ -67,7 +67,7 @@
   const auto started_at = std::chrono::steady_clock::now();
   return [this, started_at, respond = std::move(respond)](HttpReply reply) {
     const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - started_at;
-    limit_.leave(elapsed.count());
+    limit_.release(elapsed.count());
     respond(std::move(reply));
   };
 }
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -3,7 +3,7 @@
 
 #include "config/settings.h"
 #include "frontend/cancellation_handler.h"
-#include "frontend/frontend_sources.h"
+#include "frontend/frontend_callbacks.h"
 #include "frontend/job_lookup.h"
 #include "frontend/query_handler.h"
 #include "frontend/submission_handler.h"
@@ -19,12 +19,12 @@
 /// Called by the node; must not depend on the leader's scheduling decisions.
 class Frontend {
  public:
-  using Sources = FrontendSources;
+  using Callbacks = FrontendCallbacks;
 
   /// Keeps references to the settings, the store and the cache, which must outlive it.
   /// `max_in_progress` is the maximum number of user requests handled concurrently.
   Frontend(const Settings& settings, size_t max_in_progress, KeyValueStoreClient& store,
-           RecordCache& record_cache, Sources sources);
+           RecordCache& record_cache, Callbacks callbacks);
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
 
@@ -42,7 +42,7 @@
   /// the request's latency to the limit.
   Respond release_limit_on_response(Respond respond);
 
-  Sources sources_;
+  Callbacks callbacks_;
   JobLookup lookup_;
   SubmissionHandler submissions_;
   QueryHandler queries_;
--- a/src/frontend/job_lookup.cpp
+++ b/src/frontend/job_lookup.cpp
@@ -16,7 +16,7 @@
 
 void JobLookup::look_up(const std::string& id, const Callback& callback) {
   // The state of a finished job is final, so a cached result needs no read barrier.
-  if (const auto* finished = record_cache_.finished(id))
+  if (const auto* finished = record_cache_.finished_job(id))
     return callback(finished_result(*finished));
   record_cache_.read_barrier([this, id, callback](bool fresh) {
     if (!fresh) return callback({});
@@ -25,8 +25,8 @@
 }
 
 void JobLookup::look_up_in_fresh_cache(const std::string& id, const Callback& callback) {
-  if (const auto* live = record_cache_.live(id)) return callback(live_result(*live));
-  if (const auto* finished = record_cache_.finished(id))
+  if (const auto* live = record_cache_.live_job(id)) return callback(live_result(*live));
+  if (const auto* finished = record_cache_.finished_job(id))
     return callback(finished_result(*finished));
   // A job moves from the live records to the finished ones and never back, so reading the finished
   // records last finds a job that moves during the look-up.
@@ -39,9 +39,9 @@
 void JobLookup::on_finished_record_read(const std::string& id, const HttpResult& response,
                                         const Callback& callback) {
   // This node may have accepted and acknowledged the job since the look-up began.
-  if (const auto* live = record_cache_.live(id)) return callback(live_result(*live));
+  if (const auto* live = record_cache_.live_job(id)) return callback(live_result(*live));
   if (response.answered && response.status == 404)
-    return callback({Outcome::Unknown, JobState::Pending, 0, nullptr});
+    return callback({Outcome::NotFound, JobState::Pending, 0, nullptr});
   const auto page = response.ok() ? wire::parse_item(response.body) : std::nullopt;
   const auto record = page ? wire::decode_finished(page->items[0].value) : std::nullopt;
   if (!record) return callback({});
@@ -50,8 +50,8 @@
 }
 
 std::optional<JobState> JobLookup::cached_state(const std::string& id) const {
-  if (const auto* live = record_cache_.live(id)) return effective_state(live->value);
-  if (const auto* finished = record_cache_.finished(id)) return finished->state;
+  if (const auto* live = record_cache_.live_job(id)) return effective_state(live->value);
+  if (const auto* finished = record_cache_.finished_job(id)) return finished->state;
   return std::nullopt;
 }
 
--- a/src/frontend/job_lookup.h
+++ b/src/frontend/job_lookup.h
@@ -19,7 +19,7 @@
   enum class Outcome {
     Live,        ///< the job has a live record
     Finished,    ///< the job has ended, and its live record is deleted
-    Unknown,     ///< no job with this id was ever accepted
+    NotFound,    ///< no job with this id was ever accepted
     Unavailable  ///< no sufficiently recent data can be read now; the user has to retry
   };
 
--- a/src/frontend/query_handler.h
+++ b/src/frontend/query_handler.h
@@ -1,7 +1,7 @@
 #pragma once
 #include <string>
 
-#include "frontend/frontend_sources.h"
+#include "frontend/frontend_callbacks.h"
 #include "frontend/job_lookup.h"
 #include "net/http_server.h"
 
@@ -11,8 +11,8 @@
 class QueryHandler {
  public:
   /// Keeps references to its arguments, which must outlive it.
-  QueryHandler(JobLookup& lookup, const FrontendSources& sources)
-      : lookup_(lookup), sources_(sources) {}
+  QueryHandler(JobLookup& lookup, const FrontendCallbacks& callbacks)
+      : lookup_(lookup), callbacks_(callbacks) {}
 
   /// Responds 200 with the job's state, 404 if the job does not exist, or 503 if its state cannot
   /// be read now.
@@ -20,7 +20,7 @@
 
  private:
   JobLookup& lookup_;
-  const FrontendSources& sources_;
+  const FrontendCallbacks& callbacks_;
 };
 
 }  // namespace sumacquay
--- a/src/frontend/submission_handler.cpp
+++ b/src/frontend/submission_handler.cpp
@@ -18,7 +18,7 @@
 constexpr double kMaxDescriptionAndDependenciesFraction = 0.9;
 
 HttpReply accepted_reply(const std::string& id, JobState state) {
-  return {201, wire::job_answer(id, user_visible_state(state, 0)), 0};
+  return {201, wire::job_state_body(id, user_visible_state(state, 0)), 0};
 }
 
 }  // namespace
@@ -30,15 +30,16 @@
   if (!parsed.spec)
     return respond_existing_job(parsed.id, refusal_reply(400, parsed.error), respond);
   const JobSpec& spec = *parsed.spec;
-  if (sources_.types().empty() || lookup_.cached_state(spec.id))
+  if (callbacks_.machine_types().empty() || lookup_.cached_state(spec.id))
     return respond_existing_job(spec.id, unavailable_reply(), respond);
-  const auto reason = unschedulable_reason(spec, sources_.types(), settings_.team(spec.team));
+  const auto reason =
+      unschedulable_reason(spec, callbacks_.machine_types(), settings_.team(spec.team));
   if (!reason.empty()) return respond_existing_job(spec.id, refusal_reply(422, reason), respond);
   if (!record_cache_.loaded()) return respond(unavailable_reply());
   auto submission = std::make_shared<Submission>();
   submission->record.spec = spec;
   submission->record.spec.dependencies.clear();
-  submission->record.submitted_ms = sources_.time_of_day_ms();
+  submission->record.submitted_ms = callbacks_.unix_time_ms();
   submission->unchecked_dependencies = spec.dependencies;
   check_dependencies(submission, respond);
 }
@@ -61,7 +62,7 @@
                   [this, submission, respond](const JobLookupResult& dependency) {
                     if (dependency.outcome == Outcome::Unavailable)
                       return respond(unavailable_reply());
-                    if (dependency.outcome == Outcome::Unknown)
+                    if (dependency.outcome == Outcome::NotFound)
                       return respond_existing_job(
                           submission->record.spec.id,
                           refusal_reply(422, "depends on a job that was never accepted"), respond);
@@ -106,7 +107,7 @@
                                    const Respond& respond) {
   switch (result.outcome) {
     case TransactionOutcome::Committed:
-      record_cache_.wrote_job(record, result.revision);
+      record_cache_.on_job_written(record, result.revision);
       return respond_accepted(record, respond);
     case TransactionOutcome::PreconditionFailed:
       return respond_existing_job(record.spec.id, unavailable_reply(), respond);
@@ -131,9 +132,9 @@
                                              const Respond& respond) {
   lookup_.look_up(id, [this, id, if_not_found, respond](const JobLookupResult& job) {
     if (job.outcome == Outcome::Unavailable) return respond(unavailable_reply());
-    if (job.outcome == Outcome::Unknown) return respond(if_not_found);
-    const uint32_t running = job.outcome == Outcome::Live ? sources_.counts(id).running : 0;
-    respond({200, wire::job_answer(id, user_visible_state(job.state, running)), 0});
+    if (job.outcome == Outcome::NotFound) return respond(if_not_found);
+    const uint32_t running = job.outcome == Outcome::Live ? callbacks_.job_progress(id).running : 0;
+    respond({200, wire::job_state_body(id, user_visible_state(job.state, running)), 0});
   });
 }
 
--- a/src/frontend/submission_handler.h
+++ b/src/frontend/submission_handler.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "frontend/frontend_sources.h"
+#include "frontend/frontend_callbacks.h"
 #include "frontend/job_lookup.h"
 #include "net/http_server.h"
 #include "store/key_value_store_client.h"
@@ -23,12 +23,12 @@
  public:
   /// Refers to its arguments, which outlive it.
   SubmissionHandler(const Settings& settings, KeyValueStoreClient& store, RecordCache& record_cache,
-                    JobLookup& lookup, const FrontendSources& sources)
+                    JobLookup& lookup, const FrontendCallbacks& callbacks)
       : settings_(settings),
         store_(store),
         record_cache_(record_cache),
         lookup_(lookup),
-        sources_(sources) {}
+        callbacks_(callbacks) {}
 
   /// Responds 201 if the job is accepted, 200 if it was accepted before, 400 if the submission is
   /// malformed or too large, 422 if the job can never run or depends on a job that was never
@@ -61,7 +61,7 @@
   KeyValueStoreClient& store_;
   RecordCache& record_cache_;
   JobLookup& lookup_;
-  const FrontendSources& sources_;
+  const FrontendCallbacks& callbacks_;
 };
 
 }  // namespace sumacquay
--- a/src/frontend/user_replies.cpp
+++ b/src/frontend/user_replies.cpp
@@ -13,8 +13,8 @@
   return {status, wire::error_body("try again later"), kRetryAfterSeconds};
 }
 
-HttpReply not_found_reply(const JobLookupResult& job) {
-  const bool unknown = job.outcome == JobLookupResult::Outcome::Unknown;
+HttpReply failed_lookup_reply(const JobLookupResult& job) {
+  const bool unknown = job.outcome == JobLookupResult::Outcome::NotFound;
   return unknown ? refusal_reply(404, "no such job") : unavailable_reply();
 }
 
--- a/src/frontend/user_replies.h
+++ b/src/frontend/user_replies.h
@@ -20,7 +20,7 @@
 
 /// Reply to a request for a job that the look-up did not find: 404 if the job does not exist, 503
 /// if the look-up failed.
-HttpReply not_found_reply(const JobLookupResult& job);
+HttpReply failed_lookup_reply(const JobLookupResult& job);
 
 /// State of a job as shown to users. `running` is the last known number of its running tasks.
 wire::UserVisibleState user_visible_state(JobState state, uint32_t running);
--- a/src/loadtest/controller_settings.cpp
+++ b/src/loadtest/controller_settings.cpp
@@ -57,15 +57,15 @@
   std::ostringstream out;
   out << "label = \"" << controller_name(controller) << "\"\n"
       << "area = \"" << zone_name(controller % zones) << "\"\n"
-      << "listen = \"" << addresses.controllers[controller].text() << "\"\n"
-      << "back = \"" << addresses.peers[controller].text() << "\"\n";
+      << "listen = \"" << addresses.controllers[controller].to_string() << "\"\n"
+      << "back = \"" << addresses.peers[controller].to_string() << "\"\n";
   for (size_t peer = 0; peer < addresses.peers.size(); ++peer)
     if (peer != controller)
       out << "[[known]]\nlabel = \"" << controller_name(peer) << "\"\narea = \""
-          << zone_name(peer % zones) << "\"\npeer_addr = \"" << addresses.peers[peer].text()
+          << zone_name(peer % zones) << "\"\npeer_addr = \"" << addresses.peers[peer].to_string()
           << "\"\n";
-  out << "[services]\ncloud = \"" << addresses.cloud.text() << "\"\nstate = \""
-      << addresses.state.text() << "\"\n[params]\nzones = [";
+  out << "[services]\ncloud = \"" << addresses.cloud.to_string() << "\"\nstate = \""
+      << addresses.state.to_string() << "\"\n[params]\nzones = [";
   for (size_t zone = 0; zone < zones; ++zone)
     out << (zone ? ", " : "") << '"' << zone_name(zone) << '"';
   out << "]\n";
--- a/src/loadtest/fit.cpp
+++ b/src/loadtest/fit.cpp
@@ -54,7 +54,7 @@
   for (const auto& name : report_columns())
     for (const auto& column : columns()) {
       if (name != column.name) continue;
-      const PowerFit fit = fit_column(rows, quantity, column);
+      const PowerLawFit fit = fit_column(rows, quantity, column);
       if (fit.points < 2) continue;
       out << "| " << name << " | " << fit.exponent << " | " << fit.tail_exponent << " | "
           << fit.residual << " | " << fit.points << " |\n";
@@ -63,13 +63,13 @@
 
 }  // namespace
 
-double PowerFit::at(double x) const {
+double PowerLawFit::evaluate(double x) const {
   return factor * std::pow(x, exponent);
 }
 
-PowerFit fit_power(const std::vector<double>& x, const std::vector<double>& y) {
+PowerLawFit fit_power_law(const std::vector<double>& x, const std::vector<double>& y) {
   const auto points = log_points(x, y);
-  PowerFit fit;
+  PowerLawFit fit;
   fit.points = points.size();
   if (points.size() < 2) return fit;
   const auto count = static_cast<double>(points.size());
@@ -89,7 +89,7 @@
   fit.factor = std::exp(mean.y - fit.exponent * mean.x);
   double squares = 0;
   for (const auto& point : points) {
-    const double deviation = point.y - std::log(fit.at(std::exp(point.x)));
+    const double deviation = point.y - std::log(fit.evaluate(std::exp(point.x)));
     squares += deviation * deviation;
   }
   fit.residual = std::sqrt(squares / count);
@@ -99,8 +99,8 @@
   return fit;
 }
 
-PowerFit fit_column(const std::vector<Measurement>& rows, const std::string& quantity,
-                    const Column& column) {
+PowerLawFit fit_column(const std::vector<Measurement>& rows, const std::string& quantity,
+                       const Column& column) {
   std::vector<double> x;
   std::vector<double> y;
   for (const auto& row : rows) {
@@ -108,10 +108,10 @@
     x.push_back(row.value);
     y.push_back(row.*column.field);
   }
-  return fit_power(x, y);
+  return fit_power_law(x, y);
 }
 
-std::string fit_table(const std::vector<Measurement>& rows) {
+std::string format_report(const std::vector<Measurement>& rows) {
   std::set<std::string> quantities;
   for (const auto& row : rows) quantities.insert(row.quantity);
   std::ostringstream out;
--- a/src/loadtest/fit.h
+++ b/src/loadtest/fit.h
@@ -7,7 +7,7 @@
 namespace sumacquay::loadtest {
 
 /// Power-law fit y = factor * x^exponent by least squares on the logarithms.
-struct PowerFit {
+struct PowerLawFit {
   double factor = 0;
   double exponent = 0;
   double residual = 0;  ///< root mean square of the residuals of the logarithms
@@ -15,18 +15,18 @@
   double tail_exponent = 0;
   size_t points = 0;
 
-  double at(double x) const;
+  double evaluate(double x) const;
 };
 
 /// Fits the points with positive coordinates, in ascending order of x. With fewer than two of them
 /// only `points` is set.
-PowerFit fit_power(const std::vector<double>& x, const std::vector<double>& y);
+PowerLawFit fit_power_law(const std::vector<double>& x, const std::vector<double>& y);
 
 /// The fit of one column to the rows of one quantity.
-PowerFit fit_column(const std::vector<Measurement>& rows, const std::string& quantity,
-                    const Column& column);
+PowerLawFit fit_column(const std::vector<Measurement>& rows, const std::string& quantity,
+                       const Column& column);
 
 /// Markdown tables for each quantity: the measurements, and the fits of the reported columns.
-std::string fit_table(const std::vector<Measurement>& rows);
+std::string format_report(const std::vector<Measurement>& rows);
 
 }  // namespace sumacquay::loadtest
--- a/src/loadtest/load_settings.cpp
+++ b/src/loadtest/load_settings.cpp
@@ -57,29 +57,29 @@
           {"first_port", &settings.first_port, {1024, 60000}, true}};
 }
 
-LoadSettings load_settings_file(const std::string& path) {
+LoadSettings read_load_settings(const std::string& path) {
   LoadSettings settings;
   read_numbers(read_settings_file(path), path, fields_of(settings));
   return settings;
 }
 
-void check_fits_this_machine(const LoadSettings& settings, const std::string& source) {
+void check_host_capacity(const LoadSettings& settings, const std::string& source) {
   const double memory_bytes =
       static_cast<double>(sysconf(_SC_PHYS_PAGES)) * static_cast<double>(sysconf(_SC_PAGE_SIZE));
   const double needed_bytes = settings.machines * kBytesPerMachine +
                               static_cast<double>(settings.tasks()) * kBytesPerTask +
                               settings.controllers * kBytesPerController;
   if (needed_bytes > kMaxMemoryFraction * memory_bytes)
-    refuse_setting(source, "machines", "needs more than half of this machine's memory");
+    throw_setting_error(source, "machines", "needs more than half of this machine's memory");
   rlimit socket_limit{};
   getrlimit(RLIMIT_NOFILE, &socket_limit);
   const auto max_sockets = static_cast<double>(socket_limit.rlim_cur);
   if (settings.machines * settings.worker_sockets_per_machine + kSpareSockets > max_sockets)
-    refuse_setting(source, "machines",
-                   "needs more sockets than this process's open-file limit allows");
+    throw_setting_error(source, "machines",
+                        "needs more sockets than this process's open-file limit allows");
   if (settings.controller_sockets + kSpareSockets > max_sockets)
-    refuse_setting(source, "controller_sockets",
-                   "is more than this process's open-file limit allows");
+    throw_setting_error(source, "controller_sockets",
+                        "is more than this process's open-file limit allows");
 }
 
 }  // namespace sumacquay::loadtest
--- a/src/loadtest/load_settings.h
+++ b/src/loadtest/load_settings.h
@@ -53,10 +53,10 @@
 std::vector<NumberField> fields_of(LoadSettings& settings);
 
 /// Reads a settings file; throws SettingsError if it is invalid.
-LoadSettings load_settings_file(const std::string& path);
+LoadSettings read_load_settings(const std::string& path);
 
 /// Throws SettingsError, which names the field, if the deployment needs more than half of this
 /// machine's memory or more sockets than a process may open.
-void check_fits_this_machine(const LoadSettings& settings, const std::string& source);
+void check_host_capacity(const LoadSettings& settings, const std::string& source);
 
 }  // namespace sumacquay::loadtest
--- a/src/loadtest/load_test.cpp
+++ b/src/loadtest/load_test.cpp
@@ -33,7 +33,8 @@
 }
 
 simulators::WorkerContext worker_context(asio::io_context& io, const LoadSettings& settings,
-                                         const Addresses& addresses, simulators::JobBook& jobs,
+                                         const Addresses& addresses,
+                                         simulators::SubmittedJobs& jobs,
                                          simulators::RuleChecker& checker) {
   std::vector<std::string> names;
   for (size_t i = 0; i < addresses.controllers.size(); ++i) names.push_back(controller_name(i));
@@ -70,10 +71,10 @@
       workload_(settings_),
       urgent_timer_(io_) {
   context_.task_running = [this](const std::string& job) { on_task_running(job); };
-  simulators::StateServerOptions state;
+  simulators::KeyValueStoreServerOptions state;
   state.requests_per_s = settings.state_rps;
   state.writes_per_s = settings.state_write_rps;
-  state_ = std::make_unique<simulators::StateServer>(io_, addresses_.state, state);
+  state_ = std::make_unique<simulators::KeyValueStoreServer>(io_, addresses_.state, state);
   simulators::CloudOptions cloud;
   cloud.types = {machine_type(settings)};
   cloud.requests_per_s = settings.cloud_rps;
@@ -141,7 +142,7 @@
 }
 
 void LoadTest::fill_fleet(Measurement& measurement) {
-  const auto jobs = workload_.filling();
+  const auto jobs = workload_.initial_jobs();
   const Seconds started_at = steady_now();
   const size_t leader = find_leader().value_or(0);
   const double cpu_before = controllers_[leader].usage().cpu_s;
@@ -204,7 +205,7 @@
   measurement.urgent_p50_s = start_times.quantile(kMedian);
   measurement.urgent_p90_s = start_times.quantile(kNinetiethPercentile);
   measurement.urgent_p99_s = start_times.quantile(kNinetyNinthPercentile);
-  measurement.urgent_worst_s = start_times.largest();
+  measurement.urgent_worst_s = start_times.max();
 }
 
 // ---------------------------------------------------------------- measurement
@@ -277,7 +278,7 @@
     measurement.accept_p99_s = accept_times_.quantile(kNinetyNinthPercentile);
   measurement.state_keys = static_cast<double>(state_->keys());
   measurement.leases_lost = static_cast<double>(context_.counts.leases_lost);
-  checker_.check_cancelled(steady_now());
+  checker_.check_cancelled_jobs(steady_now());
   measurement.violations = static_cast<double>(checker_.violations().size());
   spdlog::info(
       "{}: leader {:.3f} cores, {:.0f} MB; urgent jobs start p50 {:.2f} s, p99 {:.2f} s; {} rule "
--- a/src/loadtest/load_test.h
+++ b/src/loadtest/load_test.h
@@ -13,7 +13,7 @@
 #include "loadtest/quantiles.h"
 #include "loadtest/workload.h"
 #include "simulators/cloud_server.h"
-#include "simulators/state_server.h"
+#include "simulators/key_value_store_server.h"
 #include "simulators/users.h"
 
 namespace sumacquay::loadtest {
@@ -46,7 +46,7 @@
     std::vector<ProcessUsage> controllers;
     ProcessUsage this_process;
     simulators::WorkerCounts workers;
-    simulators::StateServerCounts state;
+    simulators::KeyValueStoreServerCounts state;
     simulators::CloudCounts cloud;
     size_t starts = 0;
   };
@@ -74,11 +74,11 @@
   LoadTestOptions options_;
   Addresses addresses_;
   asio::io_context io_{1};
-  simulators::JobBook jobs_;
+  simulators::SubmittedJobs jobs_;
   simulators::RuleChecker checker_;
   simulators::WorkerContext context_;
   simulators::SimulatedFleet fleet_;
-  std::unique_ptr<simulators::StateServer> state_;
+  std::unique_ptr<simulators::KeyValueStoreServer> state_;
   std::unique_ptr<simulators::CloudServer> cloud_;
   std::unique_ptr<simulators::Users> users_;
   std::vector<ControllerProcess> controllers_;
--- a/src/loadtest/measurement.cpp
+++ b/src/loadtest/measurement.cpp
@@ -79,13 +79,13 @@
 std::vector<Measurement> read_table(const std::string& path) {
   std::ifstream in(path);
   std::string line;
-  if (!std::getline(in, line)) refuse_setting(path, "header", "is missing");
+  if (!std::getline(in, line)) throw_setting_error(path, "header", "is missing");
   const auto header = split(line);
   std::vector<Measurement> rows;
   while (std::getline(in, line)) {
     const auto cells = split(line);
     if (cells.size() != header.size())
-      refuse_setting(path, "row", "has a different number of cells than the header");
+      throw_setting_error(path, "row", "has a different number of cells than the header");
     Measurement row;
     row.quantity = cells[0];
     for (size_t i = 1; i < cells.size(); ++i)
--- a/src/loadtest/quantiles.cpp
+++ b/src/loadtest/quantiles.cpp
@@ -12,7 +12,7 @@
 
 void Quantiles::observe(double value) {
   summary_.Observe(value);
-  largest_ = std::max(largest_, value);
+  max_ = std::max(max_, value);
   ++count_;
 }
 
--- a/src/loadtest/quantiles.h
+++ b/src/loadtest/quantiles.h
@@ -11,7 +11,7 @@
   void observe(double value);
   /// The estimate for 0.5, 0.9 or 0.99; NaN without observations or for other quantiles.
   double quantile(double target) const;
-  double largest() const { return largest_; }
+  double max() const { return max_; }
   size_t count() const { return count_; }
 
  private:
@@ -20,7 +20,7 @@
   static constexpr std::chrono::hours kMaxAge{24};
 
   prometheus::Summary summary_{targets(), kMaxAge, 1};
-  double largest_ = 0;
+  double max_ = 0;
   size_t count_ = 0;
 };
 
--- a/src/loadtest/sweep.cpp
+++ b/src/loadtest/sweep.cpp
@@ -25,7 +25,7 @@
     *field.value = value;
     return settings;
   }
-  refuse_setting(source, quantity, "is not a setting of the load");
+  throw_setting_error(source, quantity, "is not a setting of the load");
 }
 
 bool already_measured(const std::vector<Measurement>& rows, const std::string& quantity,
@@ -38,7 +38,7 @@
 const Column& require_column(const std::string& name) {
   for (const auto& column : columns())
     if (name == column.name) return column;
-  refuse_setting("plot", name, "is not a column of the table");
+  throw_setting_error("plot", name, "is not a column of the table");
 }
 
 /// Runs gnuplot on a script; throws if gnuplot can't be started or fails.
@@ -57,13 +57,13 @@
 
 void check_plan(const SweepPlan& plan, const LoadSettings& base, const std::string& source) {
   for (const double value : plan.values)
-    check_fits_this_machine(settings_at(base, plan.quantity, value, source), source);
+    check_host_capacity(settings_at(base, plan.quantity, value, source), source);
 }
 
 void append_rows(const std::string& table, const std::vector<Measurement>& rows) {
   const bool is_new = !std::filesystem::exists(table) || std::filesystem::is_empty(table);
   std::ofstream out(table, std::ios::app);
-  if (!out) refuse_setting(table, "table", "can't be opened for writing");
+  if (!out) throw_setting_error(table, "table", "can't be opened for writing");
   if (is_new) write_header(out);
   for (const auto& row : rows) write_row(out, row);
 }
@@ -90,7 +90,7 @@
 void draw_plot(const std::vector<Measurement>& rows, const std::string& quantity,
                const std::string& column, const std::string& file) {
   const Column& plotted = require_column(column);
-  const PowerFit fit = fit_column(rows, quantity, plotted);
+  const PowerLawFit fit = fit_column(rows, quantity, plotted);
   std::ostringstream title;
   constexpr int kDigits = 3;
   title.precision(kDigits);
--- a/src/loadtest/workload.cpp
+++ b/src/loadtest/workload.cpp
@@ -43,7 +43,7 @@
   return job;
 }
 
-std::vector<simulators::SubmittedJob> Workload::filling() {
+std::vector<simulators::SubmittedJob> Workload::initial_jobs() {
   std::vector<simulators::SubmittedJob> jobs;
   const auto total_tasks = static_cast<double>(settings_.tasks());
   const auto job_size = static_cast<size_t>(settings_.service_size);
--- a/src/loadtest/workload.h
+++ b/src/loadtest/workload.h
@@ -3,7 +3,7 @@
 #include <vector>
 
 #include "loadtest/load_settings.h"
-#include "simulators/job_book.h"
+#include "simulators/submitted_jobs.h"
 
 namespace sumacquay::loadtest {
 
@@ -13,7 +13,7 @@
   explicit Workload(const LoadSettings& settings) : settings_(settings) {}
 
   /// Jobs that occupy the whole fleet: services, gangs and preemptible low-priority jobs.
-  std::vector<simulators::SubmittedJob> filling();
+  std::vector<simulators::SubmittedJob> initial_jobs();
   /// A one-task job that stays pending on a full fleet: its priority is the lowest, so that it
   /// can't preempt any task.
   simulators::SubmittedJob waiting_job();
--- a/src/net/concurrency_limit.h
+++ b/src/net/concurrency_limit.h
@@ -14,14 +14,14 @@
 
   /// Counts one more request. Returns false if the limit is reached; the request must then be
   /// rejected.
-  [[nodiscard]] bool enter() {
+  [[nodiscard]] bool try_acquire() {
     if (in_progress_ >= limit_) return false;
     ++in_progress_;
     return true;
   }
 
   /// Counts a request as completed, with the latency measured.
-  void leave(double latency_s) {
+  void release(double latency_s) {
     --in_progress_;
     // The minimum grows by 0.2 % per request, so that a lasting rise in latency becomes the new
     // baseline.
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -7,7 +7,7 @@
 
 #include "net/asio_conversions.h"
 #include "net/http_parsing.h"
-#include "net/immediate_write.h"
+#include "net/nonblocking_write.h"
 
 namespace sumacquay {
 namespace {
@@ -24,14 +24,14 @@
 /// A request that is queued or in progress.
 struct HttpClient::PendingRequest {
   std::string bytes;  ///< head and body
-  HttpDone done;
+  HttpCallback done;
   bool finished = false;
   Clock::time_point deadline;
 
   void finish(HttpResult result) {
     if (finished) return;
     finished = true;
-    const HttpDone callback = std::move(done);
+    const HttpCallback callback = std::move(done);
     callback(std::move(result));
   }
 };
@@ -106,7 +106,7 @@
   void write() {
     state_ = State::Busy;
     asio::error_code error;
-    const size_t sent = write_at_once(socket_, request_->bytes, error);
+    const size_t sent = write_without_blocking(socket_, request_->bytes, error);
     const auto on_written = [self = shared_from_this(), request = request_](auto write_error,
                                                                             size_t) {
       if (write_error && self->request_ == request) self->fail();
@@ -175,10 +175,10 @@
 }
 
 void HttpClient::request(const std::string& method, const std::string& target,
-                         const std::string& body, double deadline_s, HttpDone done) {
+                         const std::string& body, double deadline_s, HttpCallback done) {
   auto request = std::make_shared<PendingRequest>();
   request->done = std::move(done);
-  request->bytes = serialize_request(method, target, server_.text(), body);
+  request->bytes = serialize_request(method, target, server_.to_string(), body);
   if (queue_.size() >= max_queued_) {
     asio::post(io_, [request] { request->finish({}); });
     return;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -18,7 +18,7 @@
 namespace sumacquay {
 
 /// Called with the outcome of a request.
-using HttpDone = std::function<void(HttpResult)>;
+using HttpCallback = std::function<void(HttpResult)>;
 
 /// A client for one address, with a bounded connection pool and a bounded queue. Requests wait for
 /// a free connection in first-in, first-out order.
@@ -31,7 +31,7 @@
   /// Calls `done` exactly once, never from inside this call, and at the latest `deadline_s` seconds
   /// from now. `done` is not called after the client is destroyed.
   void request(const std::string& method, const std::string& target, const std::string& body,
-               double deadline_s, HttpDone done);
+               double deadline_s, HttpCallback done);
 
   /// The number of unanswered requests, including queued ones.
   size_t in_progress() const { return busy_.size() + queue_.size(); }
--- a/src/net/http_parsing.cpp
+++ b/src/net/http_parsing.cpp
@@ -60,13 +60,13 @@
 
 int HttpRequestParser::count_header(size_t bytes) {
   header_bytes_ += bytes;
-  if (header_bytes_ <= limits_.header_bytes) return kContinue;
+  if (header_bytes_ <= limits_.max_header_bytes) return kContinue;
   progress_ = ParseProgress::TooLarge;
   return kStop;
 }
 
 int HttpRequestParser::append_body(std::string_view part) {
-  if (body_.size() + part.size() > limits_.body_bytes) {
+  if (body_.size() + part.size() > limits_.max_body_bytes) {
     progress_ = ParseProgress::TooLarge;
     return kStop;
   }
--- a/src/net/http_parsing.h
+++ b/src/net/http_parsing.h
@@ -24,8 +24,8 @@
  public:
   /// Limits on the size of a request.
   struct Limits {
-    size_t header_bytes;  ///< including the request target
-    size_t body_bytes;
+    size_t max_header_bytes;  ///< including the request target
+    size_t max_body_bytes;
   };
 
   explicit HttpRequestParser(Limits limits);
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -9,7 +9,7 @@
 
 #include "net/asio_conversions.h"
 #include "net/http_parsing.h"
-#include "net/immediate_write.h"
+#include "net/nonblocking_write.h"
 
 namespace sumacquay {
 namespace {
@@ -41,7 +41,7 @@
       : server_(&server),
         service_(service),
         socket_(std::move(socket)),
-        parser_({server.limits_.header_bytes, server.limits_.body_bytes}) {}
+        parser_({server.limits_.max_header_bytes, server.limits_.max_body_bytes}) {}
 
   void start() {
     asio::error_code ignored;
@@ -93,7 +93,7 @@
   void wait_for_request() {
     enter(State::Idle);
     const HttpLimits& limits = server_->limits_;
-    set_deadline(service_ == Service::Handled ? limits.idle_s : limits.request_s);
+    set_deadline(service_ == Service::Handled ? limits.idle_timeout_s : limits.request_timeout_s);
     read();
   }
 
@@ -127,7 +127,7 @@
   /// socket indefinitely.
   void begin_request() {
     enter(State::Reading);
-    set_deadline(server_->limits_.request_s);
+    set_deadline(server_->limits_.request_timeout_s);
   }
 
   void handle() {
@@ -154,9 +154,9 @@
     const bool stays_open = requested == KeepAlive::Yes && server_->may_stay_open();
     const KeepAlive keep_alive = stays_open ? KeepAlive::Yes : KeepAlive::No;
     response_bytes_ = serialize_reply(reply, keep_alive);
-    set_deadline(server_->limits_.request_s);
+    set_deadline(server_->limits_.request_timeout_s);
     asio::error_code error;
-    const size_t sent = write_at_once(socket_, response_bytes_, error);
+    const size_t sent = write_without_blocking(socket_, response_bytes_, error);
     if (error || sent == response_bytes_.size()) return on_written(error, keep_alive);
     asio::async_write(socket_, asio::buffer(response_bytes_) + sent,
                       [self = shared_from_this(), keep_alive](auto write_error, size_t) {
@@ -234,7 +234,7 @@
   if (connections_.size() >= max_served()) close_longest_idle();
   const bool served = connections_.size() < max_served();
   if (!served) ++refused_;
-  if (connections_.size() >= limits_.connections) return;
+  if (connections_.size() >= limits_.max_connections) return;
   const auto service = served ? Connection::Service::Handled : Connection::Service::Refused;
   auto connection = std::make_shared<Connection>(*this, std::move(socket), service);
   connections_.insert(connection);
@@ -246,7 +246,7 @@
 /// request.
 void HttpServer::schedule_sweep() {
   sweep_scheduled_ = true;
-  const double shortest_s = std::min(limits_.request_s, limits_.idle_s);
+  const double shortest_s = std::min(limits_.request_timeout_s, limits_.idle_timeout_s);
   sweep_timer_.expires_after(to_milliseconds(shortest_s * kSweepIntervalRatio));
   sweep_timer_.async_wait([this](auto error) {
     if (!error) sweep();
@@ -267,8 +267,8 @@
 /// connection is closed in its place: an inactive user's rather than that of a worker which sends
 /// heartbeats regularly.
 bool HttpServer::may_stay_open() {
-  if (connections_.size() <= limits_.kept_open) return true;
-  if (!idle_.empty() && idle_.front()->idle_for_s() > limits_.stale_s) {
+  if (connections_.size() <= limits_.max_kept_alive) return true;
+  if (!idle_.empty() && idle_.front()->idle_for_s() > limits_.stale_after_s) {
     close_longest_idle();
     return true;
   }
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -20,28 +20,29 @@
 
 /// Limits of one server. Every resource that a peer could exhaust is limited.
 struct HttpLimits {
-  size_t body_bytes = size_t{64} * 1024;
-  size_t header_bytes = size_t{8} * 1024;
-  size_t connections = 300;  ///< open connections of all kinds
-  /// Part of `connections`, reserved for rejecting requests with 503 and Retry-After when all
+  size_t max_body_bytes = size_t{64} * 1024;
+  size_t max_header_bytes = size_t{8} * 1024;
+  size_t max_connections = 300;  ///< open connections of all kinds
+  /// Part of `max_connections`, reserved for rejecting requests with 503 and Retry-After when all
   /// others are taken.
-  size_t refusals = 0;
+  size_t reserved_refusal_connections = 0;
   /// Above this number of open connections, a response closes its connection. More peers than
   /// connections are thus served in turn, and no request is lost, since the response announces the
   /// closing (`Connection: close`).
-  size_t kept_open = 300;
+  size_t max_kept_alive = 300;
   // Timeouts, in seconds. A periodic sweep closes connections past them, late by up to a quarter of
   // the shorter timeout.
-  double request_s = 5;  ///< to receive a whole request, or to send a response
-  double idle_s = 120;   ///< between requests
+  double request_timeout_s = 5;  ///< to receive a whole request, or to send a response
+  double idle_timeout_s = 120;   ///< between requests
   /// A connection that has been idle for longer may be closed to keep a recently used one open.
-  double stale_s = 120;
+  double stale_after_s = 120;
 };
 
 /// Counts of a server's connections, for metrics.
 struct ConnectionCounts {
   size_t open = 0;
-  /// Closed after a response since the start, because more than `HttpLimits::kept_open` were open.
+  /// Closed after a response since the start, because more than `HttpLimits::max_kept_alive` were
+  /// open.
   size_t closed_after_answer = 0;
   /// Refused since the start, with or without a response, because all connections were taken.
   size_t refused = 0;
@@ -73,7 +74,9 @@
   void accept();
   void retry_accept();
   void add_connection(asio::ip::tcp::socket socket);
-  size_t max_served() const { return limits_.connections - limits_.refusals; }
+  size_t max_served() const {
+    return limits_.max_connections - limits_.reserved_refusal_connections;
+  }
   bool may_stay_open();
   void close_longest_idle();
   void schedule_sweep();
--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -92,7 +92,7 @@
   while (!queued_.empty()) {
     const Seconds now = steady_now();
     const bool sendable = election_.may_act(now) && now < queued_.front().deadline;
-    const auto client = sendable ? workers_.find_or_open(queued_.front().batch.addr) : nullptr;
+    const auto client = sendable ? workers_.find_or_create(queued_.front().batch.addr) : nullptr;
     if (sendable && !client && workers_.all_busy()) return;
     const SendCommands batch = std::move(queued_.front().batch);
     queued_.pop_front();
@@ -104,7 +104,7 @@
 }
 
 void ActionExecutor::perform(const Probe& probe) {
-  const auto client = workers_.find_or_open(probe.addr);
+  const auto client = workers_.find_or_create(probe.addr);
   if (!client) return scheduler_->on_probe_not_sent(probe.machine);
   client->request("POST", wire::path::kWorkerCommands,
                   wire::worker_commands_body(probe.fencing_token, probe.agent_epoch, {}),
@@ -120,13 +120,13 @@
 
 void ActionExecutor::perform(const ScaleOut& scale_out) {
   cloud_.request("POST", wire::path::kMachines,
-                 wire::rent_body(scale_out.request_name, scale_out.type, scale_out.zone,
-                                 scale_out.spot, scale_out.count),
+                 wire::scale_out_body(scale_out.request_name, scale_out.type, scale_out.zone,
+                                      scale_out.spot, scale_out.count),
                  settings_.lease_s * kCloudTimeoutLeaseFraction,
                  [this, scale_out, generation = scheduler_.generation()](const HttpResult& result) {
                    Scheduler* scheduler = scheduler_.get(generation);
                    if (!scheduler) return;
-                   const RentResult scale_out_answer = read_scale_out_answer(result);
+                   const ScaleOutResult scale_out_answer = read_scale_out_answer(result);
                    scheduler->on_scale_out_answered(scale_out, scale_out_answer.outcome,
                                                     scale_out_answer.machines, steady_now());
                  });
@@ -141,10 +141,10 @@
                  });
 }
 
-RentResult read_scale_out_answer(const HttpResult& result) {
-  RentResult scale_out_answer;
+ScaleOutResult read_scale_out_answer(const HttpResult& result) {
+  ScaleOutResult scale_out_answer;
   if (result.ok()) {
-    if (auto machines = wire::parse_rented(result.body)) {
+    if (auto machines = wire::parse_scale_out_response(result.body)) {
       scale_out_answer.outcome = Scheduler::ScaleOutOutcome::Granted;
       scale_out_answer.machines = std::move(*machines);
     }
--- a/src/node/action_executor.h
+++ b/src/node/action_executor.h
@@ -32,7 +32,7 @@
   /// Drops queued commands and releases the connections to workers, when this node stops leading.
   void stop();
   /// Number of queued batches of commands.
-  size_t waiting_commands() const { return queued_.size(); }
+  size_t queued_commands() const { return queued_.size(); }
 
  private:
   /// Commands that wait for a connection to their worker to become available.
@@ -62,11 +62,11 @@
 
 /// The cloud's answer to a scale-out request. Without an answer the outcome is unknown: the request
 /// may still be executed.
-struct RentResult {
+struct ScaleOutResult {
   Scheduler::ScaleOutOutcome outcome = Scheduler::ScaleOutOutcome::Unknown;
   std::vector<std::string> machines;
 };
 /// Parses the cloud's answer to a scale-out request.
-RentResult read_scale_out_answer(const HttpResult& result);
+ScaleOutResult read_scale_out_answer(const HttpResult& result);
 
 }  // namespace sumacquay
--- a/src/node/election_driver.cpp
+++ b/src/node/election_driver.cpp
@@ -13,8 +13,8 @@
 LeaderElection::Config config(const Settings& settings) {
   LeaderElection::Config config;
   config.lease = settings.leader_lease_s();
-  config.renew = settings.renew_s();
-  config.grace = settings.answers_s();
+  config.renew = settings.leader_renewal_interval_s();
+  config.grace = settings.answer_grace_s();
   return config;
 }
 
@@ -51,7 +51,8 @@
 }
 
 Seconds ElectionDriver::due_at() const {
-  const Seconds records_due = to_seconds(record_cache_.known_at()) + settings_.renew_s();
+  const Seconds records_due =
+      to_seconds(record_cache_.fresh_as_of()) + settings_.leader_renewal_interval_s();
   const Seconds election_due = election_.due_at(steady_now());
   return refresh_in_flight_ ? election_due : std::min(election_due, records_due);
 }
@@ -59,16 +60,17 @@
 /// Reads the records if they have not been current for a renewal period. With few writes the watch
 /// is idle for long, which cannot be distinguished from a lost connection.
 void ElectionDriver::refresh_records() {
-  const Seconds current_at = to_seconds(record_cache_.known_at());
+  const Seconds current_at = to_seconds(record_cache_.fresh_as_of());
   election_.set_records_current_at(current_at);
-  if (refresh_in_flight_ || steady_now() - current_at < settings_.renew_s()) return;
+  if (refresh_in_flight_ || steady_now() - current_at < settings_.leader_renewal_interval_s())
+    return;
   refresh_in_flight_ = true;
   record_cache_.read_barrier([this](bool) { refresh_in_flight_ = false; });
 }
 
 void ElectionDriver::grant(LeaderElection::Campaign campaign, Seconds duration) {
   const Seconds requested_at = steady_now();
-  store_.grant(duration, [this, campaign, requested_at](std::optional<uint64_t> lease) {
+  store_.grant_lease(duration, [this, campaign, requested_at](std::optional<uint64_t> lease) {
     election_.granted(steady_now(), campaign, lease, requested_at);
   });
 }
@@ -84,14 +86,14 @@
                           [this, campaign, record, lease_end](const TransactionResult& result) {
                             if (result.outcome != TransactionOutcome::Committed)
                               return abandon_campaign(campaign, record.lease);
-                            record_cache_.wrote_leader(record, result.revision);
+                            record_cache_.on_leader_written(record, result.revision);
                             catch_up_before_leading(campaign, record.term, lease_end);
                           });
 }
 
 /// Revokes the lease at once, so that an election transaction still in flight cannot be committed.
 void ElectionDriver::abandon_campaign(LeaderElection::Campaign campaign, uint64_t lease) {
-  store_.revoke(lease, [](const HttpResult&) {});
+  store_.revoke_lease(lease, [](const HttpResult&) {});
   record_cache_.read_barrier(
       [this, campaign](bool) { election_.elected(steady_now(), campaign, false, 0); });
 }
@@ -112,18 +114,18 @@
 
 void ElectionDriver::renew(uint64_t lease) {
   const Seconds sent_at = steady_now();
-  store_.renew(lease, settings_.renew_s(),
-               [this, lease, sent_at](KeyValueStoreClient::Renewal renewal) {
-                 election_.renewed(steady_now(), lease, sent_at,
-                                   renewal == KeyValueStoreClient::Renewal::Renewed,
-                                   renewal == KeyValueStoreClient::Renewal::Ended);
-               });
+  store_.renew_lease(lease, settings_.leader_renewal_interval_s(),
+                     [this, lease, sent_at](KeyValueStoreClient::Renewal renewal) {
+                       election_.renewed(steady_now(), lease, sent_at,
+                                         renewal == KeyValueStoreClient::Renewal::Renewed,
+                                         renewal == KeyValueStoreClient::Renewal::Ended);
+                     });
 }
 
 void ElectionDriver::resign() {
   const uint64_t lease = election_.lease();
   election_.resign(steady_now(), kResignBackoffLeases * settings_.leader_lease_s());
-  store_.revoke(lease, [](const HttpResult&) {});
+  store_.revoke_lease(lease, [](const HttpResult&) {});
 }
 
 void ElectionDriver::on_leader_record() {
@@ -135,7 +137,7 @@
   // An earlier process of this node held the lease. That process has exited, so the lease is
   // revoked instead of delaying the election until it expires.
   earlier_lease_revoked_ = true;
-  store_.revoke(leader.value.lease, [](const HttpResult&) {});
+  store_.revoke_lease(leader.value.lease, [](const HttpResult&) {});
 }
 
 }  // namespace sumacquay
--- a/src/node/leader_hints_source.h
+++ b/src/node/leader_hints_source.h
@@ -6,8 +6,8 @@
 /// by PeerHeartbeatExchange when it builds a heartbeat. Correctness does not depend on these parts.
 namespace sumacquay {
 
-/// Adds the counts that users see, for the jobs that still have a live record.
-void add_counts(const Scheduler& scheduler, wire::PeerHeartbeat& heartbeat);
+/// Adds the progress that users see, of the jobs that still have a live record.
+void add_job_progress(const Scheduler& scheduler, wire::PeerHeartbeat& heartbeat);
 
 /// Adds hints for a successor: the images that machines have cached, and the machines that were
 /// requested and have not sent a heartbeat yet, with their ages.
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -50,22 +50,23 @@
       record_writer_(settings, store_, record_cache_, scheduler_,
                      [this] { asio::post(io_, [this] { scheduler_driver_.on_committed(); }); }),
       scheduler_driver_(settings, election_, scheduler_, executor_, record_writer_),
-      delegated_responder_(incarnation_, settings.delegation_after_s(), settings.answers_s()),
+      delegated_responder_(incarnation_, settings.delegate_takeover_s(), settings.answer_grace_s()),
       peer_exchange_(settings, state_service_, election_, scheduler_, delegated_responder_),
-      peer_heartbeats_(io, settings, settings.renew_s(), peer_exchange_.hooks()),
+      peer_heartbeats_(io, settings, settings.leader_renewal_interval_s(), peer_exchange_.hooks()),
       worker_endpoint_(settings, store_, record_cache_, election_, scheduler_, peer_heartbeats_,
                        delegated_responder_),
-      frontend_(
-          settings, sockets_.users_in_progress, store_, record_cache_,
-          {[this]() -> const std::vector<MachineType>& { return machine_types_.types(); },
-           [this](const std::string& id) { return peer_heartbeats_.leader_hints().counts(id); },
-           time_of_day_ms}),
+      frontend_(settings, sockets_.max_user_requests, store_, record_cache_,
+                {[this]() -> const std::vector<MachineType>& { return machine_types_.types(); },
+                 [this](const std::string& id) {
+                   return peer_heartbeats_.leader_hints().job_progress(id);
+                 },
+                 unix_time_ms}),
       outage_log_(settings.lease_s),
       connection_log_(settings.lease_s),
       tick_timer_(io) {}
 
 void Node::start() {
-  if (const auto warning = cost_of_few_sockets(settings_))
+  if (const auto warning = low_socket_warning(settings_))
     log_warning("few_sockets", log_field("reason", *warning));
   listen();
   record_cache_.set_listener({[this](const std::string& id) { scheduler_feed_.on_job_record(id); },
@@ -81,11 +82,11 @@
 
 void Node::listen() {
   HttpLimits limits;
-  limits.connections = sockets_.served_and_refused;
-  limits.refusals = sockets_.refusals;
-  limits.kept_open = sockets_.kept_open;
-  limits.idle_s = kIdleTimeoutHeartbeatPeriods * settings_.heartbeat_period_s;
-  limits.stale_s = kStaleTimeoutHeartbeatPeriods * settings_.heartbeat_period_s;
+  limits.max_connections = sockets_.served_and_refused;
+  limits.reserved_refusal_connections = sockets_.reserved_refusal_connections;
+  limits.max_kept_alive = sockets_.max_kept_alive;
+  limits.idle_timeout_s = kIdleTimeoutHeartbeatPeriods * settings_.heartbeat_period_s;
+  limits.stale_after_s = kStaleTimeoutHeartbeatPeriods * settings_.heartbeat_period_s;
   server_ = std::make_unique<HttpServer>(
       io_, settings_.listen, limits,
       [this](const HttpRequest& request, const Respond& respond) { on_request(request, respond); });
@@ -100,7 +101,7 @@
 
 void Node::tick() {
   tick_requested_ = false;
-  outage_log_.observe(steady_now(), state_service_.served());
+  outage_log_.observe(steady_now(), state_service_.available());
   connection_log_.observe(steady_now(), server_->counts());
   election_driver_.tick(random_jitter());
   if (const auto reason = scheduler_driver_.reason_to_resign()) {
@@ -132,7 +133,7 @@
       settings_.heartbeat_period_s * settings_.tuning.round * kTickRoundFraction;
   if (scheduler_) return min_interval;
   return std::clamp(election_driver_.due_at() - steady_now(), min_interval,
-                    std::max(min_interval, settings_.renew_s()));
+                    std::max(min_interval, settings_.leader_renewal_interval_s()));
 }
 
 // ---------------------------------------------------------------- requests
@@ -149,7 +150,7 @@
   // If the state service is unavailable to all nodes, no other node could serve users better, so
   // this node stays ready.
   return record_cache_.loaded() && !machine_types_.types().empty() &&
-         (state_service_.served() || !peer_heartbeats_.others_served());
+         (state_service_.available() || !peer_heartbeats_.store_reachable_by_any_peer());
 }
 
 // ---------------------------------------------------------------- leadership
@@ -176,7 +177,7 @@
   peer_exchange_.start_term();
   scheduler_.begin(scheduler_feed_.create_scheduler(election_.term(), machine_types_.types(),
                                                     peer_heartbeats_.leader_hints()));
-  log_info("failover_started", log_field("jobs", record_cache_.live().size()),
+  log_info("failover_started", log_field("jobs", record_cache_.live_jobs().size()),
            log_field("machines", record_cache_.hosts().size()),
            log_field("term", election_.term()));
   if (settings_.peers.empty()) scheduler_->on_previous_leader_fenced(steady_now());
--- a/src/node/peer_heartbeat_exchange.cpp
+++ b/src/node/peer_heartbeat_exchange.cpp
@@ -20,10 +20,10 @@
 
 PeerHeartbeats::Hooks PeerHeartbeatExchange::hooks() {
   PeerHeartbeats::Hooks hooks;
-  hooks.own = [this](wire::PeerHeartbeatPart part) { return own_heartbeat(part); };
-  hooks.answer = [this](const wire::PeerHeartbeat& from) { return answer(from); };
-  hooks.answered = [this](const std::string& node, const wire::PeerHeartbeat& heartbeat,
-                          auto sent_at) { on_answer(node, heartbeat, sent_at); };
+  hooks.build_heartbeat = [this](wire::PeerHeartbeatPart part) { return own_heartbeat(part); };
+  hooks.build_answer = [this](const wire::PeerHeartbeat& from) { return answer(from); };
+  hooks.on_answer = [this](const std::string& node, const wire::PeerHeartbeat& heartbeat,
+                           auto sent_at) { on_answer(node, heartbeat, sent_at); };
   return hooks;
 }
 
@@ -33,12 +33,12 @@
   heartbeat.node = settings_.node;
   heartbeat.term = election_.highest_term();
   heartbeat.leading = scheduler_ && election_.may_answer(now);
-  heartbeat.served = state_service_.served();
-  heartbeat.status = delegated_responder_.status(now);
+  heartbeat.store_reachable = state_service_.available();
+  heartbeat.delegation_status = delegated_responder_.status(now);
   if (!heartbeat.leading) return heartbeat;
   heartbeat.part = part;
-  if (part == wire::PeerHeartbeatPart::Counts) add_counts(*scheduler_, heartbeat);
-  if (part == wire::PeerHeartbeatPart::Hints) add_hints(*scheduler_, now, heartbeat);
+  if (part == wire::PeerHeartbeatPart::JobProgress) add_job_progress(*scheduler_, heartbeat);
+  if (part == wire::PeerHeartbeatPart::SuccessorHints) add_hints(*scheduler_, now, heartbeat);
   return heartbeat;
 }
 
@@ -53,7 +53,7 @@
   election_.observe_term(now, heartbeat.term);
   const std::string* zone = zone_of(heartbeat.node);
   if (scheduler_ && zone)
-    scheduler_->delegations().on_status(heartbeat.node, *zone, heartbeat.status, now);
+    scheduler_->delegations().on_status(heartbeat.node, *zone, heartbeat.delegation_status, now);
 }
 
 /// Delegations are sent only in answers, because a delegate counts their validity from when it sent
@@ -62,7 +62,7 @@
   on_heartbeat(from);
   wire::PeerHeartbeat answer = own_heartbeat(wire::PeerHeartbeatPart::StatusOnly);
   const std::string* zone = zone_of(from.node);
-  if (leads_now(scheduler_, election_) && zone && settings_.finds_delegated_responder(*zone))
+  if (leads_now(scheduler_, election_) && zone && settings_.delegate_reachable_within_lease(*zone))
     answer.delegation = scheduler_->delegations().delegate(
         from.node, *zone, election_.may_answer_until(), steady_now());
   return answer;
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -18,7 +18,7 @@
 void RecordWriter::write_planned_records() {
   if (state_ != State::Idle || !record_cache_.loaded()) return;
   if (!pacing_.may_write(steady_now())) return;
-  const size_t max_changes = pacing_.most_changes(steady_now());
+  const size_t max_changes = pacing_.max_changes(steady_now());
   const auto writes = scheduler_->plan_writes(steady_now(), max_changes);
   if (writes.empty()) return;
   const auto transaction = record_transaction(writes, record_cache_.term().version);
@@ -35,7 +35,7 @@
   const bool committed = result.outcome == TransactionOutcome::Committed;
   if (result.outcome == TransactionOutcome::TooLarge) {
     log_warning("transaction_too_large", log_field("count", writes.size()));
-    pacing_.too_large(steady_now());
+    pacing_.on_transaction_too_large(steady_now());
   }
   if (committed)
     for (const auto& write : writes) update_cache(write, result.revision);
@@ -50,13 +50,13 @@
 
 void RecordWriter::update_cache(const RecordWrite& write, uint64_t revision) {
   if (!write.host.empty())
-    record_cache_.wrote_host(write.host, write.host_record ? &*write.host_record : nullptr,
-                             revision);
+    record_cache_.on_host_written(write.host, write.host_record ? &*write.host_record : nullptr,
+                                  revision);
   else if (write.finished)
-    record_cache_.wrote_finished(write.job, {write.record->state, write.record->done.count()},
-                                 revision);
+    record_cache_.on_finished_written(write.job, {write.record->state, write.record->done.count()},
+                                      revision);
   else
-    record_cache_.wrote_job(*write.record, revision);
+    record_cache_.on_job_written(*write.record, revision);
 }
 
 /// Reads the records again before the next write, because their current state determines what still
--- a/src/node/scheduler_feed.cpp
+++ b/src/node/scheduler_feed.cpp
@@ -10,14 +10,14 @@
 std::unique_ptr<Scheduler> SchedulerFeed::create_scheduler(
     uint64_t term, const std::vector<MachineType>& machine_types, const LeaderHints& hints) const {
   const Seconds now = steady_now();
-  const Seconds previous_leader_fenced_at = now + settings_.answers_s();
-  const Seconds wall_offset = static_cast<double>(time_of_day_ms()) / 1000 - steady_now();
+  const Seconds previous_leader_fenced_at = now + settings_.answer_grace_s();
+  const Seconds wall_offset = static_cast<double>(unix_time_ms()) / 1000 - steady_now();
   auto scheduler =
       std::make_unique<Scheduler>(settings_, term, now, previous_leader_fenced_at, wall_offset);
   scheduler->set_machine_types(machine_types);
   for (const auto& [id, host] : record_cache_.hosts())
     scheduler->restore_machine(host.value, steady_now());
-  for (const auto& [id, job] : record_cache_.live())
+  for (const auto& [id, job] : record_cache_.live_jobs())
     scheduler->on_job_record(job.value, job.version, steady_now());
   report_finished_dependencies(*scheduler);
   for (const auto& cached : hints.images())
@@ -32,7 +32,7 @@
   if (!scheduler_) return;
   if (id.empty())
     on_all_job_records();
-  else if (const auto* record = record_cache_.live(id))
+  else if (const auto* record = record_cache_.live_job(id))
     scheduler_->on_job_record(record->value, record->version, steady_now());
   else
     scheduler_->on_job_finished(id);
@@ -43,9 +43,9 @@
 void SchedulerFeed::on_all_job_records() {
   std::vector<std::string> finished;
   for (const auto& [id, job] : scheduler_->jobs())
-    if (!record_cache_.live(id)) finished.push_back(id);
+    if (!record_cache_.live_job(id)) finished.push_back(id);
   for (const auto& id : finished) scheduler_->on_job_finished(id);
-  for (const auto& [id, job] : record_cache_.live())
+  for (const auto& [id, job] : record_cache_.live_jobs())
     scheduler_->on_job_record(job.value, job.version, steady_now());
 }
 
@@ -54,7 +54,7 @@
   // A copy, because each call below removes an entry from the scheduler's set.
   const std::set<std::string> unknown = scheduler.unknown_dependencies();
   for (const auto& id : unknown)
-    if (const auto record = record_cache_.dependency_end(id))
+    if (const auto record = record_cache_.dependency_outcome(id))
       scheduler.on_dependency_finished(id, *record);
 }
 
--- a/src/node/state_service_health.cpp
+++ b/src/node/state_service_health.cpp
@@ -11,8 +11,9 @@
 
 }  // namespace
 
-bool StateServiceHealth::served() const {
-  const std::chrono::duration<double> age = std::chrono::steady_clock::now() - store_.last_served();
+bool StateServiceHealth::available() const {
+  const std::chrono::duration<double> age =
+      std::chrono::steady_clock::now() - store_.last_available_at();
   return age.count() < settings_.lease_s * kMaxAnswerAgeLeaseFraction;
 }
 
--- a/src/node/state_service_health.h
+++ b/src/node/state_service_health.h
@@ -12,7 +12,7 @@
   StateServiceHealth(const Settings& settings, const KeyValueStoreClient& store)
       : settings_(settings), store_(store) {}
   /// Whether the last answer is younger than a fixed fraction of the worker lease.
-  [[nodiscard]] bool served() const;
+  [[nodiscard]] bool available() const;
 
  private:
   const Settings& settings_;
--- a/src/node/wall_clock.h
+++ b/src/node/wall_clock.h
@@ -7,7 +7,7 @@
 namespace sumacquay {
 
 /// Milliseconds since the Unix epoch.
-inline uint64_t time_of_day_ms() {
+inline uint64_t unix_time_ms() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count());
--- a/src/node/worker_clients.cpp
+++ b/src/node/worker_clients.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::shared_ptr<HttpClient> WorkerClients::find_or_open(const std::string& address) {
+std::shared_ptr<HttpClient> WorkerClients::find_or_create(const std::string& address) {
   const auto found = by_address_.find(address);
   if (found != by_address_.end()) {
     pool_.splice(pool_.end(), pool_, found->second);
--- a/src/node/worker_clients.h
+++ b/src/node/worker_clients.h
@@ -17,7 +17,7 @@
   WorkerClients(asio::io_context& io, size_t limit) : io_(io), limit_(limit) {}
   /// Returns the client for a worker's address; null if the address is invalid, or if the limit is
   /// reached and all clients are busy. At the limit, evicts the least recently used idle client.
-  std::shared_ptr<HttpClient> find_or_open(const std::string& address);
+  std::shared_ptr<HttpClient> find_or_create(const std::string& address);
   /// Removes all clients from the pool, including busy ones.
   void clear();
   /// Whether the limit is reached and every client has a request in flight.
--- a/src/node/worker_endpoint.cpp
+++ b/src/node/worker_endpoint.cpp
@@ -30,16 +30,18 @@
   const Seconds now = steady_now();
   const auto answer = scheduler_->on_heartbeat(heartbeat, election_.may_act(now), now);
   if (!answer.accepted) return respond({503, {}, 0});
-  respond({200, wire::heartbeat_answer(answer.fencing_token, answer.commands), 0});
+  respond({200, wire::heartbeat_response_body(answer.fencing_token, answer.commands), 0});
 }
 
 /// Answers on behalf of the leader if this node may, and redirects to the leader otherwise.
 void WorkerEndpoint::answer_as_follower(const WorkerHeartbeat& heartbeat, const Respond& respond) {
   if (may_answer_as_delegate(heartbeat)) {
-    const auto stops = delegated_responder_.answer(
-        heartbeat, election_.highest_term(), to_seconds(record_cache_.known_at()),
-        [this](const std::string& id) { return record_cache_.ended(id); }, steady_now());
-    if (stops) return respond({200, wire::heartbeat_answer(heartbeat.fencing_token, *stops), 0});
+    const auto stop_commands = delegated_responder_.answer(
+        heartbeat, election_.highest_term(), to_seconds(record_cache_.fresh_as_of()),
+        [this](const std::string& id) { return record_cache_.job_ended(id); }, steady_now());
+    if (stop_commands)
+      return respond(
+          {200, wire::heartbeat_response_body(heartbeat.fencing_token, *stop_commands), 0});
   }
   respond({421, wire::redirect_body(leader_to_redirect_to()), 0});
 }
@@ -56,9 +58,9 @@
 /// state service. While this node still reaches either of them, workers may find another leader and
 /// are redirected; DelegatedResponder checks whether the leader is silent.
 bool WorkerEndpoint::may_answer_as_delegate(const WorkerHeartbeat& heartbeat) const {
-  const Seconds served_at = to_seconds(store_.last_served());
+  const Seconds available_at = to_seconds(store_.last_available_at());
   return election_.state() == LeaderElection::State::Follower && heartbeat.zone == settings_.zone &&
-         steady_now() - served_at > settings_.delegation_after_s();
+         steady_now() - available_at > settings_.delegate_takeover_s();
 }
 
 }  // namespace sumacquay
--- a/src/node/write_pacing.cpp
+++ b/src/node/write_pacing.cpp
@@ -25,11 +25,11 @@
     : max_changes_(max_changes_within_limits(settings)),
       heartbeat_period_s_(settings.heartbeat_period_s) {}
 
-size_t WritePacing::most_changes(Seconds now) const {
+size_t WritePacing::max_changes(Seconds now) const {
   return now < reduced_until_ ? kMinChanges : max_changes_;
 }
 
-void WritePacing::too_large(Seconds now) {
+void WritePacing::on_transaction_too_large(Seconds now) {
   paused_until_ = now + heartbeat_period_s_;
   reduced_until_ = now + kReducedSizeHeartbeatPeriods * heartbeat_period_s_;
 }
--- a/src/node/write_pacing.h
+++ b/src/node/write_pacing.h
@@ -19,9 +19,9 @@
   /// Whether a transaction may be sent now.
   bool may_write(Seconds now) const { return now >= paused_until_; }
   /// Maximum number of changes in a transaction that is sent now.
-  size_t most_changes(Seconds now) const;
+  size_t max_changes(Seconds now) const;
   /// Handles a transaction that the state service has refused as too large.
-  void too_large(Seconds now);
+  void on_transaction_too_large(Seconds now);
 
  private:
   size_t max_changes_;
--- a/src/peer/leader_hints.cpp
+++ b/src/peer/leader_hints.cpp
@@ -2,7 +2,7 @@
 
 namespace sumacquay {
 
-void LeaderHints::take(const wire::PeerHeartbeat& heartbeat) {
+void LeaderHints::apply(const wire::PeerHeartbeat& heartbeat) {
   if (heartbeat.fragment) return receive_fragment(heartbeat, *heartbeat.fragment);
   if (heartbeat.part != wire::PeerHeartbeatPart::StatusOnly)
     apply_fragments(heartbeat.part, {&heartbeat});
@@ -11,16 +11,16 @@
 void LeaderHints::receive_fragment(const wire::PeerHeartbeat& heartbeat,
                                    const wire::PeerHeartbeatFragment& fragment) {
   if (fragment.part == wire::PeerHeartbeatPart::StatusOnly ||
-      fragment.fragments > kMaxPeerHeartbeatFragments)
+      fragment.fragment_count > kMaxPeerHeartbeatFragments)
     return;
   Batch& batch = batches_[fragment.part];
-  const std::pair<uint64_t, uint64_t> term_and_batch{heartbeat.term, fragment.batch};
+  const std::pair<uint64_t, uint64_t> term_and_batch{heartbeat.term, fragment.batch_number};
   if (term_and_batch < batch.term_and_batch) return;
   if (term_and_batch > batch.term_and_batch) {
     if (!batch.received.empty()) apply_batch(fragment.part, batch);
-    batch = {term_and_batch, fragment.fragments, {}, false};
+    batch = {term_and_batch, fragment.fragment_count, {}, false};
   }
-  if (fragment.fragments != batch.fragments || batch.applied) return;
+  if (fragment.fragment_count != batch.fragment_count || batch.applied) return;
   batch.received.emplace(fragment.index, heartbeat);
   if (batch.complete()) apply_batch(fragment.part, batch);
 }
@@ -36,24 +36,25 @@
 
 void LeaderHints::apply_fragments(wire::PeerHeartbeatPart part,
                                   const std::vector<const wire::PeerHeartbeat*>& fragments) {
-  if (part == wire::PeerHeartbeatPart::Counts) {
-    counts_.clear();
+  if (part == wire::PeerHeartbeatPart::JobProgress) {
+    job_progress_.clear();
     for (const auto* heartbeat : fragments)
-      for (const auto& count : heartbeat->counts) counts_[count.job] = count;
+      for (const auto& count : heartbeat->job_progress) job_progress_[count.job] = count;
     return;
   }
   images_.clear();
   booting_.clear();
   for (const auto* heartbeat : fragments) {
-    images_.insert(images_.end(), heartbeat->images.begin(), heartbeat->images.end());
-    booting_.insert(booting_.end(), heartbeat->booting.begin(), heartbeat->booting.end());
+    images_.insert(images_.end(), heartbeat->cached_images.begin(), heartbeat->cached_images.end());
+    booting_.insert(booting_.end(), heartbeat->booting_machines.begin(),
+                    heartbeat->booting_machines.end());
   }
   hints_received_at_ = Clock::now();
 }
 
-wire::JobProgress LeaderHints::counts(const std::string& job) const {
-  const auto it = counts_.find(job);
-  return it == counts_.end() ? wire::JobProgress{job, 0, 0} : it->second;
+wire::JobProgress LeaderHints::job_progress(const std::string& job) const {
+  const auto it = job_progress_.find(job);
+  return it == job_progress_.end() ? wire::JobProgress{job, 0, 0} : it->second;
 }
 
 std::vector<ListedMachine> LeaderHints::booting() const {
--- a/src/peer/leader_hints.h
+++ b/src/peer/leader_hints.h
@@ -8,7 +8,7 @@
 
 #include "wire/peer_heartbeat.h"
 
-/// The leader's hints in peer heartbeats: job counts for users, and cached images and booting
+/// The leader's hints in peer heartbeats: job progress for users, and cached images and booting
 /// machines for a successor. Kept by `PeerHeartbeats` on every node. Correctness does not depend on
 /// them.
 namespace sumacquay {
@@ -25,10 +25,10 @@
   using Clock = std::chrono::steady_clock;
 
   /// Applies a heartbeat of the leader; fragments are kept until their batch is complete.
-  void take(const wire::PeerHeartbeat& heartbeat);
+  void apply(const wire::PeerHeartbeat& heartbeat);
 
-  /// The job's last reported counts; zeros if none were reported.
-  wire::JobProgress counts(const std::string& job) const;
+  /// The job's last reported progress; zeros if none was reported.
+  wire::JobProgress job_progress(const std::string& job) const;
   const std::vector<wire::CachedImageHint>& images() const { return images_; }
   /// Machines that were requested and have not sent a heartbeat yet, with their current ages.
   std::vector<ListedMachine> booting() const;
@@ -37,10 +37,10 @@
   /// The received fragments of one batch.
   struct Batch {
     std::pair<uint64_t, uint64_t> term_and_batch{0, 0};
-    uint64_t fragments = 0;
+    uint64_t fragment_count = 0;
     std::map<uint64_t, wire::PeerHeartbeat> received;  ///< by index
     bool applied = false;                              ///< late and repeated fragments are ignored
-    bool complete() const { return received.size() == fragments; }
+    bool complete() const { return received.size() == fragment_count; }
   };
 
   void receive_fragment(const wire::PeerHeartbeat& heartbeat,
@@ -50,7 +50,7 @@
                        const std::vector<const wire::PeerHeartbeat*>& fragments);
 
   std::map<wire::PeerHeartbeatPart, Batch> batches_;
-  std::map<std::string, wire::JobProgress> counts_;
+  std::map<std::string, wire::JobProgress> job_progress_;
   std::vector<wire::CachedImageHint> images_;
   std::vector<ListedMachine> booting_;
   Clock::time_point hints_received_at_{};
--- a/src/peer/peer_heartbeats.cpp
+++ b/src/peer/peer_heartbeats.cpp
@@ -10,13 +10,13 @@
 using Clock = std::chrono::steady_clock;
 /// A received heartbeat counts as recent for this many periods.
 constexpr double kRecentPeriods = 4;
-/// Interval between heartbeats that carry counts; the counts that users see may lag by 3 s.
-constexpr double kCountsIntervalS = 2.4;
-/// Counts are sent this many times per transmission of the hints, which may be older.
-constexpr int kCountsPerHints = 2;
+/// Interval between heartbeats that carry job progress; the progress that users see may lag by 3 s.
+constexpr double kJobProgressIntervalS = 2.4;
+/// Job progress is sent this many times per transmission of the hints, which may be older.
+constexpr int kJobProgressPerHints = 2;
 /// Timeout of a heartbeat request, in periods.
 constexpr double kTimeoutPeriods = 2;
-constexpr size_t kBodyLimit = HttpLimits{}.body_bytes;
+constexpr size_t kBodyLimit = HttpLimits{}.max_body_bytes;
 
 /// No heartbeats are sent to a peer while this many are in flight to it.
 constexpr size_t kMaxHeartbeatsInFlight = 2;
@@ -33,7 +33,7 @@
       period_s_(period_s),
       hooks_(std::move(hooks)),
       timer_(io),
-      periods_per_counts_(std::max(1, static_cast<int>(kCountsIntervalS / period_s))) {
+      periods_per_job_progress_(std::max(1, static_cast<int>(kJobProgressIntervalS / period_s))) {
   for (const auto& peer : settings.peers) {
     peers_[peer.node].last_heartbeat = Clock::now();
     clients_[peer.node] = std::make_unique<HttpClient>(
@@ -43,8 +43,8 @@
 
 void PeerHeartbeats::start() {
   HttpLimits limits;
-  limits.connections = fixed_sockets::kServerConnectionsPerPeer * settings_.peers.size() +
-                       fixed_sockets::kServerConnectionsSpare;
+  limits.max_connections = fixed_sockets::kServerConnectionsPerPeer * settings_.peers.size() +
+                           fixed_sockets::kSpareServerConnections;
   server_ = std::make_unique<HttpServer>(
       io_, settings_.peer_listen, limits,
       [this](const HttpRequest& request, const Respond& respond) { on_request(request, respond); });
@@ -57,12 +57,12 @@
                              : std::nullopt;
   if (!heartbeat) return respond({400, {}, 0});
   record_heartbeat(*heartbeat);
-  respond({200, wire::encode_peer_heartbeat(hooks_.answer(*heartbeat)), 0});
+  respond({200, wire::encode_peer_heartbeat(hooks_.build_answer(*heartbeat)), 0});
 }
 
 void PeerHeartbeats::send_peer_heartbeats(wire::PeerHeartbeatPart part) {
-  const wire::PeerHeartbeat own_heartbeat = hooks_.own(part);
-  if (own_heartbeat.leading) leader_hints_.take(own_heartbeat);
+  const wire::PeerHeartbeat own_heartbeat = hooks_.build_heartbeat(part);
+  if (own_heartbeat.leading) leader_hints_.apply(own_heartbeat);
   const auto bodies =
       wire::encode_peer_heartbeat_fragments(own_heartbeat, ++last_batch_, kBodyLimit);
   for (auto& [node, client] : clients_) {
@@ -78,7 +78,7 @@
                        result.ok() ? wire::decode_peer_heartbeat(result.body) : std::nullopt;
                    if (!heartbeat) return;
                    record_heartbeat(*heartbeat);
-                   hooks_.answered(node, *heartbeat, sent_at);
+                   hooks_.on_answer(node, *heartbeat, sent_at);
                  });
 }
 
@@ -95,10 +95,11 @@
 void PeerHeartbeats::send_periodic_peer_heartbeats() {
   log_silent_peers();
   const int period = periods_++;
-  send_peer_heartbeats(period % periods_per_counts_ == 0 ? wire::PeerHeartbeatPart::Counts
-                                                         : wire::PeerHeartbeatPart::StatusOnly);
-  if (period % (kCountsPerHints * periods_per_counts_) == 0)
-    send_peer_heartbeats(wire::PeerHeartbeatPart::Hints);
+  send_peer_heartbeats(period % periods_per_job_progress_ == 0
+                           ? wire::PeerHeartbeatPart::JobProgress
+                           : wire::PeerHeartbeatPart::StatusOnly);
+  if (period % (kJobProgressPerHints * periods_per_job_progress_) == 0)
+    send_peer_heartbeats(wire::PeerHeartbeatPart::SuccessorHints);
   timer_.expires_after(std::chrono::microseconds(static_cast<long long>(period_s_ * 1e6)));
   timer_.async_wait([this](auto error) {
     if (!error) send_periodic_peer_heartbeats();
@@ -108,20 +109,20 @@
 void PeerHeartbeats::record_heartbeat(const wire::PeerHeartbeat& heartbeat) {
   const auto peer = peers_.find(heartbeat.node);
   if (peer != peers_.end()) peer->second.last_heartbeat = Clock::now();
-  if (heartbeat.served) peer_served_at_ = Clock::now();
+  if (heartbeat.store_reachable) store_reachable_reported_at_ = Clock::now();
   if (!heartbeat.leading || heartbeat.term < leader_term_) return;
   leader_ = heartbeat.node;
   leader_term_ = heartbeat.term;
   leader_heartbeat_at_ = Clock::now();
-  leader_hints_.take(heartbeat);
+  leader_hints_.apply(heartbeat);
 }
 
 std::string PeerHeartbeats::leader() const {
   return age_s(leader_heartbeat_at_) < kRecentPeriods * period_s_ ? leader_ : std::string();
 }
 
-bool PeerHeartbeats::others_served() const {
-  return age_s(peer_served_at_) < kRecentPeriods * period_s_;
+bool PeerHeartbeats::store_reachable_by_any_peer() const {
+  return age_s(store_reachable_reported_at_) < kRecentPeriods * period_s_;
 }
 
 }  // namespace sumacquay
--- a/src/peer/peer_heartbeats.h
+++ b/src/peer/peer_heartbeats.h
@@ -13,7 +13,7 @@
 namespace sumacquay {
 
 /// Heartbeats between controllers. Every node periodically sends the highest term it has observed
-/// to every peer; the leader adds job counts for users and hints for its successor, such as the
+/// to every peer; the leader adds job progress for users and hints for its successor, such as the
 /// images that machines have cached. The node owns this object and supplies the contents (`Hooks`).
 ///
 /// Owns the peer server, the clients for peers, the time of each peer's last heartbeat and the
@@ -24,13 +24,13 @@
   /// Callbacks of the node, which supply the contents of heartbeats and handle answers.
   struct Hooks {
     /// Builds this node's heartbeat: its status, and the given part if this node leads.
-    std::function<wire::PeerHeartbeat(wire::PeerHeartbeatPart)> own;
+    std::function<wire::PeerHeartbeat(wire::PeerHeartbeatPart)> build_heartbeat;
     /// Builds the answer to a peer's heartbeat.
-    std::function<wire::PeerHeartbeat(const wire::PeerHeartbeat& from)> answer;
+    std::function<wire::PeerHeartbeat(const wire::PeerHeartbeat& from)> build_answer;
     /// Handles a peer's answer to the heartbeat that was sent at `sent_at`.
     std::function<void(const std::string& node, const wire::PeerHeartbeat&,
                        std::chrono::steady_clock::time_point sent_at)>
-        answered;
+        on_answer;
   };
   PeerHeartbeats(asio::io_context& io, const Settings& settings, double period_s, Hooks hooks);
   /// Starts the server and the periodic heartbeats.
@@ -45,7 +45,7 @@
   /// The latest hints of the leader, whether it is a peer or this node.
   const LeaderHints& leader_hints() const { return leader_hints_; }
   /// Whether a peer has recently reported that the state service answers it.
-  bool others_served() const;
+  bool store_reachable_by_any_peer() const;
 
  private:
   void send_periodic_peer_heartbeats();
@@ -68,10 +68,10 @@
   std::unique_ptr<HttpServer> server_;
   asio::steady_timer timer_;
   int periods_ = 0;
-  int periods_per_counts_;
+  int periods_per_job_progress_;
   std::string leader_;
   uint64_t leader_term_ = 0;
-  std::chrono::steady_clock::time_point leader_heartbeat_at_{}, peer_served_at_{};
+  std::chrono::steady_clock::time_point leader_heartbeat_at_{}, store_reachable_reported_at_{};
   LeaderHints leader_hints_;
   uint64_t last_batch_ = 0;  ///< number of the last batch sent, which its fragments carry
 };
--- a/src/simulators/cloud_server.cpp
+++ b/src/simulators/cloud_server.cpp
@@ -62,7 +62,7 @@
 void CloudServer::handle(const HttpRequest& request, const Respond& respond) {
   ++counts_.requests;
   HttpReply reply{kTooManyRequests, {}, 0};
-  if (rate_limit_.take(1, steady_now()))
+  if (rate_limit_.try_acquire(1, steady_now()))
     reply = route(request);
   else
     ++counts_.refused;
@@ -73,20 +73,20 @@
 }
 
 HttpReply CloudServer::route(const HttpRequest& request) {
-  if (request.path == wire::path::kTypes) return {kOk, types_body(options_.types), 0};
+  if (request.path == wire::path::kTypes) return {kOk, machine_types_body(options_.types), 0};
   if (request.path == wire::path::kRelease) return release(request);
   if (request.path != wire::path::kMachines) return {kNotFound, {}, 0};
   return request.method == "POST" ? scale_out(request) : list(request);
 }
 
 HttpReply CloudServer::scale_out(const HttpRequest& request) {
-  const auto scale_out_request = parse_rent(request.body);
+  const auto scale_out_request = parse_scale_out_request(request.body);
   const MachineType* machine_type =
       scale_out_request ? find_type(scale_out_request->type) : nullptr;
   if (!machine_type) return {kBadRequest, {}, 0};
-  const auto previous_answer = scale_out_answers_.find(scale_out_request->request);
+  const auto previous_answer = scale_out_answers_.find(scale_out_request->request_name);
   if (previous_answer != scale_out_answers_.end())
-    return {kOk, rented_body(previous_answer->second), 0};
+    return {kOk, scale_out_response_body(previous_answer->second), 0};
   const size_t active = active_machines();
   const size_t available = options_.max_machines > active ? options_.max_machines - active : 0;
   const auto count =
@@ -106,8 +106,8 @@
     boot(ids.back(), machine_type->boot_s);
   }
   counts_.provisioned += count;
-  scale_out_answers_[scale_out_request->request] = ids;
-  return {kOk, rented_body(ids), 0};
+  scale_out_answers_[scale_out_request->request_name] = ids;
+  return {kOk, scale_out_response_body(ids), 0};
 }
 
 void CloudServer::boot(const std::string& id, Seconds boot_s) {
@@ -129,7 +129,7 @@
     ++counts_.released;
     fleet_.remove(id);
   }
-  return {kOk, rented_body({}), 0};
+  return {kOk, scale_out_response_body({}), 0};
 }
 
 HttpReply CloudServer::list(const HttpRequest& request) const {
--- a/src/simulators/cloud_server.h
+++ b/src/simulators/cloud_server.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "net/http.h"
-#include "simulators/rate_limit.h"
 #include "simulators/simulated_fleet.h"
+#include "simulators/token_bucket.h"
 
 namespace sumacquay::simulators {
 
@@ -63,7 +63,7 @@
   asio::io_context& io_;
   CloudOptions options_;
   SimulatedFleet& fleet_;
-  RateLimit rate_limit_;
+  TokenBucket rate_limit_;
   CloudCounts counts_;
   std::map<std::string, ProvisionedMachine> machines_;
   std::map<std::string, std::vector<std::string>> scale_out_answers_;
--- a/src/simulators/key_value_store.h
+++ b/src/simulators/key_value_store.h
@@ -47,7 +47,7 @@
 
   /// All items, ordered by key.
   const std::map<std::string, Change>& items() const { return items_; }
-  std::vector<Change> all() const {
+  std::vector<Change> all_items() const {
     std::vector<Change> out;
     for (const auto& [key, item] : items_) out.push_back(item);
     return out;
@@ -101,20 +101,20 @@
     }
   }
 
-  uint64_t grant(Seconds now, Seconds duration) {
+  uint64_t grant_lease(Seconds now, Seconds duration) {
     leases_[++last_lease_id_] = {now + duration, duration};
     return last_lease_id_;
   }
 
   /// Extends a lease by its full duration; false if it has expired or been revoked.
-  bool renew(uint64_t lease, Seconds now) {
+  bool renew_lease(uint64_t lease, Seconds now) {
     const auto found = leases_.find(lease);
     if (found == leases_.end()) return false;
     found->second.ends_at = now + found->second.duration;
     return true;
   }
 
-  void revoke(uint64_t lease) {
+  void revoke_lease(uint64_t lease) {
     if (!leases_.erase(lease)) return;
     std::vector<std::string> attached_keys;
     for (const auto& [key, item] : items_)
@@ -128,7 +128,7 @@
     std::vector<uint64_t> expired;
     for (const auto& [id, lease] : leases_)
       if (now > lease.ends_at + kLeaseExpiryDelay) expired.push_back(id);
-    for (const auto id : expired) revoke(id);
+    for (const auto id : expired) revoke_lease(id);
   }
 
   /// Restarts all leases with their full duration, as the store does after an outage.
--- a/src/simulators/state_server.cpp
+++ b/src/simulators/key_value_store_server.cpp
@@ -1,4 +1,4 @@
-#include "simulators/state_server.h"
+#include "simulators/key_value_store_server.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -27,8 +27,8 @@
 
 HttpLimits server_limits() {
   HttpLimits limits;
-  limits.connections = kMaxConnections;
-  limits.body_bytes = size_t{128} * 1024;
+  limits.max_connections = kMaxConnections;
+  limits.max_body_bytes = size_t{128} * 1024;
   return limits;
 }
 
@@ -48,7 +48,8 @@
 
 }  // namespace
 
-StateServer::StateServer(asio::io_context& io, const Endpoint& endpoint, StateServerOptions options)
+KeyValueStoreServer::KeyValueStoreServer(asio::io_context& io, const Endpoint& endpoint,
+                                         KeyValueStoreServerOptions options)
     : io_(io),
       options_(options),
       request_limit_(options.requests_per_s, kRateLimitBurst),
@@ -61,16 +62,16 @@
   on_tick();
 }
 
-std::optional<std::string> StateServer::value(const std::string& key) const {
+std::optional<std::string> KeyValueStoreServer::value(const std::string& key) const {
   const auto* item = store_.find(key);
   if (!item) return std::nullopt;
   return *item->value;
 }
 
-void StateServer::handle(const HttpRequest& request, const Respond& respond) {
+void KeyValueStoreServer::handle(const HttpRequest& request, const Respond& respond) {
   ++counts_.requests;
   counts_.bytes_in += request.body.size();
-  if (!request_limit_.take(1, steady_now())) {
+  if (!request_limit_.try_acquire(1, steady_now())) {
     ++counts_.refused;
     return send_delayed(respond, {kTooManyRequests, {}, 0});
   }
@@ -79,19 +80,19 @@
   answer_due_watches();
 }
 
-HttpReply StateServer::route(const HttpRequest& request) {
+HttpReply KeyValueStoreServer::route(const HttpRequest& request) {
   if (request.path == wire::path::kTransaction) return compare_and_swap(request);
   if (request.path == wire::path::kStore) return list_page(request);
   if (request.path.starts_with(wire::path::kStore)) return read(request);
-  if (request.path.starts_with(wire::path::kGrants)) return handle_lease_request(request);
+  if (request.path.starts_with(wire::path::kLeases)) return handle_lease_request(request);
   return {kNotFound, {}, 0};
 }
 
-HttpReply StateServer::compare_and_swap(const HttpRequest& request) {
+HttpReply KeyValueStoreServer::compare_and_swap(const HttpRequest& request) {
   const auto transaction = parse_transaction(request.body);
   if (!transaction) return {kBadRequest, {}, 0};
   const auto writes = static_cast<double>(transaction->mutations.size());
-  if (!write_limit_.take(writes, steady_now())) {
+  if (!write_limit_.try_acquire(writes, steady_now())) {
     ++counts_.refused;
     return {kTooManyRequests, {}, 0};
   }
@@ -111,13 +112,13 @@
   return {kOk, revision_body(*revision), 0};
 }
 
-HttpReply StateServer::read(const HttpRequest& request) const {
+HttpReply KeyValueStoreServer::read(const HttpRequest& request) const {
   const auto* item = store_.find(key_in_path(request));
   if (!item) return {kNotFound, revision_body(store_.revision()), 0};
   return {kOk, item_body(to_stored_change(*item)), 0};
 }
 
-HttpReply StateServer::list_page(const HttpRequest& request) const {
+HttpReply KeyValueStoreServer::list_page(const HttpRequest& request) const {
   const std::string prefix = query_parameter(request.query, "under");
   const std::string after = query_parameter(request.query, "after");
   const uint64_t requested_limit = parse_number(query_parameter(request.query, "most"));
@@ -136,23 +137,23 @@
   return {kOk, items_body(items, false, store_.revision()), 0};
 }
 
-HttpReply StateServer::handle_lease_request(const HttpRequest& request) {
-  const std::string prefix = std::string(wire::path::kGrants) + "/";
-  if (request.path == wire::path::kGrants) {
-    const auto duration = parse_lease_seconds(request.body);
+HttpReply KeyValueStoreServer::handle_lease_request(const HttpRequest& request) {
+  const std::string prefix = std::string(wire::path::kLeases) + "/";
+  if (request.path == wire::path::kLeases) {
+    const auto duration = parse_lease_duration_s(request.body);
     if (!duration) return {kBadRequest, {}, 0};
-    return {kOk, lease_body(store_.grant(steady_now(), *duration)), 0};
+    return {kOk, lease_body(store_.grant_lease(steady_now(), *duration)), 0};
   }
   const uint64_t lease = parse_number(request.path.substr(prefix.size()));
   if (request.method == "DELETE") {
-    store_.revoke(lease);
+    store_.revoke_lease(lease);
     return {kOk, lease_body(lease), 0};
   }
-  const bool renewed = store_.renew(lease, steady_now());
+  const bool renewed = store_.renew_lease(lease, steady_now());
   return {renewed ? kOk : kNotFound, lease_body(lease), 0};
 }
 
-void StateServer::add_watch(const HttpRequest& request, const Respond& respond) {
+void KeyValueStoreServer::add_watch(const HttpRequest& request, const Respond& respond) {
   constexpr double kMillisecondsPerSecond = 1000;
   const auto wait_ms =
       static_cast<double>(parse_number(query_parameter(request.query, "block_ms")));
@@ -163,7 +164,7 @@
   watches_.push_back(std::move(watch));
 }
 
-HttpReply StateServer::changes_reply(const Watch& watch) const {
+HttpReply KeyValueStoreServer::changes_reply(const Watch& watch) const {
   if (!store_.log_covers(watch.after_revision)) return {kGone, {}, 0};
   std::vector<StoredChange> matching;
   for (const auto& change : store_.changes_after(watch.after_revision))
@@ -171,7 +172,7 @@
   return {kOk, changes_body(matching, store_.revision()), 0};
 }
 
-bool StateServer::has_changes(const Watch& watch) const {
+bool KeyValueStoreServer::has_changes(const Watch& watch) const {
   if (!store_.log_covers(watch.after_revision)) return true;
   const auto changes = store_.changes_after(watch.after_revision);
   return std::any_of(changes.begin(), changes.end(), [&](const Store::Change& change) {
@@ -179,7 +180,7 @@
   });
 }
 
-void StateServer::answer_due_watches() {
+void KeyValueStoreServer::answer_due_watches() {
   const Seconds now = steady_now();
   watches_.remove_if([&](const Watch& watch) {
     if (now < watch.ends_at && (watch.after_revision >= store_.revision() || !has_changes(watch)))
@@ -189,19 +190,19 @@
   });
 }
 
-void StateServer::send_delayed(const Respond& respond, HttpReply reply) {
+void KeyValueStoreServer::send_delayed(const Respond& respond, HttpReply reply) {
   auto timer = std::make_shared<asio::steady_timer>(io_, to_microseconds(options_.latency_s));
   timer->async_wait([this, timer, respond, reply = std::move(reply)](auto error) {
     if (!error) send(respond, reply);
   });
 }
 
-void StateServer::send(const Respond& respond, const HttpReply& reply) {
+void KeyValueStoreServer::send(const Respond& respond, const HttpReply& reply) {
   counts_.bytes_out += reply.body.size();
   respond(reply);
 }
 
-void StateServer::on_tick() {
+void KeyValueStoreServer::on_tick() {
   store_.expire_leases(steady_now());
   answer_due_watches();
   timer_.expires_after(to_microseconds(kTickInterval));
--- a/src/simulators/state_server.h
+++ b/src/simulators/key_value_store_server.h
@@ -7,19 +7,19 @@
 #include "config/settings.h"
 #include "net/http.h"
 #include "simulators/key_value_store.h"
-#include "simulators/rate_limit.h"
+#include "simulators/token_bucket.h"
 
 namespace sumacquay::simulators {
 
 /// Rate limits and latency of the simulated key-value store.
-struct StateServerOptions {
+struct KeyValueStoreServerOptions {
   double requests_per_s = 1000;
   double writes_per_s = 120;
   Seconds latency_s = 0.005;  ///< delay of each response
 };
 
 /// Counters of the simulated key-value store since its start.
-struct StateServerCounts {
+struct KeyValueStoreServerCounts {
   uint64_t requests = 0;
   uint64_t writes = 0;                   ///< puts and deletes
   uint64_t refused = 0;                  ///< rate limited: answered 429
@@ -29,11 +29,12 @@
 /// HTTP server on loopback that simulates the key-value store, with its rate limits: reads, paged
 /// lists, transactions, leases and watches. All data is kept in memory; any number of controllers
 /// may connect.
-class StateServer {
+class KeyValueStoreServer {
  public:
-  StateServer(asio::io_context& io, const Endpoint& endpoint, StateServerOptions options);
+  KeyValueStoreServer(asio::io_context& io, const Endpoint& endpoint,
+                      KeyValueStoreServerOptions options);
 
-  const StateServerCounts& counts() const { return counts_; }
+  const KeyValueStoreServerCounts& counts() const { return counts_; }
   /// The encoded value of a key; none if the key does not exist.
   std::optional<std::string> value(const std::string& key) const;
   size_t keys() const { return store_.items().size(); }
@@ -63,10 +64,10 @@
   void on_tick();
 
   asio::io_context& io_;
-  StateServerOptions options_;
+  KeyValueStoreServerOptions options_;
   Store store_;
-  RateLimit request_limit_, write_limit_;
-  StateServerCounts counts_;
+  TokenBucket request_limit_, write_limit_;
+  KeyValueStoreServerCounts counts_;
   std::list<Watch> watches_;
   asio::steady_timer timer_;
   HttpServer server_;
--- a/src/simulators/messages.cpp
+++ b/src/simulators/messages.cpp
@@ -16,11 +16,11 @@
 using wire::Document;
 using wire::View;
 using wire::codec::Buffer;
-using wire::codec::build;
 using wire::codec::Fields;
 using wire::codec::name_of;
 using wire::codec::pack_field;
 using wire::codec::pack_list;
+using wire::codec::pack_message;
 using wire::codec::pack_text;
 using wire::codec::Packer;
 using wire::codec::read_root;
@@ -41,19 +41,19 @@
 }
 
 std::optional<Command> read_command(View map) {
-  const auto verb = value_of(enum_names::kVerbs, map["verb"]);
+  const auto type = value_of(enum_names::kCommandTypes, map["verb"]);
   const auto key = read_task_key(map[field::kTask]);
-  const auto attempt = map[field::kAttempt].count();
-  if (!verb || !key || !attempt) return std::nullopt;
-  return Command{*verb, *key, *attempt, map["easing_s"].number().value_or(0)};
+  const auto attempt = map[field::kAttempt].unsigned_integer();
+  if (!type || !key || !attempt) return std::nullopt;
+  return Command{*type, *key, *attempt, map["easing_s"].number().value_or(0)};
 }
 
 std::optional<WorkerCommands> read_commands(View root) {
   WorkerCommands worker_commands;
-  const auto fencing_token = root[field::kFencingToken].count();
+  const auto fencing_token = root[field::kFencingToken].unsigned_integer();
   if (!fencing_token) return std::nullopt;
   worker_commands.fencing_token = *fencing_token;
-  worker_commands.agent_epoch = root[field::kAgentEpoch].count().value_or(0);
+  worker_commands.agent_epoch = root[field::kAgentEpoch].unsigned_integer().value_or(0);
   const View list = root["orders"];
   for (size_t i = 0; i < list.size(); ++i) {
     auto command = read_command(list.at(i));
@@ -80,7 +80,7 @@
 
 std::optional<StoredChange> read_change(View map) {
   StoredChange change;
-  change.lease = map[field::kLease].count().value_or(0);
+  change.lease = map[field::kLease].unsigned_integer().value_or(0);
   if (const auto key = map[field::kDelete].text()) {
     change.key = *key;
     return change;
@@ -98,7 +98,7 @@
   const View preconditions = root["guards"];
   for (size_t i = 0; i < preconditions.size(); ++i) {
     const auto key = preconditions.at(i)[field::kKey].text();
-    const auto version = preconditions.at(i)[field::kVersion].count();
+    const auto version = preconditions.at(i)[field::kVersion].unsigned_integer();
     if (!key || !version) return std::nullopt;
     transaction.preconditions.push_back({*key, *version});
   }
@@ -158,14 +158,14 @@
   pack_field(packer, "age_s", machine.age_s);
 }
 
-std::optional<RentRequest> read_scale_out_request(View root) {
+std::optional<ScaleOutRequest> read_scale_out_request(View root) {
   Fields fields(root);
-  RentRequest scale_out;
-  scale_out.request = fields.text("hire", 1, kMaxNameBytes);
+  ScaleOutRequest scale_out;
+  scale_out.request_name = fields.text("hire", 1, kMaxNameBytes);
   scale_out.type = fields.text(field::kType, 1, kMaxNameBytes);
   scale_out.zone = fields.text(field::kZone, 0, kMaxNameBytes);
   scale_out.spot = fields.flag(field::kSpot);
-  scale_out.count = fields.count("how_many", 1, UINT32_MAX);
+  scale_out.count = fields.unsigned_integer("how_many", 1, UINT32_MAX);
   if (!fields.ok()) return std::nullopt;
   return scale_out;
 }
@@ -173,7 +173,7 @@
 }  // namespace
 
 std::string worker_heartbeat_body(const WorkerHeartbeat& heartbeat) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(heartbeat.preemption_notice_s ? 10 : 9);
     pack_field(packer, field::kMachine, heartbeat.machine);
     pack_field(packer, field::kAddress, heartbeat.addr);
@@ -201,7 +201,7 @@
 }
 
 std::string submission_body(const JobSpec& spec) {
-  return build([&](Packer& packer) { wire::codec::pack_spec(packer, spec); });
+  return pack_message([&](Packer& packer) { wire::codec::pack_spec(packer, spec); });
 }
 
 std::optional<JobStatus> parse_job_status(std::string_view body) {
@@ -210,8 +210,8 @@
     if (!state) return std::nullopt;
     JobStatus status;
     status.state = *state;
-    status.done = static_cast<uint32_t>(root["done"].count().value_or(0));
-    status.running = static_cast<uint32_t>(root["running"].count().value_or(0));
+    status.done = static_cast<uint32_t>(root["done"].unsigned_integer().value_or(0));
+    status.running = static_cast<uint32_t>(root["running"].unsigned_integer().value_or(0));
     return status;
   });
 }
@@ -251,14 +251,14 @@
 }
 
 std::string revision_body(uint64_t revision) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(1);
     pack_field(packer, field::kRevision, revision);
   });
 }
 
 std::string conflict_body(const std::vector<std::string>& failed, uint64_t revision) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(2);
     pack_text(packer, "failed");
     wire::codec::pack_texts(packer, failed);
@@ -267,13 +267,13 @@
 }
 
 std::string lease_body(uint64_t lease) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(1);
     pack_field(packer, field::kLease, lease);
   });
 }
 
-std::optional<double> parse_lease_seconds(std::string_view body) {
+std::optional<double> parse_lease_duration_s(std::string_view body) {
   constexpr double kMillisecondsPerSecond = 1000;
   return read_root<double>(body, [](View root) -> std::optional<double> {
     const auto milliseconds = root["life_ms"].number();
@@ -282,8 +282,8 @@
   });
 }
 
-std::string types_body(const std::vector<MachineType>& types) {
-  return build([&](Packer& packer) {
+std::string machine_types_body(const std::vector<MachineType>& types) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(1);
     pack_text(packer, field::kTypes);
     pack_list(packer, types.size());
@@ -292,7 +292,7 @@
 }
 
 std::string machines_body(const std::vector<ListedMachine>& machines, bool more) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(2);
     pack_text(packer, field::kMachines);
     pack_list(packer, machines.size());
@@ -301,12 +301,12 @@
   });
 }
 
-std::optional<RentRequest> parse_rent(std::string_view body) {
-  return read_root<RentRequest>(body, read_scale_out_request);
+std::optional<ScaleOutRequest> parse_scale_out_request(std::string_view body) {
+  return read_root<ScaleOutRequest>(body, read_scale_out_request);
 }
 
-std::string rented_body(const std::vector<std::string>& machines) {
-  return build([&](Packer& packer) {
+std::string scale_out_response_body(const std::vector<std::string>& machines) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(1);
     pack_text(packer, field::kMachines);
     wire::codec::pack_texts(packer, machines);
--- a/src/simulators/messages.h
+++ b/src/simulators/messages.h
@@ -63,21 +63,21 @@
 std::string revision_body(uint64_t revision);
 std::string conflict_body(const std::vector<std::string>& failed, uint64_t revision);
 std::string lease_body(uint64_t lease);
-std::optional<double> parse_lease_seconds(std::string_view body);
+std::optional<double> parse_lease_duration_s(std::string_view body);
 
 // The cloud.
 
-std::string types_body(const std::vector<MachineType>& types);
+std::string machine_types_body(const std::vector<MachineType>& types);
 std::string machines_body(const std::vector<ListedMachine>& machines, bool more);
 
 /// A scale-out request.
-struct RentRequest {
-  std::string request, type, zone;  ///< `request` is the idempotency key
+struct ScaleOutRequest {
+  std::string request_name, type, zone;  ///< `request_name` is the idempotency key
   bool spot = false;
   uint64_t count = 0;
 };
-std::optional<RentRequest> parse_rent(std::string_view body);
-std::string rented_body(const std::vector<std::string>& machines);
+std::optional<ScaleOutRequest> parse_scale_out_request(std::string_view body);
+std::string scale_out_response_body(const std::vector<std::string>& machines);
 std::optional<std::vector<std::string>> parse_release(std::string_view body);
 
 /// The value of a query parameter; empty if it is missing.
--- a/src/simulators/rule_checker.cpp
+++ b/src/simulators/rule_checker.cpp
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-RuleChecker::RuleChecker(const std::vector<TeamSettings>& teams, Seconds cancel_s, JobBook& jobs)
+RuleChecker::RuleChecker(const std::vector<TeamSettings>& teams, Seconds cancel_s,
+                         SubmittedJobs& jobs)
     : cancel_s_(cancel_s), jobs_(jobs) {
   for (const auto& team : teams) teams_[team.name] = team;
 }
@@ -27,7 +28,7 @@
     violations_.push_back(violation + " at " + std::to_string(now));
 }
 
-void RuleChecker::task_arrived(const WorkerState& worker, const TaskKey& key, Seconds now) {
+void RuleChecker::on_task_started(const WorkerState& worker, const TaskKey& key, Seconds now) {
   ++starts_;
   const auto job = jobs_.find(key.job);
   if (job == jobs_.end())
@@ -68,7 +69,7 @@
     add_violation("wrong_place " + format_task_key(key) + " on " + worker.id, now);
 }
 
-void RuleChecker::task_left(const WorkerState& worker, const TaskKey& key) {
+void RuleChecker::on_task_removed(const WorkerState& worker, const TaskKey& key) {
   const auto found = task_locations_.find(key);
   if (found == task_locations_.end()) return;
   auto& locations = found->second;
@@ -87,31 +88,31 @@
   if (job != jobs_.end()) team_usage_[job->second.spec.team] -= job->second.spec.request;
 }
 
-void RuleChecker::user_told_done(const std::string& id, Seconds now) {
+void RuleChecker::on_done_reported(const std::string& id, Seconds now) {
   SubmittedJob& job = jobs_.at(id);
   if (!job.complete()) add_violation("not_done " + id, now);
   if (job.cancel_confirmed_at) add_violation("went_back " + id, now);
   if (!job.reported_done_at) job.reported_done_at = now;
 }
 
-void RuleChecker::user_told_cancelled(const std::string& id, Seconds now) {
+void RuleChecker::on_cancellation_reported(const std::string& id, Seconds now) {
   SubmittedJob& job = jobs_.at(id);
-  if (!job.cancel_asked_at || job.reported_done_at) add_violation("went_back " + id, now);
+  if (!job.cancel_requested_at || job.reported_done_at) add_violation("went_back " + id, now);
   if (!job.cancel_confirmed_at) job.cancel_confirmed_at = now;
 }
 
-void RuleChecker::user_told_unfinished(const std::string& id, Seconds requested_at) {
+void RuleChecker::on_unfinished_reported(const std::string& id, Seconds requested_at) {
   const SubmittedJob& job = jobs_.at(id);
   const bool was_cancelled = job.cancel_confirmed_at && *job.cancel_confirmed_at < requested_at;
   const bool was_done = job.reported_done_at && *job.reported_done_at < requested_at;
   if (was_cancelled || was_done) add_violation("went_back " + id, requested_at);
 }
 
-void RuleChecker::user_told_unknown(const std::string& id, Seconds now) {
+void RuleChecker::on_unknown_job_reported(const std::string& id, Seconds now) {
   add_violation("forgotten " + id, now);
 }
 
-void RuleChecker::check_cancelled(Seconds now) {
+void RuleChecker::check_cancelled_jobs(Seconds now) {
   for (const auto& [id, locations] : job_locations_) {
     const auto job = jobs_.find(id);
     if (job == jobs_.end() || !job->second.cancel_confirmed_at) continue;
--- a/src/simulators/rule_checker.h
+++ b/src/simulators/rule_checker.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "simulators/job_book.h"
+#include "simulators/submitted_jobs.h"
 #include "simulators/worker_state.h"
 
 namespace sumacquay::simulators {
@@ -15,24 +15,24 @@
 /// the number of changes, not on the number of machines.
 class RuleChecker {
  public:
-  RuleChecker(const std::vector<TeamSettings>& teams, Seconds cancel_s, JobBook& jobs);
+  RuleChecker(const std::vector<TeamSettings>& teams, Seconds cancel_s, SubmittedJobs& jobs);
 
   /// Records that a worker has started a task attempt, and checks uniqueness, quota and placement.
-  void task_arrived(const WorkerState& worker, const TaskKey& key, Seconds now);
+  void on_task_started(const WorkerState& worker, const TaskKey& key, Seconds now);
   /// Records that a task has left a worker: it exited, the agent epoch ended, or the machine is
   /// gone.
-  void task_left(const WorkerState& worker, const TaskKey& key);
+  void on_task_removed(const WorkerState& worker, const TaskKey& key);
   /// Checks an answer to a user that reports the job done.
-  void user_told_done(const std::string& id, Seconds now);
+  void on_done_reported(const std::string& id, Seconds now);
   /// Checks an answer to a user that reports the job cancelled.
-  void user_told_cancelled(const std::string& id, Seconds now);
+  void on_cancellation_reported(const std::string& id, Seconds now);
   /// Checks an answer to a user that reports the job pending or running. `requested_at` is the time
   /// of the request: answers sent before a final state was reported are valid.
-  void user_told_unfinished(const std::string& id, Seconds requested_at);
+  void on_unfinished_reported(const std::string& id, Seconds requested_at);
   /// Records a violation: an accepted job was reported as unknown.
-  void user_told_unknown(const std::string& id, Seconds now);
+  void on_unknown_job_reported(const std::string& id, Seconds now);
   /// Checks that no task of a cancelled job remains on a machine `cancel_s` after the confirmation.
-  void check_cancelled(Seconds now);
+  void check_cancelled_jobs(Seconds now);
 
   const std::vector<std::string>& violations() const { return violations_; }
   size_t starts() const { return starts_; }
@@ -57,7 +57,7 @@
 
   std::unordered_map<std::string, TeamSettings> teams_;
   Seconds cancel_s_;
-  JobBook& jobs_;
+  SubmittedJobs& jobs_;
   std::map<TaskKey, std::vector<Location>> task_locations_;
   std::unordered_map<std::string, JobLocations> job_locations_;
   std::unordered_map<std::string, Resources> team_usage_;  ///< by team
--- a/src/simulators/simulated_fleet.cpp
+++ b/src/simulators/simulated_fleet.cpp
@@ -68,7 +68,7 @@
   if (found == workers_.end()) return;
   std::vector<std::pair<TaskKey, uint64_t>> lost;
   for (const auto& [key, task] : found->second->state().tasks)
-    if (task.present()) lost.emplace_back(key, task.attempt);
+    if (task.active()) lost.emplace_back(key, task.attempt);
   workers_.erase(found);
   for (const auto& [key, attempt] : lost) on_gang_task_lost(key, attempt);
 }
--- a/src/simulators/simulated_worker.cpp
+++ b/src/simulators/simulated_worker.cpp
@@ -34,7 +34,7 @@
 
 HttpLimits command_limits() {
   HttpLimits limits;
-  limits.connections = kMaxCommandConnections;
+  limits.max_connections = kMaxCommandConnections;
   return limits;
 }
 
@@ -54,7 +54,7 @@
 SimulatedWorker::~SimulatedWorker() {
   *alive_ = false;
   for (const auto& [key, task] : state_.tasks)
-    if (task.present()) context_.checker.task_left(state_, key);
+    if (task.active()) context_.checker.on_task_removed(state_, key);
 }
 
 Seconds SimulatedWorker::random_between(Seconds low, Seconds high) {
@@ -63,7 +63,7 @@
 
 void SimulatedWorker::start() {
   const Seconds now = steady_now();
-  state_.agent_epoch_began = now;
+  state_.agent_epoch_started_at = now;
   next_heartbeat_ = now + random_between(0, context_.timing.heartbeat_period_s);
   schedule_wake_up();
 }
@@ -78,9 +78,10 @@
 void SimulatedWorker::schedule_wake_up() {
   Seconds next = heartbeat_in_flight_ ? kNever : next_heartbeat_;
   for (const auto& [key, task] : state_.tasks)
-    if (task.present()) next = std::min(next, task.next_change);
+    if (task.active()) next = std::min(next, task.next_transition_at);
   const Seconds lease_end =
-      state_.answered_heartbeat.value_or(state_.agent_epoch_began) + context_.timing.lease_s;
+      state_.last_answered_heartbeat_at.value_or(state_.agent_epoch_started_at) +
+      context_.timing.lease_s;
   next = std::min(next, lease_end);
   constexpr Seconds kMinTimerDelay = 0.001;
   timer_.expires_after(to_microseconds(std::max(next - steady_now(), kMinTimerDelay)));
@@ -102,9 +103,9 @@
   ++context_.counts.leases_lost;
   std::vector<std::pair<TaskKey, uint64_t>> ended_attempts;
   for (const auto& [key, task] : state_.tasks)
-    if (task.present()) ended_attempts.emplace_back(key, task.attempt);
-  for (const auto& [key, attempt] : ended_attempts) context_.checker.task_left(state_, key);
-  state_.expire_agent_epoch(context_.timing.lease_s, now);
+    if (task.active()) ended_attempts.emplace_back(key, task.attempt);
+  for (const auto& [key, attempt] : ended_attempts) context_.checker.on_task_removed(state_, key);
+  state_.restart_agent_epoch_if_expired(context_.timing.lease_s, now);
   for (const auto& [key, attempt] : ended_attempts) context_.gang_task_lost(key, attempt);
   expedite_heartbeat(now);
 }
@@ -114,7 +115,7 @@
 void SimulatedWorker::advance_tasks(Seconds now) {
   std::vector<TaskKey> due;
   for (const auto& [key, task] : state_.tasks)
-    if (task.present() && now >= task.next_change) due.push_back(key);
+    if (task.active() && now >= task.next_transition_at) due.push_back(key);
   for (const auto& key : due) {
     const auto task = state_.tasks.find(key);
     if (task != state_.tasks.end()) advance_task(key, task->second, now);
@@ -127,7 +128,7 @@
     case TaskState::Fetching:
       if (job.spec.kind != JobKind::Gang) return set_running(key, task, job.run_s, now);
       task.state = TaskState::Waiting;
-      task.next_change = now + context_.timing.gang_wait_s;
+      task.next_transition_at = now + context_.timing.gang_wait_s;
       expedite_heartbeat(now);
       return context_.gang_task_ready(state_.id, key, task.attempt);
     case TaskState::Waiting:
@@ -144,7 +145,7 @@
                                   Seconds now) {
   const bool service = context_.jobs.at(key.job).spec.kind == JobKind::Service;
   task.state = TaskState::Running;
-  task.next_change = service ? kNever : now + run_s;
+  task.next_transition_at = service ? kNever : now + run_s;
   context_.task_running(key.job);
   expedite_heartbeat(now);
 }
@@ -154,7 +155,7 @@
   task.state = TaskState::Exited;
   task.cause = cause;
   if (cause == ExitCause::Done) context_.jobs.at(key.job).done.insert(key.task);
-  context_.checker.task_left(state_, key);
+  context_.checker.on_task_removed(state_, key);
   expedite_heartbeat(steady_now());
   if (cause != ExitCause::Done) context_.gang_task_lost(key, attempt);
 }
@@ -170,7 +171,7 @@
 void SimulatedWorker::end_gang_task(const TaskKey& key, uint64_t attempt, ExitCause cause) {
   const auto task = state_.tasks.find(key);
   if (task == state_.tasks.end() || task->second.attempt != attempt) return;
-  if (!task->second.present()) return;
+  if (!task->second.active()) return;
   set_exited(key, task->second, cause);
   schedule_wake_up();
 }
@@ -183,8 +184,8 @@
     }
     WorkerTask* task = state_.find(command);
     if (!task) continue;
-    if (command.type == CommandType::Discard && !task->present()) state_.tasks.erase(command.key);
-    if (command.type == CommandType::Stop && task->present())
+    if (command.type == CommandType::Discard && !task->active()) state_.tasks.erase(command.key);
+    if (command.type == CommandType::Stop && task->active())
       set_exited(command.key, *task, ExitCause::Stopped);
   }
 }
@@ -198,8 +199,8 @@
     task.state = TaskState::Exited;
     task.cause = ExitCause::Unknown;
   } else {
-    task.next_change = now + random_between(0.5, 1.5) * context_.timing.fetch_s;
-    context_.checker.task_arrived(state_, command.key, now);
+    task.next_transition_at = now + random_between(0.5, 1.5) * context_.timing.fetch_s;
+    context_.checker.on_task_started(state_, command.key, now);
   }
   state_.tasks[command.key] = task;
   expedite_heartbeat(now);
@@ -255,7 +256,7 @@
   ++context_.counts.heartbeats_answered;
   if (worker_commands->fencing_token > state_.fencing_token) expedite_heartbeat(now);
   state_.advance_fencing_token(worker_commands->fencing_token);
-  state_.answered_heartbeat = sent_at;
+  state_.last_answered_heartbeat_at = sent_at;
   execute(worker_commands->commands, now);
 }
 
--- a/src/simulators/simulated_worker.h
+++ b/src/simulators/simulated_worker.h
@@ -9,8 +9,8 @@
 #include "config/settings.h"
 #include "net/http.h"
 #include "net/http_client.h"
-#include "simulators/job_book.h"
 #include "simulators/rule_checker.h"
+#include "simulators/submitted_jobs.h"
 #include "simulators/worker_state.h"
 
 namespace sumacquay::simulators {
@@ -40,7 +40,7 @@
   std::vector<std::string> controller_names;
   std::vector<Endpoint> controllers;
   WorkerTiming timing;
-  JobBook& jobs;
+  SubmittedJobs& jobs;
   RuleChecker& checker;
   WorkerCounts counts;
   std::mt19937_64 random;
--- a/src/simulators/job_book.h
+++ b/src/simulators/submitted_jobs.h
@@ -16,7 +16,7 @@
   std::optional<Seconds> submitted_at;  ///< the first attempt to submit it
   std::optional<Seconds> accepted_at;
   std::optional<Seconds> first_started_at;  ///< start of its first running task
-  std::optional<Seconds> cancel_asked_at;
+  std::optional<Seconds> cancel_requested_at;
   std::optional<Seconds> cancel_confirmed_at;  ///< confirmation of the cancellation to the user
   std::optional<Seconds> reported_done_at;
   std::set<uint32_t> done;  ///< completed tasks
@@ -26,6 +26,6 @@
 
 /// All submitted jobs by id. Simulated workers read job specs here, as real workers would get them
 /// from users.
-using JobBook = std::map<std::string, SubmittedJob>;
+using SubmittedJobs = std::map<std::string, SubmittedJob>;
 
 }  // namespace sumacquay::simulators
--- a/src/simulators/users.cpp
+++ b/src/simulators/users.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Users::Users(asio::io_context& io, const std::vector<Endpoint>& controllers, JobBook& jobs,
+Users::Users(asio::io_context& io, const std::vector<Endpoint>& controllers, SubmittedJobs& jobs,
              RuleChecker& checker)
     : io_(io), jobs_(jobs), checker_(checker), poll_timer_(io) {
   for (const auto& controller : controllers)
@@ -69,7 +69,7 @@
 
 void Users::cancel(const std::string& id) {
   SubmittedJob& job = jobs_.at(id);
-  if (!job.cancel_asked_at) job.cancel_asked_at = steady_now();
+  if (!job.cancel_requested_at) job.cancel_requested_at = steady_now();
   send_cancellation(id);
 }
 
@@ -85,9 +85,9 @@
                               }
                               const Seconds now = steady_now();
                               if (status->state == wire::UserVisibleState::Cancelled)
-                                checker_.user_told_cancelled(id, now);
+                                checker_.on_cancellation_reported(id, now);
                               if (status->state == wire::UserVisibleState::Done)
-                                checker_.user_told_done(id, now);
+                                checker_.on_done_reported(id, now);
                             });
 }
 
@@ -122,7 +122,7 @@
 void Users::on_status_response(const std::string& id, const HttpResult& result, Seconds sent_at) {
   const auto status = result.ok() ? parse_job_status(result.body) : std::nullopt;
   if (result.answered && result.status == kNotFound)
-    return checker_.user_told_unknown(id, steady_now());
+    return checker_.on_unknown_job_reported(id, steady_now());
   if (!status) {
     ++(result.answered ? counts_.refused : counts_.unanswered);
     return;
@@ -130,12 +130,12 @@
   const Seconds now = steady_now();
   switch (status->state) {
     case wire::UserVisibleState::Done:
-      return checker_.user_told_done(id, now);
+      return checker_.on_done_reported(id, now);
     case wire::UserVisibleState::Cancelled:
-      return checker_.user_told_cancelled(id, now);
+      return checker_.on_cancellation_reported(id, now);
     case wire::UserVisibleState::Pending:
     case wire::UserVisibleState::Running:
-      return checker_.user_told_unfinished(id, sent_at);
+      return checker_.on_unfinished_reported(id, sent_at);
   }
 }
 
--- a/src/simulators/users.h
+++ b/src/simulators/users.h
@@ -7,8 +7,8 @@
 
 #include "config/settings.h"
 #include "net/http_client.h"
-#include "simulators/job_book.h"
 #include "simulators/rule_checker.h"
+#include "simulators/submitted_jobs.h"
 
 namespace sumacquay::simulators {
 
@@ -24,7 +24,7 @@
 /// round-robin order, and retry submissions and cancellations until they are confirmed.
 class Users {
  public:
-  Users(asio::io_context& io, const std::vector<Endpoint>& controllers, JobBook& jobs,
+  Users(asio::io_context& io, const std::vector<Endpoint>& controllers, SubmittedJobs& jobs,
         RuleChecker& checker);
   ~Users();
 
@@ -47,7 +47,7 @@
   void retry_later(std::function<void()> action);
 
   asio::io_context& io_;
-  JobBook& jobs_;
+  SubmittedJobs& jobs_;
   RuleChecker& checker_;
   std::vector<std::unique_ptr<HttpClient>> controllers_;
   size_t controller_index_ = 0;
--- a/src/simulators/worker_state.cpp
+++ b/src/simulators/worker_state.cpp
@@ -25,21 +25,21 @@
 }
 
 bool WorkerState::lease_expired(Seconds lease, Seconds now) const {
-  return now - answered_heartbeat.value_or(agent_epoch_began) > lease;
+  return now - last_answered_heartbeat_at.value_or(agent_epoch_started_at) > lease;
 }
 
-void WorkerState::expire_agent_epoch(Seconds lease, Seconds now) {
+void WorkerState::restart_agent_epoch_if_expired(Seconds lease, Seconds now) {
   if (!lease_expired(lease, now)) return;
   tasks.clear();
   ++agent_epoch;
-  agent_epoch_began = now;
-  answered_heartbeat.reset();
+  agent_epoch_started_at = now;
+  last_answered_heartbeat_at.reset();
 }
 
 bool WorkerState::accepts_start(const Command& command) const {
   const auto found = tasks.find(command.key);
   if (found == tasks.end()) return true;
-  return found->second.attempt != command.attempt && !found->second.present();
+  return found->second.attempt != command.attempt && !found->second.active();
 }
 
 WorkerTask* WorkerState::find(const Command& command) {
--- a/src/simulators/worker_state.h
+++ b/src/simulators/worker_state.h
@@ -13,9 +13,9 @@
   uint64_t attempt = 0;
   TaskState state = TaskState::Fetching;
   ExitCause cause = ExitCause::None;
-  Seconds next_change = 0;  ///< time of the next state change without a command
+  Seconds next_transition_at = 0;  ///< time of the next state change without a command
 
-  bool present() const { return state != TaskState::Exited; }
+  bool active() const { return state != TaskState::Exited; }
 };
 
 /// State of a worker, without I/O: its agent epoch, the highest fencing token seen, and its tasks.
@@ -24,8 +24,8 @@
   std::string id, addr, type, zone;
   bool spot = false;
   uint64_t agent_epoch = 1, sequence_number = 0, fencing_token = 0;
-  Seconds agent_epoch_began = 0;
-  std::optional<Seconds> answered_heartbeat;  ///< send time of the last answered heartbeat
+  Seconds agent_epoch_started_at = 0;
+  std::optional<Seconds> last_answered_heartbeat_at;  ///< send time of the last answered heartbeat
   std::map<TaskKey, WorkerTask> tasks;
 
   /// Builds the next heartbeat; increments the sequence number.
@@ -36,7 +36,7 @@
   /// from the start of the agent epoch.
   bool lease_expired(Seconds lease, Seconds now) const;
   /// Starts a new agent epoch without tasks if the lease has expired.
-  void expire_agent_epoch(Seconds lease, Seconds now);
+  void restart_agent_epoch_if_expired(Seconds lease, Seconds now);
   /// Whether a start command has an effect. It is ignored if the worker has the same attempt in any
   /// state, or another attempt of the task that has not exited.
   bool accepts_start(const Command& command) const;
--- a/src/store/key_value_store_client.cpp
+++ b/src/store/key_value_store_client.cpp
@@ -50,7 +50,7 @@
       break;
     case kStatusConflict:
       result.outcome = TransactionOutcome::PreconditionFailed;
-      result.failed = wire::parse_failed(response.body);
+      result.failed = wire::parse_failed_keys(response.body);
       break;
     case kStatusBadRequest:
       result.outcome = with_lease ? TransactionOutcome::NoLease : TransactionOutcome::TooLarge;
@@ -74,13 +74,13 @@
       write_budget_(settings.state_write_rps * kBudgetFraction),
       queue_timer_(io),
       refilled_at_(Clock::now()),
-      last_served_(Clock::now()) {}
+      last_available_at_(Clock::now()) {}
 
-HttpDone KeyValueStoreClient::with_status_tracking(HttpDone done) {
+HttpCallback KeyValueStoreClient::with_status_tracking(HttpCallback done) {
   return [this, done = std::move(done)](HttpResult result) {
     if (rate_limited(result)) request_budget_.drain();
-    const bool served = result.answered && !unavailable(result) && !rate_limited(result);
-    if (served) last_served_ = Clock::now();
+    const bool available = result.answered && !unavailable(result) && !rate_limited(result);
+    if (available) last_available_at_ = Clock::now();
     done(std::move(result));
   };
 }
@@ -180,28 +180,31 @@
   submit(priority, std::move(request));
 }
 
-void KeyValueStoreClient::read(RequestPriority priority, const std::string& target, HttpDone done) {
+void KeyValueStoreClient::read(RequestPriority priority, const std::string& target,
+                               HttpCallback done) {
   submit(priority, Request{"GET", target, {}, 0, std::move(done)});
 }
 
-void KeyValueStoreClient::watch(const std::string& target, double wait_s, HttpDone done) {
+void KeyValueStoreClient::watch(const std::string& target, double wait_s, HttpCallback done) {
   request_budget_.take(1);
   watch_client_.request("GET", target, {}, wait_s + request_timeout_s_,
                         with_status_tracking(std::move(done)));
 }
 
-void KeyValueStoreClient::grant(double ttl_s, std::function<void(std::optional<uint64_t>)> done) {
+void KeyValueStoreClient::grant_lease(double ttl_s,
+                                      std::function<void(std::optional<uint64_t>)> done) {
   submit(RequestPriority::Leadership,
-         Request{"POST", wire::path::kGrants, wire::grant_body(static_cast<uint64_t>(ttl_s * 1000)),
-                 0, [done = std::move(done)](const HttpResult& result) {
-                   done(result.ok() ? wire::parse_lease(result.body) : std::nullopt);
+         Request{"POST", wire::path::kLeases,
+                 wire::lease_request_body(static_cast<uint64_t>(ttl_s * 1000)), 0,
+                 [done = std::move(done)](const HttpResult& result) {
+                   done(result.ok() ? wire::parse_lease_id(result.body) : std::nullopt);
                  }});
 }
 
-void KeyValueStoreClient::renew(uint64_t lease, double timeout_s,
-                                std::function<void(Renewal)> done) {
+void KeyValueStoreClient::renew_lease(uint64_t lease, double timeout_s,
+                                      std::function<void(Renewal)> done) {
   request_budget_.take(1);
-  urgent_client_.request("POST", wire::renew_path(lease), {}, timeout_s,
+  urgent_client_.request("POST", wire::lease_renewal_path(lease), {}, timeout_s,
                          with_status_tracking([done = std::move(done)](const HttpResult& result) {
                            if (result.ok()) return done(Renewal::Renewed);
                            done(result.answered && result.status == kStatusNotFound
@@ -210,9 +213,9 @@
                          }));
 }
 
-void KeyValueStoreClient::revoke(uint64_t lease, HttpDone done) {
+void KeyValueStoreClient::revoke_lease(uint64_t lease, HttpCallback done) {
   submit(RequestPriority::Leadership,
-         Request{"DELETE", wire::grant_path(lease), {}, 0, std::move(done)});
+         Request{"DELETE", wire::lease_path(lease), {}, 0, std::move(done)});
 }
 
 }  // namespace sumacquay
--- a/src/store/key_value_store_client.h
+++ b/src/store/key_value_store_client.h
@@ -66,15 +66,15 @@
 
   /// Reads a path built by wire/store_messages.h. `done` gets status 429 if the queue is full, or
   /// if the store rate-limited the request until its deadline.
-  void read(RequestPriority priority, const std::string& target, HttpDone done);
+  void read(RequestPriority priority, const std::string& target, HttpCallback done);
 
   /// Long-polls for changes; the store may hold the request for up to `wait_s`. Bypasses the budget
   /// and uses separate connections.
-  void watch(const std::string& target, double wait_s, HttpDone done);
+  void watch(const std::string& target, double wait_s, HttpCallback done);
 
   /// Requests a new lease with this time to live. `done` gets none if the request failed; a lease
   /// that was granted although the response was lost expires on its own.
-  void grant(double ttl_s, std::function<void(std::optional<uint64_t>)> done);
+  void grant_lease(double ttl_s, std::function<void(std::optional<uint64_t>)> done);
 
   enum class Renewal {
     Renewed,
@@ -82,21 +82,21 @@
     Failed,  ///< no usable response: the lease may or may not have been renewed
   };
   /// Renews a lease. Bypasses the budget and the request queues.
-  void renew(uint64_t lease, double timeout_s, std::function<void(Renewal)> done);
+  void renew_lease(uint64_t lease, double timeout_s, std::function<void(Renewal)> done);
 
   /// Revokes a lease before it expires.
-  void revoke(uint64_t lease, HttpDone done);
+  void revoke_lease(uint64_t lease, HttpCallback done);
 
   /// Steady time of the last response that shows that the store serves this node, that is, any
   /// response with a status other than 429 and 503.
-  std::chrono::steady_clock::time_point last_served() const { return last_served_; }
+  std::chrono::steady_clock::time_point last_available_at() const { return last_available_at_; }
 
  private:
   /// A request that is queued or in flight.
   struct Request {
     std::string method, target, body;
     double writes = 0;  ///< number of mutations, which count against the write limit
-    HttpDone done;
+    HttpCallback done;
     std::chrono::steady_clock::time_point submitted_at{};
   };
 
@@ -130,8 +130,8 @@
   std::deque<Request>& queue(RequestPriority priority) {
     return queues_[static_cast<size_t>(priority)];
   }
-  /// Wraps a callback so that the response status updates the budget and last_served().
-  HttpDone with_status_tracking(HttpDone done);
+  /// Wraps a callback so that the response status updates the budget and last_available_at().
+  HttpCallback with_status_tracking(HttpCallback done);
 
   asio::io_context& io_;
   double request_timeout_s_;
@@ -141,7 +141,7 @@
   TokenBucket request_budget_, write_budget_;
   asio::steady_timer queue_timer_;
   bool queue_timer_armed_ = false;
-  std::chrono::steady_clock::time_point refilled_at_, last_served_;
+  std::chrono::steady_clock::time_point refilled_at_, last_available_at_;
 };
 
 }  // namespace sumacquay
--- a/src/store/load_generation.cpp
+++ b/src/store/load_generation.cpp
@@ -6,7 +6,7 @@
 
 namespace sumacquay {
 
-HttpDone LoadGeneration::unless_reloaded(std::function<void(const HttpResult&)> done) const {
+HttpCallback LoadGeneration::unless_reloaded(std::function<void(const HttpResult&)> done) const {
   return [this, generation = current_, done = std::move(done)](const HttpResult& result) {
     if (generation == current_) done(result);
   };
--- a/src/store/load_generation.h
+++ b/src/store/load_generation.h
@@ -18,7 +18,7 @@
   void advance() { ++current_; }
 
   /// Wraps a callback so that it is dropped if a load starts before the response arrives.
-  HttpDone unless_reloaded(std::function<void(const HttpResult&)> done) const;
+  HttpCallback unless_reloaded(std::function<void(const HttpResult&)> done) const;
 
   /// Runs an action after a delay unless a load starts first. Never runs it from inside this call.
   void schedule_unless_reloaded(double delay_s, std::function<void()> action);
--- a/src/store/record_cache.cpp
+++ b/src/store/record_cache.cpp
@@ -207,25 +207,26 @@
   if (listener_.leader_changed) listener_.leader_changed();
 }
 
-void RecordCache::wrote_job(const JobRecord& record, uint64_t version) {
+void RecordCache::on_job_written(const JobRecord& record, uint64_t version) {
   // During a load the tables still have the revision of before the load. The snapshot, or the watch
   // that follows it, will include the write.
-  if (!loaded() || !tables_.wrote_job(record, version)) return;
+  if (!loaded() || !tables_.on_job_written(record, version)) return;
   notify({ChangeEffect::JobUpdated, record.spec.id});
 }
 
-void RecordCache::wrote_finished(const std::string& id, FinishedRecord record,
-                                 uint64_t /*version*/) {
+void RecordCache::on_finished_written(const std::string& id, FinishedRecord record,
+                                      uint64_t /*version*/) {
   tables_.add_finished(id, record);
   notify_job_changed(id);
 }
 
-void RecordCache::wrote_host(const std::string& id, const HostRecord* record, uint64_t version) {
-  if (loaded()) tables_.wrote_host(id, record, version);
+void RecordCache::on_host_written(const std::string& id, const HostRecord* record,
+                                  uint64_t version) {
+  if (loaded()) tables_.on_host_written(id, record, version);
 }
 
-void RecordCache::wrote_leader(const wire::LeaderRecord& record, uint64_t version) {
-  if (loaded()) tables_.wrote_leader(record, version);
+void RecordCache::on_leader_written(const wire::LeaderRecord& record, uint64_t version) {
+  if (loaded()) tables_.on_leader_written(record, version);
 }
 
 }  // namespace sumacquay
--- a/src/store/record_cache.h
+++ b/src/store/record_cache.h
@@ -36,10 +36,10 @@
   };
 
   /// Number of finished jobs kept in memory; older ones are read from the store on demand.
-  static constexpr size_t kFinishedKept = 20000;
+  static constexpr size_t kMaxFinishedJobs = 20000;
 
   RecordCache(asio::io_context& io, const Settings& settings, KeyValueStoreClient& store,
-              size_t max_finished = kFinishedKept);
+              size_t max_finished = kMaxFinishedJobs);
   /// Starts loading the snapshot, followed by the watch. Must be called once.
   void start();
   void set_listener(Listener listener) { listener_ = std::move(listener); }
@@ -47,21 +47,23 @@
   /// Whether a complete snapshot has been loaded.
   bool loaded() const { return state_ == State::Following; }
   /// The cache includes all writes that were committed before this time.
-  Clock::time_point known_at() const { return fresh_as_of_; }
+  Clock::time_point fresh_as_of() const { return fresh_as_of_; }
   /// Read barrier for linearizable reads: calls `done` with true once the cache includes all writes
   /// committed before this call, or with false if that can't be ensured now. Calls `done` once,
   /// never from inside this call. One request to the store completes all waiting barriers.
   void read_barrier(BarrierDone done);
 
   /// Jobs with a live record, by id: jobs that are not finished or not cleaned up yet.
-  const std::unordered_map<std::string, Versioned<JobRecord>>& live() const {
-    return tables_.live();
+  const std::unordered_map<std::string, Versioned<JobRecord>>& live_jobs() const {
+    return tables_.live_jobs();
   }
-  const Versioned<JobRecord>* live(const std::string& id) const { return tables_.live(id); }
+  const Versioned<JobRecord>* live_job(const std::string& id) const { return tables_.live_job(id); }
   /// The record of a finished job; null if it is not in memory.
-  const FinishedRecord* finished(const std::string& id) const { return tables_.finished(id); }
+  const FinishedRecord* finished_job(const std::string& id) const {
+    return tables_.finished_job(id);
+  }
   /// Whether a record in memory shows the job as cancelled or done.
-  bool ended(const std::string& id) const { return tables_.ended(id); }
+  bool job_ended(const std::string& id) const { return tables_.job_ended(id); }
   /// Machines that may run tasks, by id.
   const std::map<std::string, Versioned<HostRecord>>& hosts() const { return tables_.hosts(); }
   /// Record of the node that holds the leader lease; version 0: none.
@@ -74,16 +76,16 @@
 
   /// Outcome of a finished job that is in memory or that other jobs depend on; none otherwise. The
   /// count of done tasks is 0 if it is unknown.
-  std::optional<FinishedRecord> dependency_end(const std::string& id) const {
-    return tables_.dependency_end(id);
+  std::optional<FinishedRecord> dependency_outcome(const std::string& id) const {
+    return tables_.dependency_outcome(id);
   }
 
   // Apply writes committed by this node before the watch delivers them. A null host record means
   // that the host was deleted.
-  void wrote_job(const JobRecord& record, uint64_t version);
-  void wrote_finished(const std::string& id, FinishedRecord record, uint64_t version);
-  void wrote_host(const std::string& id, const HostRecord* record, uint64_t version);
-  void wrote_leader(const wire::LeaderRecord& record, uint64_t version);
+  void on_job_written(const JobRecord& record, uint64_t version);
+  void on_finished_written(const std::string& id, FinishedRecord record, uint64_t version);
+  void on_host_written(const std::string& id, const HostRecord* record, uint64_t version);
+  void on_leader_written(const wire::LeaderRecord& record, uint64_t version);
   /// Caches the record of a finished job that was read from the store on demand.
   void cache_finished(const std::string& id, FinishedRecord record) {
     tables_.add_finished(id, record);
--- a/src/store/record_tables.cpp
+++ b/src/store/record_tables.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 void RecordTables::clear() {
-  live_.clear();
+  live_jobs_.clear();
   dependencies_.clear();
   hosts_.clear();
   host_deletion_versions_.clear();
@@ -41,18 +41,18 @@
 }
 
 AppliedChange RecordTables::apply_live(const std::string& id, const wire::StoreItem& item) {
-  const auto existing = live_.find(id);
-  if (existing != live_.end() && existing->second.version >= item.version) return {};
+  const auto existing = live_jobs_.find(id);
+  if (existing != live_jobs_.end() && existing->second.version >= item.version) return {};
   // A finished job never becomes live again, even if an older change of its live record arrives.
-  if (item.value.missing() || finished_.contains(id)) {
-    live_.erase(id);
+  if (item.value.missing() || finished_jobs_.contains(id)) {
+    live_jobs_.erase(id);
     dependencies_.on_live_record_deleted(id);
     return {ChangeEffect::JobEnded, id};
   }
   auto record = wire::decode_job(item.value);
   if (!record) return {ChangeEffect::Unreadable};
   track_dependencies(*record);
-  live_[id] = {std::move(*record), item.version};
+  live_jobs_[id] = {std::move(*record), item.version};
   return {ChangeEffect::JobUpdated, id};
 }
 
@@ -97,9 +97,9 @@
 void RecordTables::track_dependencies(const JobRecord& record) {
   dependencies_.update(record);
   for (const auto& id : record.spec.dependencies) {
-    if (const auto* existing = finished(id))
+    if (const auto* existing = finished_job(id))
       dependencies_.set_finished(id, existing->state, existing->ended_ms);
-    if (const auto* existing = live(id)) dependencies_.update(existing->value);
+    if (const auto* existing = live_job(id)) dependencies_.update(existing->value);
   }
 }
 
@@ -119,17 +119,18 @@
 
 /// Ignores writes that are not newer than the revision of the tables: the response to a write may
 /// be delayed until the tables include a later change or deletion of the same record.
-bool RecordTables::wrote_job(const JobRecord& record, uint64_t version) {
+bool RecordTables::on_job_written(const JobRecord& record, uint64_t version) {
   const std::string& id = record.spec.id;
-  if (version <= revision_ || finished_.contains(id)) return false;
-  auto& existing = live_[id];
+  if (version <= revision_ || finished_jobs_.contains(id)) return false;
+  auto& existing = live_jobs_[id];
   if (existing.version >= version) return false;
   existing = {record, version};
   track_dependencies(record);
   return true;
 }
 
-void RecordTables::wrote_host(const std::string& id, const HostRecord* record, uint64_t version) {
+void RecordTables::on_host_written(const std::string& id, const HostRecord* record,
+                                   uint64_t version) {
   if (version <= revision_) return;
   if (record) {
     hosts_[id] = {*record, version};
@@ -139,7 +140,7 @@
   host_deletion_versions_[id] = version;
 }
 
-void RecordTables::wrote_leader(const wire::LeaderRecord& record, uint64_t version) {
+void RecordTables::on_leader_written(const wire::LeaderRecord& record, uint64_t version) {
   if (version <= revision_) return;
   leader_version_ = version;
   leader_ = {record, version};
@@ -147,33 +148,33 @@
 }
 
 void RecordTables::add_finished(const std::string& id, FinishedRecord record) {
-  live_.erase(id);
+  live_jobs_.erase(id);
   dependencies_.set_finished(id, record.state, record.ended_ms);
   dependencies_.on_live_record_deleted(id);
-  if (!finished_.emplace(id, record).second) return;
+  if (!finished_jobs_.emplace(id, record).second) return;
   finished_order_.push_back(id);
   if (finished_order_.size() <= max_finished_) return;
-  finished_.erase(finished_order_.front());
+  finished_jobs_.erase(finished_order_.front());
   finished_order_.pop_front();
 }
 
-const Versioned<JobRecord>* RecordTables::live(const std::string& id) const {
-  const auto found = live_.find(id);
-  return found == live_.end() ? nullptr : &found->second;
+const Versioned<JobRecord>* RecordTables::live_job(const std::string& id) const {
+  const auto found = live_jobs_.find(id);
+  return found == live_jobs_.end() ? nullptr : &found->second;
 }
 
-const FinishedRecord* RecordTables::finished(const std::string& id) const {
-  const auto found = finished_.find(id);
-  return found == finished_.end() ? nullptr : &found->second;
+const FinishedRecord* RecordTables::finished_job(const std::string& id) const {
+  const auto found = finished_jobs_.find(id);
+  return found == finished_jobs_.end() ? nullptr : &found->second;
 }
 
-bool RecordTables::ended(const std::string& id) const {
-  const auto* record = live(id);
-  return record ? record->value.state != JobState::Pending : finished(id) != nullptr;
+bool RecordTables::job_ended(const std::string& id) const {
+  const auto* record = live_job(id);
+  return record ? record->value.state != JobState::Pending : finished_job(id) != nullptr;
 }
 
-std::optional<FinishedRecord> RecordTables::dependency_end(const std::string& id) const {
-  if (const auto* record = finished(id)) return *record;
+std::optional<FinishedRecord> RecordTables::dependency_outcome(const std::string& id) const {
+  if (const auto* record = finished_job(id)) return *record;
   return dependencies_.outcome(id);
 }
 
--- a/src/store/record_tables.h
+++ b/src/store/record_tables.h
@@ -68,28 +68,30 @@
   // than the tables are ignored.
 
   /// Returns whether the tables changed.
-  [[nodiscard]] bool wrote_job(const JobRecord& record, uint64_t version);
+  [[nodiscard]] bool on_job_written(const JobRecord& record, uint64_t version);
   /// A null record means that the host was deleted.
-  void wrote_host(const std::string& id, const HostRecord* record, uint64_t version);
-  void wrote_leader(const wire::LeaderRecord& record, uint64_t version);
+  void on_host_written(const std::string& id, const HostRecord* record, uint64_t version);
+  void on_leader_written(const wire::LeaderRecord& record, uint64_t version);
 
   /// Adds a finished job and removes its live record.
   void add_finished(const std::string& id, FinishedRecord record);
 
-  const std::unordered_map<std::string, Versioned<JobRecord>>& live() const { return live_; }
+  const std::unordered_map<std::string, Versioned<JobRecord>>& live_jobs() const {
+    return live_jobs_;
+  }
   /// Null if the job has no live record.
-  const Versioned<JobRecord>* live(const std::string& id) const;
+  const Versioned<JobRecord>* live_job(const std::string& id) const;
   /// Null if the job is not finished or was evicted.
-  const FinishedRecord* finished(const std::string& id) const;
+  const FinishedRecord* finished_job(const std::string& id) const;
   /// Whether the tables show the job as cancelled or done.
-  bool ended(const std::string& id) const;
+  bool job_ended(const std::string& id) const;
   const std::map<std::string, Versioned<HostRecord>>& hosts() const { return hosts_; }
   const Versioned<wire::LeaderRecord>& leader() const { return leader_; }
   const Versioned<wire::LeaderRecord>& term() const { return term_; }
   const DependencyGraph& dependencies() const { return dependencies_; }
   /// Outcome of a finished job that is kept here or that other jobs depend on; none otherwise. The
   /// count of done tasks is 0 if it is unknown.
-  std::optional<FinishedRecord> dependency_end(const std::string& id) const;
+  std::optional<FinishedRecord> dependency_outcome(const std::string& id) const;
 
  private:
   AppliedChange apply_live(const std::string& id, const wire::StoreItem& item);
@@ -101,8 +103,8 @@
 
   size_t max_finished_;
   uint64_t revision_ = 0;
-  std::unordered_map<std::string, Versioned<JobRecord>> live_;
-  std::unordered_map<std::string, FinishedRecord> finished_;
+  std::unordered_map<std::string, Versioned<JobRecord>> live_jobs_;
+  std::unordered_map<std::string, FinishedRecord> finished_jobs_;
   std::deque<std::string> finished_order_;  ///< oldest first
   DependencyGraph dependencies_;
   std::map<std::string, Versioned<HostRecord>> hosts_;
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -9,9 +9,9 @@
 namespace sumacquay::wire {
 namespace {
 
-using codec::build;
 using codec::Fields;
 using codec::pack_field;
+using codec::pack_message;
 using codec::Packer;
 
 constexpr size_t kMaxTypeNameBytes = 200;
@@ -22,14 +22,14 @@
   Fields fields(map);
   MachineType type;
   type.name = fields.text("sku", 1, kMaxTypeNameBytes);
-  type.capacity.cpus = fields.amount(field::kCpus);
+  type.capacity.cpus = fields.non_negative_number(field::kCpus);
   type.capacity.gpus = fields[field::kGpus].number().value_or(0);
-  type.capacity.memory_gb = fields.amount(field::kMemory);
-  type.cache_gb = fields.amount("local_gb");
-  type.fetch_gb_per_s = fields.amount("fetch_gb_per_s");
-  type.price = fields.amount("hourly");
+  type.capacity.memory_gb = fields.non_negative_number(field::kMemory);
+  type.cache_gb = fields.non_negative_number("local_gb");
+  type.fetch_gb_per_s = fields.non_negative_number("fetch_gb_per_s");
+  type.price = fields.non_negative_number("hourly");
   type.spot_price = fields["market_price"].number().value_or(type.price);
-  type.boot_s = fields.amount("boot_s");
+  type.boot_s = fields.non_negative_number("boot_s");
   type.zones = codec::read_texts(fields["halls"]);
   return fields.if_ok(std::move(type));
 }
@@ -48,7 +48,7 @@
   machine.type = fields.text(field::kType, 0, kMaxNameBytes);
   machine.zone = fields.text(field::kZone, 0, kMaxNameBytes);
   machine.spot = fields.flag(field::kSpot);
-  machine.state = fields.choice(field::kState, enum_names::kMachineStates);
+  machine.state = fields.enumerator(field::kState, enum_names::kMachineStates);
   machine.age_s = fields["age_s"].number().value_or(0);
   return fields.if_ok(std::move(machine));
 }
@@ -61,7 +61,7 @@
   return MachinePage{std::move(*machines), root[field::kMore].flag().value_or(false)};
 }
 
-std::optional<std::vector<std::string>> read_rented(View root) {
+std::optional<std::vector<std::string>> read_scale_out_response(View root) {
   const View list = root[field::kMachines];
   if (!list.is_list()) return std::nullopt;
   std::vector<std::string> machines;
@@ -88,11 +88,11 @@
   return codec::read_root<MachinePage>(body, read_machines);
 }
 
-std::string rent_body(const std::string& request_id, const std::string& type,
-                      const std::string& zone, bool spot, int count) {
-  return build([&](Packer& packer) {
+std::string scale_out_body(const std::string& request_name, const std::string& type,
+                           const std::string& zone, bool spot, int count) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(5);
-    pack_field(packer, "hire", request_id);
+    pack_field(packer, "hire", request_name);
     pack_field(packer, field::kType, type);
     pack_field(packer, field::kZone, zone);
     pack_field(packer, field::kSpot, spot);
@@ -100,12 +100,12 @@
   });
 }
 
-std::optional<std::vector<std::string>> parse_rented(std::string_view body) {
-  return codec::read_root<std::vector<std::string>>(body, read_rented);
+std::optional<std::vector<std::string>> parse_scale_out_response(std::string_view body) {
+  return codec::read_root<std::vector<std::string>>(body, read_scale_out_response);
 }
 
 std::string release_body(const std::vector<std::string>& machines) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(1);
     codec::pack_text(packer, field::kMachines);
     codec::pack_texts(packer, machines);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -22,7 +22,7 @@
 
 /// Returns the bytes that `pack` writes to a packer.
 template <class Pack>
-std::string build(Pack&& pack) {
+std::string pack_message(Pack&& pack) {
   Buffer buffer;
   Packer packer(buffer);
   pack(packer);
@@ -140,7 +140,7 @@
   }
 
   /// A number from 0 to `kMaxAmount`.
-  double amount(const char* name) {
+  double non_negative_number(const char* name) {
     const auto value = map_[name].number();
     if (value && *value >= 0 && *value <= kMaxAmount) return *value;
     record_invalid(name);
@@ -153,15 +153,15 @@
     return value.value_or(false);
   }
 
-  uint64_t count(const char* name, uint64_t min = 0, uint64_t max = UINT64_MAX) {
-    const auto value = map_[name].count();
+  uint64_t unsigned_integer(const char* name, uint64_t min = 0, uint64_t max = UINT64_MAX) {
+    const auto value = map_[name].unsigned_integer();
     if (value && *value >= min && *value <= max) return *value;
     record_invalid(name);
     return min;
   }
 
   template <class Enum, size_t N>
-  Enum choice(const char* name, const EnumNames<Enum, N>& names) {
+  Enum enumerator(const char* name, const EnumNames<Enum, N>& names) {
     const auto value = value_of(names, map_[name]);
     if (!value) record_invalid(name);
     return value.value_or(names[0].value);
--- a/src/wire/enum_names.h
+++ b/src/wire/enum_names.h
@@ -23,7 +23,7 @@
                                                       {ExitCause::InsufficientResources, "no_room"},
                                                       {ExitCause::Busy, "in_use"},
                                                       {ExitCause::Unknown, "unknown"}}};
-inline constexpr EnumNames<CommandType, 3> kVerbs{
+inline constexpr EnumNames<CommandType, 3> kCommandTypes{
     {{CommandType::Start, "start"}, {CommandType::Stop, "kill"}, {CommandType::Discard, "clear"}}};
 
 inline constexpr EnumNames<UserVisibleState, 4> kUserVisibleStates{
--- a/src/wire/job_spec_codec.cpp
+++ b/src/wire/job_spec_codec.cpp
@@ -80,23 +80,23 @@
   if (fields.ok() && !valid_job_id(spec.id)) fields.record_invalid(field::kId);
   spec.job_class = fields.text(kJobClass, 0, kMaxNameBytes);
   spec.team = fields.text(kTeam, 0, kMaxNameBytes);
-  spec.kind = fields.choice(kKind, kKinds);
-  spec.priority = fields.choice(kPriority, kPriorities);
-  spec.tasks = static_cast<uint32_t>(fields.count(field::kTasks, 1, kMaxTasks));
-  spec.request.cpus = fields.amount(field::kCpus);
-  spec.request.gpus = fields.amount(field::kGpus);
-  spec.request.memory_gb = fields.amount(field::kMemory);
+  spec.kind = fields.enumerator(kKind, kKinds);
+  spec.priority = fields.enumerator(kPriority, kPriorities);
+  spec.tasks = static_cast<uint32_t>(fields.unsigned_integer(field::kTasks, 1, kMaxTasks));
+  spec.request.cpus = fields.non_negative_number(field::kCpus);
+  spec.request.gpus = fields.non_negative_number(field::kGpus);
+  spec.request.memory_gb = fields.non_negative_number(field::kMemory);
   spec.image = fields.text(kImage, 0, kMaxNameBytes);
-  spec.image_gb = fields.amount(kImageSize);
+  spec.image_gb = fields.non_negative_number(kImageSize);
   read_types(fields, spec);
   if (!fields[field::kZone].missing()) spec.zone = fields.text(field::kZone, 0, kMaxNameBytes);
   spec.one_zone = fields.flag(kOneZone);
   spec.spread = fields.flag(kSpread);
   spec.spot = fields.flag(field::kSpot);
-  spec.estimate_s = fields.amount(kEstimatedDuration);
-  spec.checkpoint_interval_s = fields.amount(kCheckpointInterval);
-  spec.checkpoint_duration_s = fields.amount(kCheckpointDuration);
-  if (!fields[kDeadline].missing()) spec.deadline_s = fields.amount(kDeadline);
+  spec.estimate_s = fields.non_negative_number(kEstimatedDuration);
+  spec.checkpoint_interval_s = fields.non_negative_number(kCheckpointInterval);
+  spec.checkpoint_duration_s = fields.non_negative_number(kCheckpointDuration);
+  if (!fields[kDeadline].missing()) spec.deadline_s = fields.non_negative_number(kDeadline);
   read_dependencies(fields, spec);
 }
 
--- a/src/wire/peer_heartbeat.cpp
+++ b/src/wire/peer_heartbeat.cpp
@@ -54,9 +54,9 @@
 
 void pack_fragment(Packer& packer, const PeerHeartbeatFragment& fragment) {
   pack_list(packer, kFragmentFields);
-  packer.pack_uint64(fragment.batch);
+  packer.pack_uint64(fragment.batch_number);
   packer.pack_uint64(fragment.index);
-  packer.pack_uint64(fragment.fragments);
+  packer.pack_uint64(fragment.fragment_count);
   packer.pack_uint64(static_cast<uint64_t>(fragment.part));
 }
 
@@ -125,27 +125,27 @@
 DelegationStatus read_status(View list) {
   DelegationStatus status;
   if (list.size() < kStatusFields || list.size() > kStatusFields + 1) return status;
-  status.incarnation = list.at(0).count().value_or(0);
-  status.term = list.at(1).count().value_or(0);
-  status.issued_at_ms = list.at(2).count().value_or(0);
+  status.incarnation = list.at(0).unsigned_integer().value_or(0);
+  status.term = list.at(1).unsigned_integer().value_or(0);
+  status.issued_at_ms = list.at(2).unsigned_integer().value_or(0);
   if (list.size() > kStatusFields) status.last_answer_age_s = list.at(3).number();
   return status;
 }
 
 std::optional<Delegation> read_delegation(View list) {
   if (list.size() != kDelegationFields) return std::nullopt;
-  const auto term = list.at(0).count();
-  const auto number = list.at(1).count();
+  const auto term = list.at(0).unsigned_integer();
+  const auto issued_at_ms = list.at(1).unsigned_integer();
   const auto valid_for_s = list.at(2).number();
-  if (!term || !number || !valid_for_s) return std::nullopt;
-  return Delegation{*term, *number, *valid_for_s};
+  if (!term || !issued_at_ms || !valid_for_s) return std::nullopt;
+  return Delegation{*term, *issued_at_ms, *valid_for_s};
 }
 
 std::optional<JobProgress> read_job_progress(View list) {
   if (list.size() != kJobProgressFields) return std::nullopt;
   const auto job = list.at(0).text();
-  const auto done = list.at(1).count();
-  const auto running = list.at(2).count();
+  const auto done = list.at(1).unsigned_integer();
+  const auto running = list.at(2).unsigned_integer();
   if (!job || !done || !running) return std::nullopt;
   return JobProgress{*job, static_cast<uint32_t>(*done), static_cast<uint32_t>(*running)};
 }
@@ -153,7 +153,7 @@
 /// Reads one cached image of a machine from its index in the list of images.
 std::optional<CachedImageHint> read_image(const std::string& machine, View encoded_index,
                                           View images) {
-  const auto index = encoded_index.count();
+  const auto index = encoded_index.unsigned_integer();
   if (!index || *index >= images.size()) return std::nullopt;
   const View image = images.at(*index);
   if (image.size() != kImageFields) return std::nullopt;
@@ -194,41 +194,42 @@
 }
 
 std::optional<PeerHeartbeatPart> read_part(View value) {
-  const uint64_t part = value.count().value_or(0);
-  if (part > static_cast<uint64_t>(PeerHeartbeatPart::Hints)) return std::nullopt;
+  const uint64_t part = value.unsigned_integer().value_or(0);
+  if (part > static_cast<uint64_t>(PeerHeartbeatPart::SuccessorHints)) return std::nullopt;
   return static_cast<PeerHeartbeatPart>(part);
 }
 
 std::optional<PeerHeartbeatFragment> read_fragment(View list) {
   if (list.size() != kFragmentFields) return std::nullopt;
-  const auto batch = list.at(0).count();
-  const auto index = list.at(1).count();
-  const auto fragments = list.at(2).count();
+  const auto batch_number = list.at(0).unsigned_integer();
+  const auto index = list.at(1).unsigned_integer();
+  const auto fragment_count = list.at(2).unsigned_integer();
   const auto part = read_part(list.at(3));
-  if (!batch || !index || !fragments || !part || *index >= *fragments) return std::nullopt;
-  return PeerHeartbeatFragment{*batch, *index, *fragments, *part};
+  if (!batch_number || !index || !fragment_count || !part || *index >= *fragment_count)
+    return std::nullopt;
+  return PeerHeartbeatFragment{*batch_number, *index, *fragment_count, *part};
 }
 
 std::optional<PeerHeartbeat> read_peer_heartbeat(View root) {
   codec::Fields fields(root);
   PeerHeartbeat heartbeat;
   heartbeat.node = fields.text(kNode);
-  heartbeat.term = fields.count(kTerm);
+  heartbeat.term = fields.unsigned_integer(kTerm);
   heartbeat.leading = fields.flag(kLeading);
   const auto part = read_part(root[kPart]);
   if (!fields.ok() || !part || !root[kJobProgress].is_list()) return std::nullopt;
-  auto counts = codec::read_list(root[kJobProgress], read_job_progress);
-  auto images = read_cached_images(root[kCachedImages], root[kImages]);
-  auto booting = codec::read_list(root[kBooting], read_booting_machine);
-  if (!counts || !images || !booting) return std::nullopt;
+  auto job_progress = codec::read_list(root[kJobProgress], read_job_progress);
+  auto cached_images = read_cached_images(root[kCachedImages], root[kImages]);
+  auto booting_machines = codec::read_list(root[kBooting], read_booting_machine);
+  if (!job_progress || !cached_images || !booting_machines) return std::nullopt;
   heartbeat.part = *part;
-  heartbeat.served = root[kStoreReachable].flag().value_or(false);
-  heartbeat.status = read_status(root[kStatus]);
+  heartbeat.store_reachable = root[kStoreReachable].flag().value_or(false);
+  heartbeat.delegation_status = read_status(root[kStatus]);
   heartbeat.delegation = read_delegation(root[kDelegation]);
   heartbeat.fragment = read_fragment(root[kFragment]);
-  heartbeat.counts = std::move(*counts);
-  heartbeat.images = std::move(*images);
-  heartbeat.booting = std::move(*booting);
+  heartbeat.job_progress = std::move(*job_progress);
+  heartbeat.cached_images = std::move(*cached_images);
+  heartbeat.booting_machines = std::move(*booting_machines);
   return heartbeat;
 }
 
@@ -236,17 +237,17 @@
 template <class Member>
 std::vector<Member> members_of_fragment(const std::vector<Member>& list,
                                         const PeerHeartbeatFragment& fragment) {
-  const size_t begin = list.size() * fragment.index / fragment.fragments;
-  const size_t end = list.size() * (fragment.index + 1) / fragment.fragments;
+  const size_t begin = list.size() * fragment.index / fragment.fragment_count;
+  const size_t end = list.size() * (fragment.index + 1) / fragment.fragment_count;
   return {list.begin() + static_cast<std::ptrdiff_t>(begin),
           list.begin() + static_cast<std::ptrdiff_t>(end)};
 }
 
 PeerHeartbeat without_lists(const PeerHeartbeat& whole) {
   PeerHeartbeat header = whole;
-  header.counts.clear();
-  header.images.clear();
-  header.booting.clear();
+  header.job_progress.clear();
+  header.cached_images.clear();
+  header.booting_machines.clear();
   return header;
 }
 
@@ -255,43 +256,45 @@
                             const PeerHeartbeatFragment& fragment) {
   header.fragment = fragment;
   if (fragment.index > 0) header.part = PeerHeartbeatPart::StatusOnly;
-  header.counts = members_of_fragment(whole.counts, fragment);
-  header.images = members_of_fragment(whole.images, fragment);
-  header.booting = members_of_fragment(whole.booting, fragment);
+  header.job_progress = members_of_fragment(whole.job_progress, fragment);
+  header.cached_images = members_of_fragment(whole.cached_images, fragment);
+  header.booting_machines = members_of_fragment(whole.booting_machines, fragment);
   return encode_peer_heartbeat(header);
 }
 
 /// Returns none if any fragment is larger than `limit` bytes.
 std::optional<std::vector<std::string>> encode_in_fragments(const PeerHeartbeat& whole,
                                                             const PeerHeartbeat& header,
-                                                            uint64_t batch, size_t fragments,
-                                                            size_t limit) {
+                                                            uint64_t batch_number,
+                                                            size_t fragment_count, size_t limit) {
   std::vector<std::string> bodies;
-  for (size_t index = 0; index < fragments; ++index) {
-    bodies.push_back(encode_fragment(whole, header, {batch, index, fragments, whole.part}));
+  for (size_t index = 0; index < fragment_count; ++index) {
+    bodies.push_back(
+        encode_fragment(whole, header, {batch_number, index, fragment_count, whole.part}));
     if (bodies.back().size() > limit) return std::nullopt;
   }
   return bodies;
 }
 
 size_t longest_list(const PeerHeartbeat& heartbeat) {
-  return std::max({heartbeat.counts.size(), heartbeat.images.size(), heartbeat.booting.size()});
+  return std::max({heartbeat.job_progress.size(), heartbeat.cached_images.size(),
+                   heartbeat.booting_machines.size()});
 }
 
 }  // namespace
 
 std::string encode_peer_heartbeat(const PeerHeartbeat& heartbeat) {
-  return codec::build([&](Packer& packer) {
+  return codec::pack_message([&](Packer& packer) {
     const size_t fields =
         kPeerHeartbeatFields + (heartbeat.delegation ? 1 : 0) + (heartbeat.fragment ? 1 : 0);
     packer.pack_map(static_cast<uint32_t>(fields));
     pack_field(packer, kNode, heartbeat.node);
     pack_field(packer, kTerm, heartbeat.term);
     pack_field(packer, kLeading, heartbeat.leading);
-    pack_field(packer, kStoreReachable, heartbeat.served);
+    pack_field(packer, kStoreReachable, heartbeat.store_reachable);
     pack_field(packer, kPart, static_cast<uint64_t>(heartbeat.part));
     pack_text(packer, kStatus);
-    pack_status(packer, heartbeat.status);
+    pack_status(packer, heartbeat.delegation_status);
     if (heartbeat.delegation) {
       pack_text(packer, kDelegation);
       pack_delegation(packer, *heartbeat.delegation);
@@ -301,19 +304,19 @@
       pack_fragment(packer, *heartbeat.fragment);
     }
     pack_text(packer, kJobProgress);
-    pack_list(packer, heartbeat.counts, pack_job_progress);
-    const ImageTable images(heartbeat.images);
+    pack_list(packer, heartbeat.job_progress, pack_job_progress);
+    const ImageTable images(heartbeat.cached_images);
     pack_text(packer, kImages);
     images.pack_images(packer);
     pack_text(packer, kCachedImages);
     images.pack_cached_images(packer);
     pack_text(packer, kBooting);
-    pack_list(packer, heartbeat.booting, pack_booting_machine);
+    pack_list(packer, heartbeat.booting_machines, pack_booting_machine);
   });
 }
 
 std::vector<std::string> encode_peer_heartbeat_fragments(const PeerHeartbeat& heartbeat,
-                                                         uint64_t batch, size_t limit) {
+                                                         uint64_t batch_number, size_t limit) {
   // Leaves space for members of unequal size and for the fields that each fragment repeats.
   constexpr double kTargetFill = 0.9;
   std::string whole = encode_peer_heartbeat(heartbeat);
@@ -321,12 +324,13 @@
   const PeerHeartbeat header = without_lists(heartbeat);
   const size_t max_fragments = longest_list(heartbeat);
   const double target_bytes = kTargetFill * static_cast<double>(limit);
-  auto fragments = static_cast<size_t>(static_cast<double>(whole.size()) / target_bytes) + 1;
-  for (;; ++fragments) {
+  auto fragment_count = static_cast<size_t>(static_cast<double>(whole.size()) / target_bytes) + 1;
+  for (;; ++fragment_count) {
     // With at most one member per list in each fragment, more fragments would not be smaller, so
     // the limit is not enforced.
-    const size_t fragment_limit = fragments < max_fragments ? limit : SIZE_MAX;
-    auto bodies = encode_in_fragments(heartbeat, header, batch, fragments, fragment_limit);
+    const size_t fragment_limit = fragment_count < max_fragments ? limit : SIZE_MAX;
+    auto bodies =
+        encode_in_fragments(heartbeat, header, batch_number, fragment_count, fragment_limit);
     if (bodies) return std::move(*bodies);
   }
 }
--- a/src/wire/peer_heartbeat.h
+++ b/src/wire/peer_heartbeat.h
@@ -33,13 +33,13 @@
 
 /// Content of a heartbeat in addition to the term and the delegation status. For a large fleet, all
 /// parts together would exceed the limit on the size of a body.
-enum class PeerHeartbeatPart { StatusOnly, Counts, Hints };
+enum class PeerHeartbeatPart { StatusOnly, JobProgress, SuccessorHints };
 
 /// Position of a heartbeat in a batch. A batch carries content that is too large for one body.
 struct PeerHeartbeatFragment {
-  uint64_t batch = 0;      ///< number of the batch; increases within the sender's process
-  uint64_t index = 0;      ///< zero-based
-  uint64_t fragments = 1;  ///< number of fragments in the batch
+  uint64_t batch_number = 0;    ///< number of the batch; increases within the sender's process
+  uint64_t index = 0;           ///< zero-based
+  uint64_t fragment_count = 1;  ///< number of fragments in the batch
   PeerHeartbeatPart part = PeerHeartbeatPart::StatusOnly;  ///< content of the batch
 };
 
@@ -52,12 +52,12 @@
   std::string node;
   uint64_t term = 0;
   bool leading = false;
-  bool served = false;  ///< the key-value store answered the sender recently
-  DelegationStatus status;
+  bool store_reachable = false;  ///< the key-value store answered the sender recently
+  DelegationStatus delegation_status;
   std::optional<Delegation> delegation;  ///< for the receiver; set only in responses
-  std::vector<JobProgress> counts;
-  std::vector<CachedImageHint> images;  ///< grouped by machine; most recently used last
-  std::vector<ListedMachine> booting;   ///< rented machines without a heartbeat so far
+  std::vector<JobProgress> job_progress;
+  std::vector<CachedImageHint> cached_images;   ///< grouped by machine; most recently used last
+  std::vector<ListedMachine> booting_machines;  ///< provisioned machines without a heartbeat so far
 };
 
 std::string encode_peer_heartbeat(const PeerHeartbeat& heartbeat);
@@ -66,10 +66,10 @@
 /// as many fragments as needed. Each fragment carries the term and the delegation status; the lists
 /// are split in order. `batch` is the number of the batch, see PeerHeartbeatFragment.
 std::vector<std::string> encode_peer_heartbeat_fragments(const PeerHeartbeat& heartbeat,
-                                                         uint64_t batch, size_t limit);
+                                                         uint64_t batch_number, size_t limit);
 
-/// Returns none if any part is invalid, except for `served`, the status, the delegation and the
-/// fragment, which read as missing then.
+/// Returns none if any part is invalid, except for `store_reachable`, the status, the delegation
+/// and the fragment, which read as missing then.
 std::optional<PeerHeartbeat> decode_peer_heartbeat(std::string_view body);
 
 }  // namespace sumacquay::wire
--- a/src/wire/record_capacity.cpp
+++ b/src/wire/record_capacity.cpp
@@ -44,25 +44,25 @@
   return size;
 }
 
-/// Upper bound on the encoded size of `spans` ranges, whatever their positions. The lengths of the
-/// ranges and of the gaps before them add up to at most the number of tasks, and take the most
-/// digits if all are equal.
-double spans_size(size_t spans, uint32_t tasks) {
+/// Upper bound on the encoded size of `range_count` ranges, whatever their positions. The lengths
+/// of the ranges and of the gaps before them add up to at most the number of tasks, and take the
+/// most digits if all are equal.
+double ranges_size(size_t range_count, uint32_t tasks) {
   constexpr double kFirstDigitAndCommaBytes = 2;
   constexpr double kEmptyFirstGapBytes = 2;
-  if (spans == 0) return 0;
-  const auto length_count = 2 * static_cast<double>(spans);
+  if (range_count == 0) return 0;
+  const auto length_count = 2 * static_cast<double>(range_count);
   return length_count * (std::log10(tasks / length_count) + kFirstDigitAndCommaBytes) +
          kEmptyFirstGapBytes;
 }
 
 /// Maximum number of ranges of done tasks that fit in this many bytes.
-size_t max_spans_within(double bytes, uint32_t tasks) {
+size_t max_ranges_within(double bytes, uint32_t tasks) {
   size_t fit = 0;
   size_t too_many = (size_t{tasks} + 1) / 2 + 1;  // ranges are separated by a task that is not done
   while (too_many - fit > 1) {
     const size_t middle = fit + (too_many - fit) / 2;
-    if (spans_size(middle, tasks) <= bytes)
+    if (ranges_size(middle, tasks) <= bytes)
       fit = middle;
     else
       too_many = middle;
@@ -72,31 +72,33 @@
 
 }  // namespace
 
-bool RecordCapacity::holds(const std::vector<std::string>& names) const {
-  return names_size(names) <= hosts;
+bool RecordCapacity::fits_hosts(const std::vector<std::string>& names) const {
+  return names_size(names) <= host_bytes;
 }
 
-size_t RecordCapacity::taken_by(const JobRecord& record) const {
-  const double done_bytes = spans_size(record.done.range_count(), record.spec.tasks);
-  const size_t host_bytes = record.hosts ? names_size(*record.hosts) : 0;
-  return described + host_bytes + static_cast<size_t>(std::ceil(done_bytes));
+size_t RecordCapacity::size_bound(const JobRecord& record) const {
+  const double done_bytes = ranges_size(record.done.range_count(), record.spec.tasks);
+  const size_t encoded_host_bytes = record.hosts ? names_size(*record.hosts) : 0;
+  return description_bytes + encoded_host_bytes + static_cast<size_t>(std::ceil(done_bytes));
 }
 
 RecordCapacity record_capacity(const JobRecord& record, size_t max_bytes) {
   RecordCapacity capacity;
-  capacity.described = base_size(record);
+  capacity.description_bytes = base_size(record);
   const auto limit = static_cast<double>(max_bytes);
-  const double remaining = limit * (1 - kReserveFraction) - static_cast<double>(capacity.described);
+  const double remaining =
+      limit * (1 - kReserveFraction) - static_cast<double>(capacity.description_bytes);
   if (remaining <= 0) return capacity;
-  capacity.spans = max_spans_within(remaining * kDoneTasksFraction, record.spec.tasks);
-  capacity.hosts = static_cast<size_t>(remaining - spans_size(capacity.spans, record.spec.tasks));
+  capacity.max_done_ranges = max_ranges_within(remaining * kDoneTasksFraction, record.spec.tasks);
+  capacity.host_bytes =
+      static_cast<size_t>(remaining - ranges_size(capacity.max_done_ranges, record.spec.tasks));
   return capacity;
 }
 
-JobRecord fitting_record(JobRecord record, size_t max_bytes) {
+JobRecord truncated_record(JobRecord record, size_t max_bytes) {
   const RecordCapacity capacity = record_capacity(record, max_bytes);
-  if (record.hosts && !capacity.holds(*record.hosts)) record.hosts.reset();
-  record.done = record.done.subset_of_ranges(capacity.spans, record.done);
+  if (record.hosts && !capacity.fits_hosts(*record.hosts)) record.hosts.reset();
+  record.done = record.done.subset_of_ranges(capacity.max_done_ranges, record.done);
   return record;
 }
 
--- a/src/wire/record_capacity.h
+++ b/src/wire/record_capacity.h
@@ -12,16 +12,16 @@
 /// Space in a job's record besides the job's description. Depends on the description alone, so it
 /// is computed once per job.
 struct RecordCapacity {
-  size_t described = 0;  ///< bytes of the record without hosts and done tasks
-  size_t hosts = 0;      ///< bytes available for the names of hosts
-  size_t spans = 0;      ///< maximum number of ranges of done tasks, whatever their positions
+  size_t description_bytes = 0;  ///< bytes of the record without hosts and done tasks
+  size_t host_bytes = 0;         ///< bytes available for the names of hosts
+  size_t max_done_ranges = 0;  ///< maximum number of ranges of done tasks, whatever their positions
 
   /// Whether there is any space. Without it, the record can't be written.
-  bool any() const { return spans > 0; }
+  bool has_space() const { return max_done_ranges > 0; }
   /// Whether a record with these hosts fits.
-  bool holds(const std::vector<std::string>& names) const;
+  bool fits_hosts(const std::vector<std::string>& names) const;
   /// Upper bound on the size in bytes of a record that fits, close to its actual size.
-  size_t taken_by(const JobRecord& record) const;
+  size_t size_bound(const JobRecord& record) const;
 };
 
 /// `max_bytes` is the key-value store's limit on the size of a value.
@@ -30,6 +30,6 @@
 /// Returns the record reduced to what fits: hosts that do not fit are omitted, which means that the
 /// tasks may be on any machine, and only the first ranges of done tasks are kept. If the
 /// description leaves no space, the result is as small as possible and may exceed the limit.
-JobRecord fitting_record(JobRecord record, size_t max_bytes);
+JobRecord truncated_record(JobRecord record, size_t max_bytes);
 
 }  // namespace sumacquay::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -10,9 +10,9 @@
 namespace sumacquay::wire {
 namespace {
 
-using codec::build;
 using codec::Fields;
 using codec::pack_field;
+using codec::pack_message;
 using codec::Packer;
 
 constexpr const char* kSpec = "spec";
@@ -51,7 +51,7 @@
   for (size_t i = 0; i < value.size(); ++i) {
     // An unreadable length becomes UINT32_MAX, which exceeds any number of tasks and makes the
     // whole list invalid.
-    const uint64_t length = value.at(i).count().value_or(UINT32_MAX);
+    const uint64_t length = value.at(i).unsigned_integer().value_or(UINT32_MAX);
     lengths.push_back(static_cast<uint32_t>(length));
   }
   return TaskRangeSet::from_lengths(lengths, tasks, ranges);
@@ -70,7 +70,7 @@
 }  // namespace
 
 std::string encode_job(const JobRecord& record) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(count_fields(record));
     codec::pack_text(packer, kSpec);
     codec::pack_spec(packer, record.spec);
@@ -97,12 +97,12 @@
   codec::read_spec(spec_fields, record.spec);
   if (!spec_fields.ok()) return std::nullopt;
   Fields fields(value);
-  record.state = fields.choice(kState, kJobStates);
+  record.state = fields.enumerator(kState, kJobStates);
   record.started = fields.flag(kStarted);
-  record.submitted_ms = fields.count(kSubmittedAt);
+  record.submitted_ms = fields.unsigned_integer(kSubmittedAt);
   if (!fields.ok()) return std::nullopt;
-  record.ready_ms = value[kReadyAt].count().value_or(0);
-  record.ended_ms = value[kEndedAt].count().value_or(0);
+  record.ready_ms = value[kReadyAt].unsigned_integer().value_or(0);
+  record.ended_ms = value[kEndedAt].unsigned_integer().value_or(0);
   if (const View hosts = value[kHosts]; hosts.is_list()) {
     record.hosts = codec::read_texts(hosts);
     if (!std::is_sorted(record.hosts->begin(), record.hosts->end())) return std::nullopt;
@@ -112,7 +112,7 @@
 }
 
 std::string encode_finished(const FinishedRecord& record) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(record.ended_ms > 0 ? 3 : 2);
     pack_field(packer, kState, name_of(kJobStates, record.state));
     pack_field(packer, kDone, uint64_t{record.done});
@@ -123,14 +123,14 @@
 std::optional<FinishedRecord> decode_finished(View value) {
   Fields fields(value);
   FinishedRecord record;
-  record.state = fields.choice(kState, kJobStates);
-  record.done = static_cast<uint32_t>(fields.count(kDone));
-  record.ended_ms = fields[kEndedAt].count().value_or(0);
+  record.state = fields.enumerator(kState, kJobStates);
+  record.done = static_cast<uint32_t>(fields.unsigned_integer(kDone));
+  record.ended_ms = fields[kEndedAt].unsigned_integer().value_or(0);
   return fields.if_ok(record);
 }
 
 std::string encode_host(const HostRecord& host) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(5);
     pack_field(packer, kId, host.id);
     pack_field(packer, kAddress, host.addr);
@@ -152,7 +152,7 @@
 }
 
 std::string encode_leader(const LeaderRecord& record) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(4);
     pack_field(packer, kNode, record.node);
     pack_field(packer, kNonce, record.nonce);
@@ -165,9 +165,9 @@
   Fields fields(value);
   LeaderRecord record;
   record.node = fields.text(kNode);
-  record.nonce = fields.count(kNonce);
-  record.term = fields.count(kTerm);
-  record.lease = fields[kLease].count().value_or(0);
+  record.nonce = fields.unsigned_integer(kNonce);
+  record.term = fields.unsigned_integer(kTerm);
+  record.lease = fields[kLease].unsigned_integer().value_or(0);
   return fields.if_ok(std::move(record));
 }
 
