--- a/tests/decision_scenarios.cpp
+++ b/tests/decision_scenarios.cpp
@@ -19,7 +19,7 @@
 }
 
 JobSpec small_service(Simulation& simulation) {
-  JobSpec spec = simulation.users().any_spec();
+  JobSpec spec = simulation.users().random_spec();
   spec.kind = JobKind::Service;
   spec.one_zone = false;
   return spec;
@@ -39,26 +39,26 @@
   simulation.finish();
 }
 
-/// The key-value store refuses only the leader, jobs are cancelled, then the store has an outage.
-void run_refused_leader_and_outage(Simulation& simulation) {
-  for (int i = 0; i < 6; ++i) simulation.users().submit_any();
+/// The key-value store rejects only the leader, jobs are cancelled, then the store has an outage.
+void run_rejected_leader_and_outage(Simulation& simulation) {
+  for (int i = 0; i < 6; ++i) simulation.users().submit_random();
   simulation.run_for(40);
-  simulation.faults().refuse(simulation.leader_or_first(), 200);
+  simulation.faults().reject_store_requests(simulation.leader_or_first(), 200);
   simulation.run_for(1);
-  for (const auto& job : simulation.jobs_running())
+  for (const auto& job : simulation.running_jobs())
     simulation.users().cancel(job, simulation.follower());
   simulation.run_for(2);
-  simulation.faults().outage(30);
+  simulation.faults().store_outage(30);
   simulation.run_for(60);
   simulation.finish();
 }
 
 /// A zone is partitioned for longer than the worker lease while jobs run and are submitted.
 void run_zone_partition(Simulation& simulation) {
-  for (int i = 0; i < 8; ++i) simulation.users().submit_any();
+  for (int i = 0; i < 8; ++i) simulation.users().submit_random();
   simulation.run_for(40);
-  simulation.faults().cut_zone(simulation::kEast, 25);
-  for (int i = 0; i < 8; ++i) simulation.users().submit_any();
+  simulation.faults().partition_zone(simulation::kEast, 25);
+  for (int i = 0; i < 8; ++i) simulation.users().submit_random();
   simulation.run_for(60);
   simulation.finish();
 }
@@ -67,9 +67,9 @@
 void run_failovers(Simulation& simulation) {
   constexpr int kFailovers = 8;
   for (int i = 0; i < kFailovers; ++i) {
-    simulation.users().submit_any();
+    simulation.users().submit_random();
     simulation.run_for(12);
-    simulation.faults().end_process(simulation.leader_or_first(), 3);
+    simulation.faults().restart_controller(simulation.leader_or_first(), 3);
   }
   simulation.finish();
 }
@@ -83,7 +83,7 @@
 SimulationOptions with_tight_cancellation() {
   SimulationOptions options;
   options.cancel_s = 16;
-  options.task_most = 40;
+  options.max_task_s = 40;
   options.controller_zones = {"east", "west", "west"};
   return options;
 }
@@ -96,23 +96,23 @@
 
 SimulationOptions with_fair_share() {
   SimulationOptions options;
-  options.open_team_gpus = 6;
-  options.task_least = 20;
-  options.task_most = 60;
+  options.open_team_guaranteed_gpus = 6;
+  options.min_task_s = 20;
+  options.max_task_s = 60;
   return options;
 }
 
 SimulationOptions with_long_tasks() {
   SimulationOptions options;
-  options.task_least = 60;
-  options.task_most = 90;
+  options.min_task_s = 60;
+  options.max_task_s = 90;
   return options;
 }
 
 SimulationOptions with_many_machines() {
   SimulationOptions options;
   options.machines = 10;
-  options.most_machines = 24;
+  options.max_machines = 24;
   return options;
 }
 
@@ -123,7 +123,7 @@
       {"history_with_prompt_dispatch", {3, with_prompt_dispatch(), run_history}},
       {"history_with_guarantee", {3, with_fair_share(), run_history}},
       {"fragmentation", {3, with_many_machines(), run_fragmentation}},
-      {"refused_leader_and_outage", {2, with_long_tasks(), run_refused_leader_and_outage}},
+      {"refused_leader_and_outage", {2, with_long_tasks(), run_rejected_leader_and_outage}},
       {"zone_cut", {2, with_long_tasks(), run_zone_partition}},
       {"failovers", {2, with_long_tasks(), run_failovers}},
   };
@@ -144,7 +144,7 @@
   SimulationOptions options = kind.options;
   // With a short boot time silent machines are released within seconds; with a long one they are
   // kept for the length of a partition.
-  options.nominal_boot_s = scenario.seed % 2 ? 5 : 60;
+  options.declared_boot_s = scenario.seed % 2 ? 5 : 60;
   Simulation simulation(scenario.seed, options);
   kind.run(simulation);
   return simulation.decision_digest();
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -14,7 +14,7 @@
 namespace sumacquay {
 namespace {
 
-using sumacquay::testing::holds;
+using sumacquay::testing::check_property;
 
 JobRecord pending_record(const std::string& id, std::vector<std::string> dependencies = {}) {
   JobRecord record;
@@ -214,7 +214,7 @@
 }
 
 TEST(DependencyGraph, AgreesWithReferenceModel) {
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "graph and model agree",
       [] {
         const auto jobs = *rc::gen::inRange<size_t>(1, 12);
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -14,7 +14,7 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 TeamSettings make_team(const std::string& name, double cpus, double gpus) {
   TeamSettings team;
@@ -177,7 +177,7 @@
 }
 
 TEST(FairShare, PreemptionHasNoCycles) {
-  EXPECT_TRUE(holds("preemption has no cycles", [] {
+  EXPECT_TRUE(check_property("preemption has no cycles", [] {
     const std::vector<TeamSettings> teams{make_team("a", 0, *rc::gen::inRange(0, 6)),
                                           make_team("b", 0, *rc::gen::inRange(0, 6)),
                                           make_team("c", 0, *rc::gen::inRange(0, 6))};
--- a/tests/fault_interaction_test.cpp
+++ b/tests/fault_interaction_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 using simulation::chain;
-using simulation::CopyDelivery;
 using simulation::diamond;
+using simulation::DuplicateDelivery;
 using simulation::fan;
 using simulation::PipelinePlan;
 using simulation::Simulation;
@@ -25,14 +25,14 @@
 SimulationOptions long_task_options(Seconds cancel_s = 22) {
   SimulationOptions options;
   options.cancel_s = cancel_s;
-  options.task_least = 60;
-  options.task_most = 90;
+  options.min_task_s = 60;
+  options.max_task_s = 90;
   return options;
 }
 /// Submits services and arrays, alternately for the team without a quota and the team with one.
 void submit_services(Simulation& simulation, int count) {
   for (int i = 0; i < count; ++i) {
-    JobSpec spec = simulation.users().any_spec();
+    JobSpec spec = simulation.users().random_spec();
     spec.kind = i % 3 == 2 ? JobKind::Array : JobKind::Service;
     spec.tasks = 1 + static_cast<uint32_t>(i % 2);
     spec.spread = spec.one_zone = false;
@@ -47,7 +47,7 @@
 }
 std::vector<std::string> cancel_running(Simulation& simulation, size_t max_jobs,
                                         std::optional<size_t> first_controller = std::nullopt) {
-  auto jobs = simulation.jobs_running();
+  auto jobs = simulation.running_jobs();
   if (jobs.size() > max_jobs) jobs.resize(max_jobs);
   for (const auto& id : jobs) simulation.users().cancel(id, first_controller);
   return jobs;
@@ -76,15 +76,15 @@
     SimulationOptions seed_options = options;
     // With a short boot time silent machines are released within seconds; with a long one they are
     // kept for the duration of a partition.
-    seed_options.nominal_boot_s = seed % 2 ? 5 : 120;
+    seed_options.declared_boot_s = seed % 2 ? 5 : 120;
     Simulation simulation(seed, seed_options);
-    if (seed % 4 < 2) simulation.faults().late_releases(1000);
+    if (seed % 4 < 2) simulation.faults().delay_releases(1000);
     occurrences += script(simulation);
     simulation.finish();
     EXPECT_EQ(simulation.checker().violations(), std::vector<std::string>{}) << "seed " << seed;
-    EXPECT_EQ(simulation.unfinished(), 0u) << "seed " << seed;
-    EXPECT_EQ(simulation.pipelines().stages_not_accepted(), 0u) << "seed " << seed;
-    EXPECT_EQ(simulation.cancellations_not_recorded(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.unfinished_job_count(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.pipelines().unaccepted_stages(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.unrecorded_cancellations(), 0u) << "seed " << seed;
   }
   EXPECT_GE(occurrences, min_occurrences) << "the intended combination of faults hardly occurred";
 }
@@ -101,13 +101,13 @@
 }
 
 /// Heartbeat answers and commands do not reach the machines of these jobs for the duration.
-/// Commands are held for up to 30 s longer.
+/// Commands are delayed for up to 30 s longer.
 void drop_worker_inbound(Simulation& simulation, const std::vector<std::string>& jobs,
                          Seconds duration) {
   for (const auto& id : jobs)
-    for (const auto& m : simulation.machines_of(id)) {
-      simulation.faults().deafen(m, duration);
-      simulation.faults().hold_commands(m, duration + simulation.between(0, 30));
+    for (const auto& m : simulation.machines_running(id)) {
+      simulation.faults().drop_inbound_messages(m, duration);
+      simulation.faults().delay_commands(m, duration + simulation.random_between(0, 30));
     }
 }
 
@@ -120,12 +120,12 @@
   const auto old_leader = simulation.leader();
   if (!old_leader) return 0;
   const Seconds start = simulation.now();
-  simulation.faults().refuse(*old_leader, 200);
+  simulation.faults().reject_store_requests(*old_leader, 200);
   simulation.run_for(0.3);
   const auto jobs = cancel_running(simulation, 3, simulation.follower());
   if (rejection_duration > 2) drop_worker_inbound(simulation, jobs, rejection_duration + 0.5);
   simulation.run_for(rejection_duration);
-  simulation.faults().outage(40);
+  simulation.faults().store_outage(40);
   const Seconds outage_start = simulation.now();
   simulation.run_for(45);
   return count_confirmed_between(simulation, jobs, start, outage_start);
@@ -152,17 +152,18 @@
   start_workload(simulation);
   const auto old_leader = simulation.leader();
   if (!old_leader) return 0;
-  auto jobs = simulation.jobs_running();
+  auto jobs = simulation.running_jobs();
   if (jobs.size() > 3) jobs.resize(3);
   drop_worker_inbound(simulation, jobs, inbound_loss_duration);
   for (const auto& id : jobs) simulation.users().cancel(id, simulation.follower());
-  simulation.at(rejected_after,
-                [&simulation, old_leader] { simulation.faults().refuse(*old_leader, 200); });
-  simulation.at(outage_after, [&simulation] { simulation.faults().outage(40); });
+  simulation.schedule_in(rejected_after, [&simulation, old_leader] {
+    simulation.faults().reject_store_requests(*old_leader, 200);
+  });
+  simulation.schedule_in(outage_after, [&simulation] { simulation.faults().store_outage(40); });
   simulation.run_for(inbound_loss_duration - 0.1);
   size_t occurrences = 0;
   for (const auto& id : jobs)
-    occurrences += simulation.cancelled_at(id) && !simulation.machines_of(id).empty();
+    occurrences += simulation.cancelled_at(id) && !simulation.machines_running(id).empty();
   simulation.run_for(45);
   return occurrences;
 }
@@ -187,13 +188,13 @@
 TEST(CancellationBeforeStoreOutage, StopsTasksIfStopsAreLostJustBeforeOutage) {
   run_with_both_cancel_timeouts([](Simulation& simulation) -> size_t {
     start_workload(simulation);
-    auto jobs = simulation.jobs_running();
+    auto jobs = simulation.running_jobs();
     if (jobs.size() > 3) jobs.resize(3);
-    drop_worker_inbound(simulation, jobs, simulation.between(1, 8));
+    drop_worker_inbound(simulation, jobs, simulation.random_between(1, 8));
     for (const auto& id : jobs) simulation.users().cancel(id);
-    simulation.run_for(simulation.between(0.2, 0.6));
+    simulation.run_for(simulation.random_between(0.2, 0.6));
     const size_t occurrences = count_confirmed(simulation, jobs);
-    simulation.faults().outage(40);
+    simulation.faults().store_outage(40);
     simulation.run_for(45);
     return occurrences;
   });
@@ -205,12 +206,12 @@
   run_with_both_cancel_timeouts(
       [](Simulation& simulation) {
         start_workload(simulation);
-        simulation.faults().late_heartbeats(0.7, 12);
+        simulation.faults().duplicate_heartbeats(0.7, 12);
         simulation.run_for(4);
         cancel_running(simulation, 2);
-        simulation.faults().end_process(simulation.leader_or_first(), 3);
+        simulation.faults().restart_controller(simulation.leader_or_first(), 3);
         simulation.run_for(30);
-        return simulation.workers().copies_heard_by_new_leader();
+        return simulation.workers().duplicates_received_by_new_leader();
       },
       30);
 }
@@ -220,14 +221,14 @@
       [](Simulation& simulation) {
         start_workload(simulation);
         for (int i = 0; i < 3; ++i) {
-          simulation.faults().late_heartbeats(1, 6, CopyDelivery::ToNextLeaderOnce);
+          simulation.faults().duplicate_heartbeats(1, 6, DuplicateDelivery::OnLeaderChange);
           simulation.run_for(5);
           cancel_running(simulation, 1);
           submit_services(simulation, 2);
-          simulation.faults().end_process(simulation.leader_or_first(), 1);
+          simulation.faults().restart_controller(simulation.leader_or_first(), 1);
           simulation.run_for(18);
         }
-        return simulation.workers().copies_heard_by_new_leader();
+        return simulation.workers().duplicates_received_by_new_leader();
       },
       50);
 }
@@ -236,36 +237,37 @@
   run_with_both_cancel_timeouts(
       [](Simulation& simulation) {
         start_workload(simulation);
-        simulation.faults().late_heartbeats(0.6, 40);
+        simulation.faults().duplicate_heartbeats(0.6, 40);
         for (int i = 0; i < 3; ++i) {
           for (const auto& m : simulation.machines())
-            if (simulation.chance(0.5)) simulation.faults().cut(m, simulation.between(11, 16));
+            if (simulation.random_bool(0.5))
+              simulation.faults().partition_machine(m, simulation.random_between(11, 16));
           simulation.run_for(12);
           cancel_running(simulation, 1);
           submit_services(simulation, 1);
         }
         simulation.run_for(20);
-        return simulation.workers().copies_heard();
+        return simulation.workers().duplicates_received();
       },
       200);
 }
 
 TEST(DelayedHeartbeats, InvariantsHoldWhenCommandsAndAnswersOvertakeHeartbeats) {
   SimulationOptions options;
-  options.task_least = 4;
-  options.task_most = 10;
+  options.min_task_s = 4;
+  options.max_task_s = 10;
   run_script(
       options,
       [](Simulation& simulation) {
         start_workload(simulation, 4, 20);
         const size_t starts_before = simulation.checker().starts();
-        simulation.faults().slow_heartbeats(70);
+        simulation.faults().delay_heartbeats(70);
         for (int i = 0; i < 20; ++i) {
-          JobSpec spec = simulation.users().any_spec();
+          JobSpec spec = simulation.users().random_spec();
           spec.kind = JobKind::Array;
           spec.spread = spec.one_zone = false;
           simulation.users().submit(spec);
-          simulation.run_for(simulation.between(1, 4));
+          simulation.run_for(simulation.random_between(1, 4));
           if (i % 5 == 4) cancel_running(simulation, 1);
         }
         return simulation.checker().starts() - starts_before;
@@ -278,10 +280,10 @@
 TEST(NetworkPartitionFaults, CancelsJobsWhileZoneIsPartitionedForLongerThanLease) {
   run_with_both_cancel_timeouts([](Simulation& simulation) {
     start_workload(simulation);
-    const std::string zone = simulation.chance(0.5) ? "east" : "west";
+    const std::string zone = simulation.random_bool(0.5) ? "east" : "west";
     const Seconds start = simulation.now();
-    simulation.faults().cut_zone(zone, simulation.between(15, 45));
-    simulation.run_for(simulation.between(0.5, 3));
+    simulation.faults().partition_zone(zone, simulation.random_between(15, 45));
+    simulation.run_for(simulation.random_between(0.5, 3));
     const auto jobs = cancel_running(simulation, 2);
     simulation.run_for(50);
     return count_confirmed_between(simulation, jobs, start, start + 15);
@@ -294,7 +296,7 @@
 TEST(NetworkPartitionFaults, StartsNoDuplicatesWhileDelegateAnswersInPartitionedZone) {
   SimulationOptions options = long_task_options();
   options.machines = 8;  // enough to tell a partitioned zone from failed machines
-  options.most_machines = 16;
+  options.max_machines = 16;
   size_t outliving_tasks = 0;
   run_script(
       options,
@@ -302,27 +304,28 @@
         // Workers in the east reach a controller in their zone in time only if the leader is in the
         // west.
         for (int attempt = 0; attempt < 12 && simulation.leader() != 1; ++attempt) {
-          if (const auto leader = simulation.leader()) simulation.faults().end_process(*leader, 3);
+          if (const auto leader = simulation.leader())
+            simulation.faults().restart_controller(*leader, 3);
           simulation.run_for(5);
         }
         if (simulation.leader() != 1) return 0;
         submit_services(simulation, 16);
         simulation.run_for(25);
         std::vector<std::string> east_jobs;
-        for (const auto& id : simulation.jobs_running())
-          for (const auto& m : simulation.machines_of(id))
+        for (const auto& id : simulation.running_jobs())
+          for (const auto& m : simulation.machines_running(id))
             if (simulation.zone_of(m) == "east" && (east_jobs.empty() || east_jobs.back() != id))
               east_jobs.push_back(id);
-        const size_t delegated_before = simulation.workers().delegated();
-        simulation.faults().cut_zone("east", 45);
+        const size_t delegate_replies_before = simulation.workers().delegate_replies();
+        simulation.faults().partition_zone("east", 45);
         simulation.run_for(10);
         cancel_running(simulation, 2);
         simulation.run_for(3);  // past the leases that the leader itself renewed
         for (const auto& id : east_jobs)
-          for (const auto& m : simulation.machines_of(id))
+          for (const auto& m : simulation.machines_running(id))
             outliving_tasks += simulation.zone_of(m) == "east";
         simulation.run_for(35);
-        return simulation.workers().delegated() - delegated_before;
+        return simulation.workers().delegate_replies() - delegate_replies_before;
       },
       10 * kSeeds);
   EXPECT_GE(outliving_tasks, 5 * kSeeds)
@@ -335,9 +338,9 @@
     const auto old_leader = simulation.leader();
     if (!old_leader) return 0;
     const uint64_t term = simulation.checker().highest_term();
-    simulation.faults().cut_from_state(*old_leader, 40);
-    simulation.faults().cut_from_peers(*old_leader, 40);
-    simulation.run_for(simulation.between(0.1, 4));
+    simulation.faults().partition_from_store(*old_leader, 40);
+    simulation.faults().partition_from_peers(*old_leader, 40);
+    simulation.run_for(simulation.random_between(0.1, 4));
     const auto jobs = cancel_running(simulation, 3, old_leader);
     simulation.run_for(45);
     return simulation.checker().highest_term() > term ? count_confirmed(simulation, jobs) : 0;
@@ -354,11 +357,11 @@
         simulation.run_for(5);
         continue;
       }
-      const Seconds duration = simulation.between(4, 16);
-      if (partition_mask & 1) simulation.faults().cut_from_state(*old_leader, duration);
-      if (partition_mask & 2) simulation.faults().cut_from_peers(*old_leader, duration);
-      if (partition_mask & 4) simulation.faults().cut_from_workers(*old_leader, duration);
-      simulation.run_for(simulation.between(0.1, 3));
+      const Seconds duration = simulation.random_between(4, 16);
+      if (partition_mask & 1) simulation.faults().partition_from_store(*old_leader, duration);
+      if (partition_mask & 2) simulation.faults().partition_from_peers(*old_leader, duration);
+      if (partition_mask & 4) simulation.faults().partition_from_workers(*old_leader, duration);
+      simulation.run_for(simulation.random_between(0.1, 3));
       const auto jobs = cancel_running(simulation, 1);
       submit_services(simulation, 1);
       simulation.run_for(18);
@@ -372,13 +375,14 @@
   run_with_both_cancel_timeouts([](Simulation& simulation) {
     start_workload(simulation);
     for (const auto& m : simulation.machines())
-      simulation.faults().mute(m, simulation.between(15, 40));
-    simulation.run_for(simulation.between(0.5, 8));
+      simulation.faults().drop_heartbeats(m, simulation.random_between(15, 40));
+    simulation.run_for(simulation.random_between(0.5, 8));
     const Seconds start = simulation.now();
     const auto jobs = cancel_running(simulation, 3);
     submit_services(simulation, 2);
     simulation.run_for(3);
-    if (simulation.chance(0.5)) simulation.faults().end_process(simulation.leader_or_first(), 2);
+    if (simulation.random_bool(0.5))
+      simulation.faults().restart_controller(simulation.leader_or_first(), 2);
     simulation.run_for(40);
     return count_confirmed_between(simulation, jobs, start, start + 5);
   });
@@ -394,10 +398,11 @@
       const Seconds start = simulation.now();
       std::vector<std::string> jobs;
       for (int k = 0; k < 4; ++k)
-        simulation.at(simulation.between(0, 4), [&simulation, &jobs] {
+        simulation.schedule_in(simulation.random_between(0, 4), [&simulation, &jobs] {
           for (const auto& id : cancel_running(simulation, 1)) jobs.push_back(id);
         });
-      simulation.faults().end_process(simulation.leader_or_first(), simulation.between(0.3, 5));
+      simulation.faults().restart_controller(simulation.leader_or_first(),
+                                             simulation.random_between(0.3, 5));
       simulation.run_for(6);
       submit_services(simulation, 4);
       occurrences += count_confirmed_between(simulation, jobs, start, start + 6);
@@ -411,27 +416,27 @@
   run_with_both_cancel_timeouts([](Simulation& simulation) {
     start_workload(simulation, 12, 60);
     const Seconds start = simulation.now();
-    const auto jobs = simulation.jobs_running();
+    const auto jobs = simulation.running_jobs();
     size_t occurrences = 0;
     for (const auto& id : jobs) {
-      if (simulation.chance(0.5)) continue;
-      for (const auto& m : simulation.machines_of(id)) {
-        const Seconds duration = simulation.between(3, 25);
-        switch (simulation.any(3)) {
+      if (simulation.random_bool(0.5)) continue;
+      for (const auto& m : simulation.machines_running(id)) {
+        const Seconds duration = simulation.random_between(3, 25);
+        switch (simulation.random_below(3)) {
           case 0:
-            simulation.faults().cut(m, duration);
+            simulation.faults().partition_machine(m, duration);
             break;
           case 1:
-            simulation.faults().hang(m, duration);
+            simulation.faults().hang_machine(m, duration);
             break;
           default:
-            simulation.faults().deafen(m, duration);
+            simulation.faults().drop_inbound_messages(m, duration);
         }
       }
       simulation.users().cancel(id);
     }
-    simulation.run_for(simulation.between(0.1, 2));
-    simulation.faults().end_process(simulation.leader_or_first(), 3);
+    simulation.run_for(simulation.random_between(0.1, 2));
+    simulation.faults().restart_controller(simulation.leader_or_first(), 3);
     submit_services(simulation, 6);
     simulation.run_for(40);
     occurrences += count_confirmed_between(simulation, jobs, start, start + 15);
@@ -444,12 +449,12 @@
     start_workload(simulation, 12, 60);
     const auto machines = simulation.machines();
     for (size_t i = 0; i < machines.size(); i += 2) {
-      simulation.faults().cut(machines[i], simulation.between(8, 30));
-      simulation.faults().hold_commands(machines[i], simulation.between(8, 40));
+      simulation.faults().partition_machine(machines[i], simulation.random_between(8, 30));
+      simulation.faults().delay_commands(machines[i], simulation.random_between(8, 40));
     }
     const Seconds start = simulation.now();
-    simulation.faults().end_process(simulation.leader_or_first(), 8);
-    simulation.run_for(simulation.between(0.5, 5));
+    simulation.faults().restart_controller(simulation.leader_or_first(), 8);
+    simulation.run_for(simulation.random_between(0.5, 5));
     const auto jobs = cancel_running(simulation, 3);
     submit_services(simulation, 6);
     simulation.run_for(45);
@@ -462,15 +467,16 @@
     start_workload(simulation);
     const uint64_t term_before = simulation.checker().highest_term();
     for (int i = 0; i < 2; ++i) {
-      simulation.faults().end_process(simulation.leader_or_first(), simulation.between(0.2, 4));
+      simulation.faults().restart_controller(simulation.leader_or_first(),
+                                             simulation.random_between(0.2, 4));
       simulation.run_for(6);
       cancel_running(simulation, 1);
     }
-    const size_t returning_controller = simulation.any(3);
+    const size_t returning_controller = simulation.random_below(3);
     for (size_t controller = 0; controller < 3; ++controller)
-      simulation.faults().end_process(controller, controller == returning_controller
-                                                      ? simulation.between(0.2, 1)
-                                                      : simulation.between(20, 30));
+      simulation.faults().restart_controller(controller, controller == returning_controller
+                                                             ? simulation.random_between(0.2, 1)
+                                                             : simulation.random_between(20, 30));
     simulation.run_for(6);
     cancel_running(simulation, 1);
     submit_services(simulation, 3);
@@ -483,22 +489,22 @@
   run_with_both_cancel_timeouts(
       [](Simulation& simulation) {
         start_workload(simulation);
-        const size_t terms_before = simulation.checker().terms();
+        const size_t term_count_before = simulation.checker().term_count();
         for (int i = 0; i < 12; ++i) {
           const auto leading = simulation.leader();
-          const size_t leader = leading ? *leading : simulation.any(3);
+          const size_t leader = leading ? *leading : simulation.random_below(3);
           if (i % 3 == 2)
-            simulation.faults().stand_still(leader, simulation.between(3, 12));
+            simulation.faults().pause_controller(leader, simulation.random_between(3, 12));
           else
-            simulation.faults().end_process(leader, simulation.between(0.2, 5));
-          if (i == 6) simulation.faults().outage(15);
-          simulation.run_for(simulation.between(1, 3));
+            simulation.faults().restart_controller(leader, simulation.random_between(0.2, 5));
+          if (i == 6) simulation.faults().store_outage(15);
+          simulation.run_for(simulation.random_between(1, 3));
           cancel_running(simulation, 1);
           submit_services(simulation, 1);
           simulation.run_for(8);
         }
         simulation.run_for(20);
-        return simulation.checker().terms() - terms_before;
+        return simulation.checker().term_count() - term_count_before;
       },
       8 * kSeeds);
 }
@@ -507,11 +513,11 @@
   run_with_both_cancel_timeouts([](Simulation& simulation) -> size_t {
     start_workload(simulation);
     auto jobs = cancel_running(simulation, 1);
-    simulation.run_for(simulation.between(0.05, 1));
+    simulation.run_for(simulation.random_between(0.05, 1));
     for (size_t controller = 0; controller < 3; ++controller)
-      simulation.faults().end_process(controller, simulation.between(11, 25));
+      simulation.faults().restart_controller(controller, simulation.random_between(11, 25));
     simulation.run_for(12);
-    const bool no_leader_or_tasks = !simulation.leader() || simulation.jobs_running().empty();
+    const bool no_leader_or_tasks = !simulation.leader() || simulation.running_jobs().empty();
     simulation.run_for(25);
     return no_leader_or_tasks;
   });
@@ -522,8 +528,9 @@
     start_workload(simulation);
     const uint64_t term_before = simulation.checker().highest_term();
     for (int i = 0; i < 3; ++i) {
-      simulation.faults().stand_still(simulation.leader_or_first(), simulation.between(2, 14));
-      simulation.run_for(simulation.between(0.1, 4));
+      simulation.faults().pause_controller(simulation.leader_or_first(),
+                                           simulation.random_between(2, 14));
+      simulation.run_for(simulation.random_between(0.1, 4));
       cancel_running(simulation, 1);
       submit_services(simulation, 2);
       simulation.run_for(18);
@@ -537,14 +544,14 @@
     start_workload(simulation);
     const uint64_t term_before = simulation.checker().highest_term();
     for (const auto& m : simulation.machines()) {
-      const Seconds duration = simulation.between(2, 30);
-      if (simulation.chance(0.5))
-        simulation.faults().deafen(m, duration);
+      const Seconds duration = simulation.random_between(2, 30);
+      if (simulation.random_bool(0.5))
+        simulation.faults().drop_inbound_messages(m, duration);
       else
-        simulation.faults().cut(m, duration);
+        simulation.faults().partition_machine(m, duration);
     }
-    simulation.run_for(simulation.between(0.1, 2));
-    simulation.faults().end_process(simulation.leader_or_first(), 5);
+    simulation.run_for(simulation.random_between(0.1, 2));
+    simulation.faults().restart_controller(simulation.leader_or_first(), 5);
     simulation.run_for(5);
     cancel_running(simulation, 2);
     submit_services(simulation, 3);
@@ -559,14 +566,14 @@
   run_with_both_cancel_timeouts([](Simulation& simulation) {
     start_workload(simulation);
     const Seconds start = simulation.now();
-    simulation.faults().slow(10);
+    simulation.faults().slow_store(10);
     std::vector<std::string> jobs = cancel_running(simulation, 1);
-    simulation.run_for(simulation.between(2, 6));
-    simulation.faults().refuse(simulation.leader_or_first(), 60);
+    simulation.run_for(simulation.random_between(2, 6));
+    simulation.faults().reject_store_requests(simulation.leader_or_first(), 60);
     for (const auto& id : cancel_running(simulation, 2)) jobs.push_back(id);
-    simulation.run_for(simulation.between(0.5, 5));
+    simulation.run_for(simulation.random_between(0.5, 5));
     const Seconds outage_start = simulation.now();
-    simulation.faults().outage(35);
+    simulation.faults().store_outage(35);
     cancel_running(simulation, 1);
     simulation.run_for(40);
     return count_confirmed_between(simulation, jobs, start, outage_start);
@@ -577,14 +584,14 @@
   run_with_both_cancel_timeouts(
       [](Simulation& simulation) {
         start_workload(simulation);
-        simulation.faults().lost_answers(0.5, 60);
+        simulation.faults().lose_store_answers(0.5, 60);
         for (int i = 0; i < 10; ++i) {
           cancel_running(simulation, 1);
           submit_services(simulation, 2);
           simulation.run_for(6);
-          if (i == 5) simulation.faults().end_process(simulation.leader_or_first(), 2);
+          if (i == 5) simulation.faults().restart_controller(simulation.leader_or_first(), 2);
         }
-        return simulation.state().answers_lost();
+        return simulation.store().answers_lost();
       },
       10 * kSeeds);
 }
@@ -593,15 +600,15 @@
   run_with_both_cancel_timeouts(
       [](Simulation& simulation) {
         start_workload(simulation);
-        simulation.faults().late_writes(0.4, 60);
+        simulation.faults().delay_store_writes(0.4, 60);
         for (int i = 0; i < 10; ++i) {
           cancel_running(simulation, 1);
           submit_services(simulation, 2);
           simulation.run_for(6);
-          if (i % 4 == 3) simulation.faults().end_process(simulation.leader_or_first(), 2);
+          if (i % 4 == 3) simulation.faults().restart_controller(simulation.leader_or_first(), 2);
         }
         simulation.run_for(15);
-        return simulation.state().late_writes_applied();
+        return simulation.store().late_writes_applied();
       },
       2 * kSeeds);
 }
@@ -610,23 +617,23 @@
 
 TEST(WorkloadsDuringFaults, RunsFourSingleTaskJobsPerSecondWithQuarterCancelled) {
   SimulationOptions options;
-  options.task_least = 0.5;
-  options.task_most = 3;
+  options.min_task_s = 0.5;
+  options.max_task_s = 3;
   run_script(
       options,
       [](Simulation& simulation) {
         simulation.run_until([&] { return simulation.leader().has_value(); }, 20);
         for (int i = 0; i < 240; ++i) {
-          JobSpec spec = simulation.users().any_spec();
+          JobSpec spec = simulation.users().random_spec();
           spec.kind = JobKind::Array;
           spec.tasks = 1;
           spec.one_zone = spec.spread = false;
           const std::string id = simulation.users().submit(spec);
           if (i % 4 == 0)
-            simulation.at(simulation.between(0.1, 4),
-                          [&simulation, id] { simulation.users().cancel(id); });
+            simulation.schedule_in(simulation.random_between(0.1, 4),
+                                   [&simulation, id] { simulation.users().cancel(id); });
           simulation.run_for(0.25);
-          if (i == 120) simulation.faults().end_process(simulation.leader_or_first(), 3);
+          if (i == 120) simulation.faults().restart_controller(simulation.leader_or_first(), 3);
         }
         return simulation.checker().cancellations();
       },
@@ -635,12 +642,12 @@
 
 TEST(WorkloadsDuringFaults, RecordsTasksOfOneJobThatEndAcrossFailovers) {
   SimulationOptions options;
-  options.task_least = 2;
-  options.task_most = 60;
+  options.min_task_s = 2;
+  options.max_task_s = 60;
   run_script(options, [](Simulation& simulation) {
     simulation.run_until([&] { return simulation.leader().has_value(); }, 20);
     for (int i = 0; i < 8; ++i) {
-      JobSpec spec = simulation.users().any_spec();
+      JobSpec spec = simulation.users().random_spec();
       spec.kind = JobKind::Array;
       spec.tasks = 2 + static_cast<uint32_t>(i % 2);
       spec.one_zone = spec.spread = false;
@@ -649,7 +656,8 @@
     simulation.run_for(25);
     const uint64_t term_before = simulation.checker().highest_term();
     for (int i = 0; i < 3; ++i) {
-      simulation.faults().end_process(simulation.leader_or_first(), simulation.between(0.3, 4));
+      simulation.faults().restart_controller(simulation.leader_or_first(),
+                                             simulation.random_between(0.3, 4));
       simulation.run_for(15);
     }
     return simulation.checker().highest_term() - term_before;
@@ -660,28 +668,28 @@
   run_with_both_cancel_timeouts([](Simulation& simulation) {
     simulation.run_until([&] { return simulation.leader().has_value(); }, 20);
     for (int i = 0; i < 6; ++i) {
-      JobSpec spec = simulation.users().any_spec();
+      JobSpec spec = simulation.users().random_spec();
       spec.kind = i % 2 ? JobKind::Array : JobKind::Gang;
       spec.tasks = 2 + static_cast<uint32_t>(i % 3);
       spec.spread = false;
       spec.one_zone = true;
-      if (i % 3 == 0) spec.zone = simulation.chance(0.5) ? "east" : "west";
+      if (i % 3 == 0) spec.zone = simulation.random_bool(0.5) ? "east" : "west";
       simulation.users().submit(spec);
     }
     simulation.run_for(20);
     size_t machine_losses = 0;
     for (int i = 0; i < 4; ++i) {
-      for (const auto& id : simulation.jobs_running()) {
-        const auto machines = simulation.machines_of(id);
+      for (const auto& id : simulation.running_jobs()) {
+        const auto machines = simulation.machines_running(id);
         if (machines.empty()) continue;
-        if (simulation.chance(0.5))
+        if (simulation.random_bool(0.5))
           simulation.faults().lose_machine(machines[0]);
         else
-          simulation.faults().cut(machines[0], 15);
+          simulation.faults().partition_machine(machines[0], 15);
         ++machine_losses;
         break;
       }
-      if (i == 2) simulation.faults().end_process(simulation.leader_or_first(), 2);
+      if (i == 2) simulation.faults().restart_controller(simulation.leader_or_first(), 2);
       simulation.run_for(14);
     }
     return machine_losses;
@@ -690,15 +698,15 @@
 
 TEST(WorkloadsDuringFaults, KeepsTeamGuaranteesAcrossFailover) {
   SimulationOptions options;
-  options.most_machines = options.machines = 4;
+  options.max_machines = options.machines = 4;
   // Longer than the waits below: tasks are placed in time only by preemption.
-  options.task_least = 75;
-  options.task_most = 85;
-  options.open_team_gpus = 8;
+  options.min_task_s = 75;
+  options.max_task_s = 85;
+  options.open_team_guaranteed_gpus = 8;
   run_script(options, [](Simulation& simulation) {
     simulation.run_until([&] { return simulation.leader().has_value(); }, 20);
     const auto submit = [&simulation](const std::string& team, uint32_t tasks) {
-      JobSpec spec = simulation.users().any_spec();
+      JobSpec spec = simulation.users().random_spec();
       spec.kind = JobKind::Array;
       spec.priority = Priority::High;
       spec.tasks = tasks;
@@ -713,11 +721,11 @@
     const std::vector<std::string> limited_jobs{submit("limited", 2), submit("limited", 2)};
     simulation.run_for(2);  // controllers accept concurrent submissions in any order
     const std::string job_beyond_guarantee = submit("limited", 2);
-    simulation.run_for(simulation.between(0.2, 3));
-    simulation.faults().end_process(simulation.leader_or_first(), 3);
+    simulation.run_for(simulation.random_between(0.2, 3));
+    simulation.faults().restart_controller(simulation.leader_or_first(), 3);
     const auto waiting_tasks = [&simulation](const std::vector<std::string>& jobs) {
       size_t count = 0;
-      for (const auto& id : jobs) count += simulation.tasks_waiting(id);
+      for (const auto& id : jobs) count += simulation.waiting_tasks(id);
       return count;
     };
     EXPECT_TRUE(simulation.run_until([&] { return waiting_tasks(limited_jobs) == 0; }, 30))
@@ -729,7 +737,7 @@
           << "tasks within the guarantee of team limited were stopped again";
       EXPECT_LE(waiting_tasks(open_jobs), 4u)
           << "more tasks of team open were stopped than team limited needs";
-      EXPECT_EQ(simulation.tasks_waiting(job_beyond_guarantee), 2u)
+      EXPECT_EQ(simulation.waiting_tasks(job_beyond_guarantee), 2u)
           << "tasks beyond the guarantee must not preempt others";
     }
     return waiting_tasks(open_jobs);
@@ -738,12 +746,12 @@
 
 TEST(WorkloadsDuringFaults, StartsProductionJobsFirstOnFullFleetWithSlowFetches) {
   SimulationOptions options;
-  options.most_machines = options.machines = 4;
+  options.max_machines = options.machines = 4;
   // Longer than the waits below: tasks are placed in time only by preemption.
-  options.task_least = 30;
-  options.task_most = 50;
-  options.fetch_least = 3;
-  options.fetch_most = 10;
+  options.min_task_s = 30;
+  options.max_task_s = 50;
+  options.min_fetch_s = 3;
+  options.max_fetch_s = 10;
   run_script(
       options,
       [](Simulation& simulation) {
@@ -751,7 +759,7 @@
         const auto submit = [&simulation](Priority priority, int jobs) {
           std::vector<std::string> job_ids;
           for (int i = 0; i < jobs; ++i) {
-            JobSpec spec = simulation.users().any_spec();
+            JobSpec spec = simulation.users().random_spec();
             spec.kind = JobKind::Array;
             spec.priority = priority;
             spec.tasks = 2;
@@ -763,21 +771,21 @@
         };
         const auto waiting_tasks = [&simulation](const std::vector<std::string>& job_ids) {
           size_t count = 0;
-          for (const auto& id : job_ids) count += simulation.tasks_waiting(id);
+          for (const auto& id : job_ids) count += simulation.waiting_tasks(id);
           return count;
         };
         const auto low_priority_jobs = submit(Priority::Low, 12);
         simulation.run_for(15);
         const auto production_jobs = submit(Priority::Production, 6);
-        simulation.run_for(simulation.between(0.2, 3));
-        simulation.faults().end_process(simulation.leader_or_first(), 3);
+        simulation.run_for(simulation.random_between(0.2, 3));
+        simulation.faults().restart_controller(simulation.leader_or_first(), 3);
         const auto machines = simulation.machines();
         if (!machines.empty())
-          simulation.faults().cut(machines[simulation.any(machines.size())],
-                                  simulation.between(2, 12));
+          simulation.faults().partition_machine(machines[simulation.random_below(machines.size())],
+                                                simulation.random_between(2, 12));
         const auto production_started = [&] {
           return std::all_of(production_jobs.begin(), production_jobs.end(),
-                             [&](const auto& id) { return simulation.began_at(id).has_value(); });
+                             [&](const auto& id) { return simulation.started_at(id).has_value(); });
         };
         EXPECT_TRUE(simulation.run_until(production_started, 25))
             << "production jobs did not all start within 25 s: " << waiting_tasks(production_jobs)
@@ -794,20 +802,20 @@
 TEST(WorkloadsDuringFaults, PlacesTasksOnNewMachinesDuringSlowWritesAndFailover) {
   SimulationOptions options = long_task_options();
   options.machines = 1;
-  options.boot_least = 0.2;
-  options.boot_most = 2;
+  options.min_boot_s = 0.2;
+  options.max_boot_s = 2;
   run_script(options, [](Simulation& simulation) {
     simulation.run_until([&] { return simulation.leader().has_value(); }, 20);
     simulation.run_for(5);
     const size_t starts_before = simulation.checker().starts();
-    simulation.faults().slow(30);
-    simulation.faults().late_writes(0.2, 30);
+    simulation.faults().slow_store(30);
+    simulation.faults().delay_store_writes(0.2, 30);
     submit_services(simulation, 8);
-    simulation.run_for(simulation.between(1, 5));
-    simulation.faults().end_process(simulation.leader_or_first(), 4);
+    simulation.run_for(simulation.random_between(1, 5));
+    simulation.faults().restart_controller(simulation.leader_or_first(), 4);
     simulation.run_for(10);
     cancel_running(simulation, 2);
-    simulation.faults().end_process(simulation.leader_or_first(), 0.5);
+    simulation.faults().restart_controller(simulation.leader_or_first(), 0.5);
     simulation.run_for(30);
     return simulation.checker().starts() - starts_before;
   });
@@ -819,42 +827,43 @@
     start_workload(simulation);
     for (int i = 0; i < 5; ++i) {
       for (const auto& m : simulation.machines()) {
-        const Seconds duration = simulation.between(2, 9);
-        if (simulation.chance(0.7))
-          simulation.faults().hold_commands(m, simulation.chance(0.5) ? duration : 4 * duration);
-        if (simulation.chance(0.3)) simulation.faults().hang(m, duration);
-        if (simulation.chance(0.4)) simulation.faults().mute(m, duration);
+        const Seconds duration = simulation.random_between(2, 9);
+        if (simulation.random_bool(0.7))
+          simulation.faults().delay_commands(m,
+                                             simulation.random_bool(0.5) ? duration : 4 * duration);
+        if (simulation.random_bool(0.3)) simulation.faults().hang_machine(m, duration);
+        if (simulation.random_bool(0.4)) simulation.faults().drop_heartbeats(m, duration);
       }
       submit_services(simulation, 3);
-      simulation.run_for(simulation.between(1, 5));
+      simulation.run_for(simulation.random_between(1, 5));
       cancel_running(simulation, 2);
       simulation.run_for(12);
-      if (i == 1) simulation.faults().end_process(simulation.leader_or_first(), 2);
+      if (i == 1) simulation.faults().restart_controller(simulation.leader_or_first(), 2);
     }
     simulation.run_for(30);
-    executed_late += simulation.worker_commands().late_commands_done();
-    return simulation.worker_commands().late_commands();
+    executed_late += simulation.command_channel().late_commands_executed();
+    return simulation.command_channel().late_commands();
   });
   EXPECT_GE(executed_late, kSeeds) << "too few delayed commands were executed";
 }
 
 TEST(WorkloadsDuringFaults, ResolvesCancellationsThatRaceWithEndOfLastTask) {
   SimulationOptions options;
-  options.task_least = 4;
-  options.task_most = 4.2;
+  options.min_task_s = 4;
+  options.max_task_s = 4.2;
   run_script(
       options,
       [](Simulation& simulation) {
         simulation.run_until([&] { return simulation.leader().has_value(); }, 20);
         for (int i = 0; i < 40; ++i) {
-          JobSpec spec = simulation.users().any_spec();
+          JobSpec spec = simulation.users().random_spec();
           spec.kind = JobKind::Array;
           spec.tasks = 1;
           spec.one_zone = spec.spread = false;
           const std::string id = simulation.users().submit(spec);
-          simulation.run_until([&] { return !simulation.machines_of(id).empty(); }, 20);
-          simulation.at(simulation.between(3.8, 5.4),
-                        [&simulation, id] { simulation.users().cancel(id); });
+          simulation.run_until([&] { return !simulation.machines_running(id).empty(); }, 20);
+          simulation.schedule_in(simulation.random_between(3.8, 5.4),
+                                 [&simulation, id] { simulation.users().cancel(id); });
           simulation.run_for(1);
         }
         simulation.run_for(10);
@@ -866,7 +875,7 @@
 // ---- pipelines
 
 JobSpec single_task_stage(Simulation& simulation) {
-  JobSpec spec = simulation.users().any_spec();
+  JobSpec spec = simulation.users().random_spec();
   spec.kind = JobKind::Array;
   spec.tasks = 1;
   spec.team = "open";
@@ -883,18 +892,20 @@
       PipelinePlan plan;
       plan.shape = i % 2 ? diamond(2) : chain(4);
       plan.stage_spec = [&simulation] { return single_task_stage(simulation); };
-      plan.cancellation =
-          StageCancellation{.stage = i % 3, .after_acceptance = simulation.between(1, 6)};
-      pipelines.push_back(simulation.pipelines().begin(plan));
+      plan.cancellation = StageCancellation{
+          .stage = i % 3, .delay_after_acceptance = simulation.random_between(1, 6)};
+      pipelines.push_back(simulation.pipelines().submit_pipeline(plan));
     }
-    simulation.run_for(simulation.between(0.5, 4));
+    simulation.run_for(simulation.random_between(0.5, 4));
     const Seconds start = simulation.now();
     // The old leader terminates, or pauses and resumes with outdated state while another one leads.
-    if (simulation.chance(0.5))
-      simulation.faults().end_process(simulation.leader_or_first(), simulation.between(0.2, 5));
+    if (simulation.random_bool(0.5))
+      simulation.faults().restart_controller(simulation.leader_or_first(),
+                                             simulation.random_between(0.2, 5));
     else
-      simulation.faults().stand_still(simulation.leader_or_first(), simulation.between(3, 12));
-    if (simulation.chance(0.5)) simulation.faults().slow(10);
+      simulation.faults().pause_controller(simulation.leader_or_first(),
+                                           simulation.random_between(3, 12));
+    if (simulation.random_bool(0.5)) simulation.faults().slow_store(10);
     simulation.run_for(20);
     size_t occurrences = 0;
     for (const size_t pipeline : pipelines)
@@ -909,8 +920,8 @@
 
 TEST(PipelinesDuringFaults, ResolvesTwoConcurrentCancellationsThatRaceWithEndOfLastTask) {
   SimulationOptions options;
-  options.task_least = 3;
-  options.task_most = 8;
+  options.min_task_s = 3;
+  options.max_task_s = 8;
   size_t finished_first = 0;
   size_t cancelled_first = 0;
   run_script(
@@ -923,11 +934,11 @@
           plan.shape = i % 2 ? fan(2) : chain(3);
           plan.stage_spec = [&simulation] { return single_task_stage(simulation); };
           plan.cancellation = StageCancellation{.stage = i % 2,
-                                                .when = StageCancellation::When::AsItsLastTaskEnds,
+                                                .when = StageCancellation::When::WhenTasksDone,
                                                 .through_two_controllers = true};
-          pipelines.push_back(simulation.pipelines().begin(plan));
+          pipelines.push_back(simulation.pipelines().submit_pipeline(plan));
           simulation.run_for(3);
-          if (i == 6) simulation.faults().end_process(simulation.leader_or_first(), 2);
+          if (i == 6) simulation.faults().restart_controller(simulation.leader_or_first(), 2);
         }
         simulation.run_for(60);
         size_t occurrences = 0;
@@ -956,9 +967,9 @@
       PipelinePlan plan;
       plan.shape = i % 2 ? fan(3) : diamond(2);
       plan.stage_spec = [&simulation] { return single_task_stage(simulation); };
-      plan.last_when_others_are_over = true;
-      if (i == 3) plan.cancellation = StageCancellation{.stage = 0, .after_acceptance = 3};
-      pipelines.push_back(simulation.pipelines().begin(plan));
+      plan.submit_last_after_others_end = true;
+      if (i == 3) plan.cancellation = StageCancellation{.stage = 0, .delay_after_acceptance = 3};
+      pipelines.push_back(simulation.pipelines().submit_pipeline(plan));
     }
     const auto last_stage_submitted = [&simulation](size_t pipeline) {
       return simulation.pipelines().job(pipeline, 3).has_value();
@@ -967,19 +978,19 @@
         [&] { return std::any_of(pipelines.begin(), pipelines.end(), last_stage_submitted); },
         300));
     const size_t leader = simulation.leader_or_first();
-    const size_t terms_before = simulation.checker().terms();
+    const size_t term_count_before = simulation.checker().term_count();
     // All controllers restart, so that no cache holds the finished jobs.
     for (size_t controller = 0; controller < 3; ++controller)
-      simulation.faults().end_process(controller,
-                                      controller == leader ? 8 : simulation.between(0.1, 1));
-    simulation.run_until([&] { return simulation.checker().terms() > terms_before; }, 30);
+      simulation.faults().restart_controller(
+          controller, controller == leader ? 8 : simulation.random_between(0.1, 1));
+    simulation.run_until([&] { return simulation.checker().term_count() > term_count_before; }, 30);
     simulation.run_until(
         [&] { return std::all_of(pipelines.begin(), pipelines.end(), last_stage_submitted); }, 300);
     simulation.run_for(120);
     size_t occurrences = 0;
     for (const size_t pipeline : pipelines)
       occurrences += simulation.pipelines().stage_complete(pipeline, 3);
-    return simulation.checker().terms() > terms_before ? occurrences : 0;
+    return simulation.checker().term_count() > term_count_before ? occurrences : 0;
   });
 }
 
--- a/tests/generators.h
+++ b/tests/generators.h
@@ -10,7 +10,7 @@
 /// Whether the property holds. The seed is fixed, so that results are reproducible; a
 /// counterexample is printed.
 template <class F>
-bool holds(const char* description, F&& property, int max_success = 200) {
+bool check_property(const char* description, F&& property, int max_success = 200) {
   rc::detail::TestParams params;
   params.seed = 20260801;
   params.maxSuccess = max_success;
@@ -24,17 +24,17 @@
   return false;
 }
 
-inline rc::Gen<std::string> name() {
+inline rc::Gen<std::string> arbitrary_name() {
   return rc::gen::container<std::string>(rc::gen::inRange('a', 'z'));
 }
 
-inline rc::Gen<JobSpec> job_spec() {
+inline rc::Gen<JobSpec> arbitrary_job_spec() {
   return rc::gen::exec([] {
     JobSpec spec;
     spec.id = "job-" + std::to_string(*rc::gen::inRange(0, 1000000));
-    spec.job_class = *name();
-    spec.team = *name();
-    spec.image = *name();
+    spec.job_class = *arbitrary_name();
+    spec.team = *arbitrary_name();
+    spec.image = *arbitrary_name();
     spec.kind = *rc::gen::element(JobKind::Array, JobKind::Gang, JobKind::Service);
     spec.priority =
         *rc::gen::element(Priority::Low, Priority::Normal, Priority::High, Priority::Production);
@@ -43,9 +43,9 @@
                     *rc::gen::inRange(0, 300) * 1.0};
     spec.image_gb = *rc::gen::inRange(0, 100) * 0.1;
     if (*rc::gen::arbitrary<bool>())
-      spec.types = *rc::gen::container<std::vector<std::string>>(name());
+      spec.types = *rc::gen::container<std::vector<std::string>>(arbitrary_name());
     if (spec.types && spec.types->size() > 64) spec.types->resize(64);
-    if (*rc::gen::arbitrary<bool>()) spec.zone = *name();
+    if (*rc::gen::arbitrary<bool>()) spec.zone = *arbitrary_name();
     spec.one_zone = *rc::gen::arbitrary<bool>();
     spec.spread = *rc::gen::arbitrary<bool>();
     spec.spot = *rc::gen::arbitrary<bool>();
--- a/tests/json_size_test.cpp
+++ b/tests/json_size_test.cpp
@@ -11,7 +11,7 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
 /// One value in MessagePack and in JSON form.
@@ -133,7 +133,7 @@
 }
 
 TEST(JsonSize, EqualsSizeOfReferenceText) {
-  EXPECT_TRUE(holds("sizes agree", [] {
+  EXPECT_TRUE(check_property("sizes agree", [] {
     Forms forms;
     add_value(forms, 0);
     const auto document =
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -17,10 +17,10 @@
 constexpr uint64_t kTerm = 7;
 constexpr int kMachines = 4500;
 
-struct LargeFleet : testing::LeaderFixture {
-  LargeFleet() : LeaderFixture(kTerm, 6, 31) {
+struct LargeFleet : testing::SchedulerFixture {
+  LargeFleet() : SchedulerFixture(kTerm, 6, 31) {
     settings.cancel_s = 70;
-    type.boot_s = 50;
+    machine_type.boot_s = 50;
     new_scheduler();
   }
 
@@ -62,7 +62,7 @@
   for (const Case& test_case : cases) {
     new_scheduler();
     add_machines(test_case.machines);
-    JobRecord record = job(job_id(1), test_case.tasks);
+    JobRecord record = job_record(job_id(1), test_case.tasks);
     record.spec.kind = test_case.kind;
     record.spec.request = test_case.request;
     scheduler->on_job_record(record, 5, kNow);
@@ -74,9 +74,9 @@
 
 TEST_F(LargeFleet, ScalesOutInProportionToFleetWithinRequestLimit) {
   add_machines(kMachines);
-  scheduler->on_job_record(job(job_id(1), 4 * kMachines), 5, kNow);
-  scheduler->on_job_record(job(job_id(2), 4 * kMachines), 6, kNow);
-  const auto requests = rented(scheduler->tick(kNow));
+  scheduler->on_job_record(job_record(job_id(1), 4 * kMachines), 5, kNow);
+  scheduler->on_job_record(job_record(job_id(2), 4 * kMachines), 6, kNow);
+  const auto requests = scale_out_counts(scheduler->tick(kNow));
   int total = 0;
   for (const int request : requests) {
     EXPECT_LE(request, 50) << "the cloud protocol's limit on machines of a request";
@@ -110,7 +110,7 @@
 // All workers send heartbeats to a new leader at once: it reconciles each of them, stops tasks of
 // cancelled jobs in the answer that renews the lease, and places the jobs that waited.
 TEST_F(LargeFleet, ReconcilesAllWorkersReconnectingAtOnce) {
-  EXPECT_TRUE(testing::holds(
+  EXPECT_TRUE(testing::check_property(
       "all workers reconnect at once",
       [this] {
         new_scheduler();
@@ -124,14 +124,14 @@
           host.type = "g";
           host.zone = "e";
           scheduler->restore_machine(host, kNow);
-          auto record = job(job_id(i), 1);
+          auto record = job_record(job_id(i), 1);
           record.started = true;
           record.hosts = std::vector<std::string>{machine_id(i)};
           if (i < cancelled) record.state = JobState::Cancelled;
           scheduler->on_job_record(record, ++revision, kNow);
         }
         for (int i = 0; i < waiting; ++i)
-          scheduler->on_job_record(job(job_id(kMachines + i), 1), ++revision, kNow);
+          scheduler->on_job_record(job_record(job_id(kMachines + i), 1), ++revision, kNow);
         RC_ASSERT(!scheduler->all_reconciled());
         std::vector<int> order(kMachines);
         std::iota(order.begin(), order.end(), 0);
--- a/tests/lease_delegation_test.cpp
+++ b/tests/lease_delegation_test.cpp
@@ -15,7 +15,7 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 constexpr Seconds kLeaderSilence = 3, kHeartbeatPeriod = 1, kValidFor = 20;
 
@@ -33,7 +33,7 @@
 
 TEST(LeaseDelegation, LeaderAccountsForEveryAnswerOfADelegate) {
   size_t answers = 0;
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "answers of delegates are accounted for",
       [&answers] {
         std::mt19937_64 rng(*rc::gen::noShrink(rc::gen::arbitrary<uint64_t>()));
@@ -147,7 +147,7 @@
 }
 
 TEST(LeaseDelegation, StatusAndDelegationRoundTripInPeerHeartbeat) {
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "peer heartbeats round trip",
       [] {
         wire::PeerHeartbeat sent;
--- a/tests/placement_and_election_test.cpp
+++ b/tests/placement_and_election_test.cpp
@@ -13,7 +13,7 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 CandidateMachine candidate(const std::string& id, const std::string& zone, Resources capacity) {
   CandidateMachine result;
@@ -25,7 +25,7 @@
 }
 
 TEST(BinPacking, RespectsConstraintsAndPlacesGangsAtomically) {
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "bin_pack() respects all constraints",
       [] {
         JobSpec spec;
@@ -167,7 +167,7 @@
 }
 
 TEST(VictimSelection, MatchesExhaustiveSearch) {
-  EXPECT_TRUE(testing::holds("preempt() agrees with the exhaustive search", [] {
+  EXPECT_TRUE(testing::check_property("preempt() agrees with the exhaustive search", [] {
     const auto random_resources = [](int limit) {
       return Resources{*rc::gen::inRange(0, limit) * 0.25, *rc::gen::inRange(0, 3) * 1.0,
                        *rc::gen::inRange(0, limit) * 0.5};
@@ -294,7 +294,7 @@
 };
 
 TEST(LeaderElectionStateMachine, AtMostOneNodeMayActAndTermsIncrease) {
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "at most one node acts, and terms increase",
       [] {
         SimulatedElection cluster;
--- a/tests/prompt_dispatch_test.cpp
+++ b/tests/prompt_dispatch_test.cpp
@@ -49,7 +49,7 @@
 };
 
 TEST(PendingQueue, PopsEachNameOnceByPriorityAndAge) {
-  EXPECT_TRUE(testing::holds("pending queue", [] {
+  EXPECT_TRUE(testing::check_property("pending queue", [] {
     PendingQueue queue;
     ReferenceQueue reference;
     for (int step = *rc::gen::inRange(0, 60); step > 0; --step) {
@@ -73,8 +73,8 @@
 constexpr uint64_t kTerm = 1;
 constexpr uint64_t kFencingToken = kTerm << kFencingTokenCounterBits;
 
-struct PromptDispatchScheduler : testing::LeaderFixture {
-  PromptDispatchScheduler() : LeaderFixture(kTerm, 1, 10) {
+struct PromptDispatchScheduler : testing::SchedulerFixture {
+  PromptDispatchScheduler() : SchedulerFixture(kTerm, 1, 10) {
     settings.tuning.prompt_dispatch = true;
   }
 
@@ -95,7 +95,7 @@
 
 TEST_F(PromptDispatchScheduler, SendsStartsOnceTheirRecordsAreDurableWithoutATick) {
   add_machine("i-1");
-  scheduler->on_job_record(job("job-1", 3), 5, kNow);
+  scheduler->on_job_record(job_record("job-1", 3), 5, kNow);
   scheduler->tick(kNow);
   EXPECT_TRUE(dispatched_commands().empty()) << "its records are not durable yet";
   commit_all_writes();
@@ -110,7 +110,7 @@
     const std::string machine = "i-1-" + last;
     const std::string id = last == "job" ? "job-1" : "job-2";
     add_machine(machine);
-    scheduler->on_job_record(job(id, 4), ++revision, kNow);
+    scheduler->on_job_record(job_record(id, 4), ++revision, kNow);
     scheduler->request_round();
     scheduler->tick(kNow);
     auto both_writes = writes();
@@ -127,7 +127,7 @@
 
 TEST_F(PromptDispatchScheduler, DoesNotRewriteRecordThatIsAlreadyStored) {
   add_machine("i-1");
-  scheduler->on_job_record(job("job-1", 1), 5, kNow);
+  scheduler->on_job_record(job_record("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
   const auto first = writes();
   ASSERT_EQ(first.size(), 2u);
@@ -140,7 +140,7 @@
 
 TEST_F(PromptDispatchScheduler, PlansFailedWriteAgainBeforeTheNextRound) {
   add_machine("i-1");
-  scheduler->on_job_record(job("job-1", 1), 5, kNow);
+  scheduler->on_job_record(job_record("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
   const auto first = writes();
   ASSERT_EQ(first.size(), 2u);
@@ -151,11 +151,11 @@
 
 TEST_F(PromptDispatchScheduler, SendsNoStartWhileAnEarlierCommandMayStillExecute) {
   add_machine("i-1");
-  scheduler->on_job_record(job("job-1", 1), 5, kNow);
+  scheduler->on_job_record(job_record("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
   commit_all_writes();
   ASSERT_EQ(dispatched_commands().size(), 1u);
-  scheduler->on_job_record(job("job-2", 1), 5, kNow);
+  scheduler->on_job_record(job_record("job-2", 1), 5, kNow);
   scheduler->request_round();
   scheduler->tick(kNow);
   commit_all_writes();
@@ -175,7 +175,7 @@
 
 TEST_F(PromptDispatchScheduler, SendsStopsOfCancelledJobWithoutATick) {
   add_machine("i-1");
-  scheduler->on_job_record(job("job-1", 1), 5, kNow);
+  scheduler->on_job_record(job_record("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
   commit_all_writes();
   const auto started = dispatched_commands();
@@ -197,7 +197,7 @@
 
 TEST_F(PromptDispatchScheduler, NextRoundPlansWritesThatBecameDueByTime) {
   add_machine("i-1");
-  scheduler->on_job_record(job("job-1", 2), 5, kNow);
+  scheduler->on_job_record(job_record("job-1", 2), 5, kNow);
   scheduler->tick(kNow);
   commit_all_writes();
   const auto worker_commands = dispatched_commands();
@@ -219,10 +219,10 @@
 
 TEST_F(PromptDispatchScheduler, WritesStartsBeforeFinishedJobs) {
   add_machine("i-1");
-  JobRecord cancelled = job("job-1", 1);
+  JobRecord cancelled = job_record("job-1", 1);
   cancelled.state = JobState::Cancelled;
   scheduler->on_job_record(cancelled, 5, kNow);
-  scheduler->on_job_record(job("job-2", 1), 6, kNow);
+  scheduler->on_job_record(job_record("job-2", 1), 6, kNow);
   scheduler->tick(kNow);
   std::vector<std::string> jobs;
   for (const auto& write : writes())
@@ -235,12 +235,12 @@
   const auto number = [](size_t i) { return std::to_string(1000 + i); };
   for (size_t i = 0; i < machines; ++i) leader.add_machine("i-" + number(i));
   for (size_t i = 0; i < jobs; ++i)
-    leader.scheduler->on_job_record(PromptDispatchScheduler::job("job-" + number(i), 1), 5 + i,
-                                    PromptDispatchScheduler::kNow);
+    leader.scheduler->on_job_record(PromptDispatchScheduler::job_record("job-" + number(i), 1),
+                                    5 + i, PromptDispatchScheduler::kNow);
   leader.scheduler->tick(PromptDispatchScheduler::kNow);
   leader.commit_all_writes();
   leader.dispatched_commands();
-  leader.scheduler->on_job_record(PromptDispatchScheduler::job("job-1", 1), 500,
+  leader.scheduler->on_job_record(PromptDispatchScheduler::job_record("job-1", 1), 500,
                                   PromptDispatchScheduler::kNow);
   leader.scheduler->request_round();
   leader.scheduler->tick(PromptDispatchScheduler::kNow);
@@ -259,7 +259,7 @@
 TEST_F(PromptDispatchScheduler, IsOffByDefault) {
   settings.tuning.prompt_dispatch = Tuning{}.prompt_dispatch;
   add_machine("i-1");
-  scheduler->on_job_record(job("job-1", 1), 5, kNow);
+  scheduler->on_job_record(job_record("job-1", 1), 5, kNow);
   scheduler->tick(kNow);
   commit_all_writes();
   EXPECT_TRUE(dispatched_commands().empty());
@@ -268,39 +268,39 @@
 
 TEST_F(PromptDispatchScheduler, ScalesOutInProportionToFleetWithinRequestLimit) {
   for (int i = 0; i < 100; ++i) add_machine("i-" + std::to_string(1000 + i));
-  scheduler->on_job_record(job("job-1", 400), 5, kNow);
-  scheduler->on_job_record(job("job-2", 480), 6, kNow);
+  scheduler->on_job_record(job_record("job-1", 400), 5, kNow);
+  scheduler->on_job_record(job_record("job-2", 480), 6, kNow);
   settings.tuning.rent = 0.7;
-  EXPECT_EQ(rented(scheduler->tick(kNow)), (std::vector<int>{50, 20}));
+  EXPECT_EQ(scale_out_counts(scheduler->tick(kNow)), (std::vector<int>{50, 20}));
 }
 
 TEST_F(PromptDispatchScheduler, ScalesOutInSmallStepsByDefault) {
   for (int i = 0; i < 100; ++i) add_machine("i-" + std::to_string(1000 + i));
-  scheduler->on_job_record(job("job-1", 400), 5, kNow);
-  scheduler->on_job_record(job("job-2", 480), 6, kNow);
-  EXPECT_EQ(rented(scheduler->tick(kNow)), std::vector<int>{12});
+  scheduler->on_job_record(job_record("job-1", 400), 5, kNow);
+  scheduler->on_job_record(job_record("job-2", 480), 6, kNow);
+  EXPECT_EQ(scale_out_counts(scheduler->tick(kNow)), std::vector<int>{12});
 }
 
 // ---------------------------------------------------------------- several controllers
 
 TEST(PromptDispatchSimulation, BreaksNoRuleUnderRandomFaults) {
   size_t starts = 0;
-  size_t terms = 0;
+  size_t term_count = 0;
   constexpr uint64_t kSeeds = 40;
   for (uint64_t seed = 1; seed <= kSeeds && !::testing::Test::HasFailure(); ++seed) {
     simulation::SimulationOptions options;
     options.prompt_dispatch = true;
-    options.nominal_boot_s = seed % 2 ? 5 : 60;
+    options.declared_boot_s = seed % 2 ? 5 : 60;
     simulation::Simulation simulation(7000 + seed, options);
     simulation.run(300, 250);
     EXPECT_EQ(simulation.checker().violations(), std::vector<std::string>{}) << "seed " << seed;
-    EXPECT_EQ(simulation.unfinished(), 0u) << "seed " << seed;
-    EXPECT_EQ(simulation.cancellations_not_recorded(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.unfinished_job_count(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.unrecorded_cancellations(), 0u) << "seed " << seed;
     starts += simulation.checker().starts();
-    terms += simulation.checker().terms();
+    term_count += simulation.checker().term_count();
   }
   EXPECT_GT(starts, 2000u);
-  EXPECT_GT(terms, 400u);
+  EXPECT_GT(term_count, 400u);
 }
 
 TEST(PromptDispatchSimulation, NeitherLosesNorRepeatsStartsWhenLeadersEndDuringDispatch) {
@@ -314,14 +314,15 @@
     simulation.run_until([&] { return simulation.leader().has_value(); }, 60);
     // Jobs are submitted all the time, so that start commands are in flight whenever a leader ends.
     for (int round = 0; round < 6; ++round) {
-      for (int i = 0; i < 4; ++i) simulation.users().submit_any();
-      simulation.run_for(simulation.between(0.1, 1.5));
-      simulation.faults().end_process(simulation.leader_or_first(), simulation.between(0.2, 10));
-      simulation.run_for(simulation.between(1, 6));
+      for (int i = 0; i < 4; ++i) simulation.users().submit_random();
+      simulation.run_for(simulation.random_between(0.1, 1.5));
+      simulation.faults().restart_controller(simulation.leader_or_first(),
+                                             simulation.random_between(0.2, 10));
+      simulation.run_for(simulation.random_between(1, 6));
     }
     simulation.finish();
     EXPECT_EQ(simulation.checker().violations(), std::vector<std::string>{}) << "seed " << seed;
-    EXPECT_EQ(simulation.unfinished(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.unfinished_job_count(), 0u) << "seed " << seed;
     starts += simulation.checker().starts();
   }
   EXPECT_GT(starts, 300u);
--- a/tests/randomized_fault_test.cpp
+++ b/tests/randomized_fault_test.cpp
@@ -12,8 +12,9 @@
 using simulation::SimulationOptions;
 
 struct Totals {
-  size_t starts = 0, jobs = 0, delegated = 0, terms = 0, late_heartbeats = 0, late_writes = 0;
-  size_t pipelines_done = 0, pipelines_cancelled = 0, starts_of_dependents = 0;
+  size_t starts = 0, jobs = 0, delegate_replies = 0, term_count = 0, duplicate_heartbeats = 0,
+         late_writes = 0;
+  size_t completed_pipelines = 0, partially_cancelled_pipelines = 0, starts_of_dependents = 0;
   size_t inherited_cancellations = 0, answers_after_cancel = 0;
 };
 
@@ -22,24 +23,24 @@
   for (uint64_t seed = 1; seed <= seed_count; ++seed) {
     // With a short boot time silent machines are released within seconds; with a long one they are
     // kept for the duration of a partition.
-    options.nominal_boot_s = seed % 2 ? 5 : 60;
+    options.declared_boot_s = seed % 2 ? 5 : 60;
     Simulation simulation(seed, options);
     simulation.run(300, 250);
     EXPECT_EQ(simulation.checker().violations(), std::vector<std::string>{}) << "seed " << seed;
-    EXPECT_EQ(simulation.unfinished(), 0u) << "seed " << seed;
-    EXPECT_EQ(simulation.pipelines().stages_not_accepted(), 0u) << "seed " << seed;
-    EXPECT_EQ(simulation.cancellations_not_recorded(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.unfinished_job_count(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.pipelines().unaccepted_stages(), 0u) << "seed " << seed;
+    EXPECT_EQ(simulation.unrecorded_cancellations(), 0u) << "seed " << seed;
     // A controller that has not read the cancellation acts for at most one leader lease, plus the
     // time that its last read takes.
-    EXPECT_LE(simulation.checker().ordered_after_cancel(), 3.5) << "seed " << seed;
+    EXPECT_LE(simulation.checker().max_start_delay_after_cancel(), 3.5) << "seed " << seed;
     totals.starts += simulation.checker().starts();
-    totals.delegated += simulation.workers().delegated();
-    totals.jobs += simulation.submitted();
-    totals.terms += simulation.checker().terms();
-    totals.late_heartbeats += simulation.workers().copies_heard_by_new_leader();
-    totals.late_writes += simulation.state().late_writes_tried();
-    totals.pipelines_done += simulation.pipelines().done();
-    totals.pipelines_cancelled += simulation.pipelines().cancelled_in_the_middle();
+    totals.delegate_replies += simulation.workers().delegate_replies();
+    totals.jobs += simulation.submitted_job_count();
+    totals.term_count += simulation.checker().term_count();
+    totals.duplicate_heartbeats += simulation.workers().duplicates_received_by_new_leader();
+    totals.late_writes += simulation.store().late_writes_attempted();
+    totals.completed_pipelines += simulation.pipelines().completed();
+    totals.partially_cancelled_pipelines += simulation.pipelines().partially_cancelled();
     totals.starts_of_dependents += simulation.checker().starts_of_dependents();
     totals.inherited_cancellations += simulation.checker().inherited_cancellations();
     totals.answers_after_cancel += simulation.checker().answers_after_cancel();
@@ -53,12 +54,12 @@
   // Runs with too few events would check little.
   EXPECT_GT(totals.jobs, 1000u);
   EXPECT_GT(totals.starts, 3000u);
-  EXPECT_GT(totals.delegated, 150u);
-  EXPECT_GT(totals.terms, 600u);
-  EXPECT_GT(totals.late_heartbeats, 150u);
+  EXPECT_GT(totals.delegate_replies, 150u);
+  EXPECT_GT(totals.term_count, 600u);
+  EXPECT_GT(totals.duplicate_heartbeats, 150u);
   EXPECT_GT(totals.late_writes, 150u);
-  EXPECT_GT(totals.pipelines_done, 100u);
-  EXPECT_GT(totals.pipelines_cancelled, 50u);
+  EXPECT_GT(totals.completed_pipelines, 100u);
+  EXPECT_GT(totals.partially_cancelled_pipelines, 50u);
   EXPECT_GT(totals.starts_of_dependents, 500u);
   EXPECT_GT(totals.inherited_cancellations, 100u);
   EXPECT_GT(totals.answers_after_cancel, 1000u);
@@ -67,14 +68,14 @@
 TEST(RandomizedFaults, InvariantsHoldWithShortCancelTimeoutAndLongTasks) {
   SimulationOptions options;
   options.cancel_s = 16;  // one worker lease and three leader leases
-  options.task_most = 40;
+  options.max_task_s = 40;
   options.controller_zones = {"east", "west", "west"};
   const Totals totals = run_seeds(40, options);
   EXPECT_GT(totals.jobs, 1000u);
   EXPECT_GT(totals.starts, 3000u);
-  EXPECT_GT(totals.terms, 400u);
-  EXPECT_GT(totals.pipelines_done, 60u);
-  EXPECT_GT(totals.pipelines_cancelled, 40u);
+  EXPECT_GT(totals.term_count, 400u);
+  EXPECT_GT(totals.completed_pipelines, 60u);
+  EXPECT_GT(totals.partially_cancelled_pipelines, 40u);
   EXPECT_GT(totals.starts_of_dependents, 350u);
 }
 
--- a/tests/record_capacity_test.cpp
+++ b/tests/record_capacity_test.cpp
@@ -12,7 +12,7 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 size_t size_of(const JobRecord& record) {
   return wire::json_size(wire::Document::parse(wire::encode_job(record))->root());
@@ -41,7 +41,7 @@
 
 JobRecord random_record() {
   JobRecord record;
-  record.spec = *testing::job_spec();
+  record.spec = *testing::arbitrary_job_spec();
   // Dependencies are removed from a record before it gets hosts or numbers of done tasks.
   record.spec.dependencies.clear();
   record.spec.tasks = *rc::gen::element<uint32_t>(1, 2, 17, 100, 3000, 20000);
@@ -56,7 +56,7 @@
 TEST(RecordCapacity, FittingRecordIsWithinLimitForAnyContent) {
   int with_capacity = 0;
   for (const size_t max_bytes : {size_t{2048}, size_t{8192}})
-    EXPECT_TRUE(holds("records fit", [&] {
+    EXPECT_TRUE(check_property("records fit", [&] {
       const JobRecord record = random_record();
       const wire::RecordCapacity capacity = wire::record_capacity(record, max_bytes);
       RC_ASSERT(capacity.has_space() || 2 * capacity.description_bytes > max_bytes);
@@ -96,7 +96,7 @@
 }
 
 TEST(TaskRangeSet, SubsetOfRangesPrefersKeptNumbers) {
-  EXPECT_TRUE(holds("what is kept stays", [] {
+  EXPECT_TRUE(check_property("what is kept stays", [] {
     TaskRangeSet kept;
     TaskRangeSet all;
     for (const auto n : *rc::gen::container<std::vector<uint32_t>>(rc::gen::inRange(0u, 80u))) {
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -11,29 +11,29 @@
 namespace sumacquay::testing {
 
 /// A leader's scheduler that the test drives directly: one team without quotas, and one machine
-/// type with room for four tasks of `job`.
-struct LeaderFixture : ::testing::Test {
+/// type with room for four tasks of `job_record`.
+struct SchedulerFixture : ::testing::Test {
   static constexpr double kNow = 1000;
 
-  LeaderFixture(uint64_t leader_term, Seconds heartbeat_period_s, Seconds lease_s)
+  SchedulerFixture(uint64_t leader_term, Seconds heartbeat_period_s, Seconds lease_s)
       : term(leader_term), fencing_token(leader_term << kFencingTokenCounterBits) {
     settings.heartbeat_period_s = heartbeat_period_s;
     settings.lease_s = lease_s;
     TeamSettings team;
     team.name = "t";
     settings.teams = {team};
-    type.name = "g";
-    type.capacity = {4, 4, 16};
-    type.zones = {"e"};
+    machine_type.name = "g";
+    machine_type.capacity = {4, 4, 16};
+    machine_type.zones = {"e"};
     new_scheduler();
   }
 
   void new_scheduler() {
     scheduler = std::make_unique<Scheduler>(settings, term, kNow, kNow);
-    scheduler->set_machine_types({type});
+    scheduler->set_machine_types({machine_type});
   }
 
-  static JobRecord job(const std::string& id, uint32_t tasks) {
+  static JobRecord job_record(const std::string& id, uint32_t tasks) {
     JobRecord record;
     record.spec.id = id;
     record.spec.team = "t";
@@ -64,7 +64,7 @@
   }
 
   /// The number of machines in each scale-out request among the actions.
-  static std::vector<int> rented(const std::vector<Action>& actions) {
+  static std::vector<int> scale_out_counts(const std::vector<Action>& actions) {
     std::vector<int> counts;
     for (const auto& action : actions)
       if (const auto* scale_out = std::get_if<ScaleOut>(&action))
@@ -75,7 +75,7 @@
   uint64_t term;
   uint64_t fencing_token;  ///< of a machine without unanswered commands
   Settings settings;
-  MachineType type;
+  MachineType machine_type;
   std::unique_ptr<Scheduler> scheduler;
   uint64_t revision = 100;
 };
--- a/tests/scheduler_safety_test.cpp
+++ b/tests/scheduler_safety_test.cpp
@@ -919,7 +919,7 @@
   // Guards against tasks of cancelled jobs that outlive the cancel timeout: a leader in a
   // partitioned zone answers workers for one lease past the end of its own, and their leases last
   // one more.
-  EXPECT_TRUE(testing::holds(
+  EXPECT_TRUE(testing::check_property(
       "the answer grace period ends before the cancel timeout",
       [] {
         Settings settings;
--- a/tests/settings_and_messages_test.cpp
+++ b/tests/settings_and_messages_test.cpp
@@ -13,7 +13,7 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 const char* platform_settings = R"(
 label = "n0"
@@ -141,9 +141,9 @@
 }
 
 TEST(JobRecordCodec, RoundTrips) {
-  EXPECT_TRUE(holds("job records round trip", [] {
+  EXPECT_TRUE(check_property("job records round trip", [] {
     JobRecord record;
-    record.spec = *testing::job_spec();
+    record.spec = *testing::arbitrary_job_spec();
     record.state = *rc::gen::element(JobState::Pending, JobState::Cancelled, JobState::Done);
     record.started = *rc::gen::arbitrary<bool>();
     record.submitted_ms = static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 30));
@@ -159,9 +159,9 @@
 }
 
 TEST(JobSubmissionCodec, RoundTripsSpec) {
-  EXPECT_TRUE(holds("submissions round trip", [] {
+  EXPECT_TRUE(check_property("submissions round trip", [] {
     JobRecord record;
-    record.spec = *testing::job_spec();
+    record.spec = *testing::arbitrary_job_spec();
     // Stored and submitted job descriptions are encoded in the same way.
     const auto document = wire::Document::parse(wire::encode_job(record));
     const msgpack::object_handle copy = [&] {
@@ -180,7 +180,7 @@
 }
 
 TEST(JobSubmissionCodec, RejectsMalformedBytesSafely) {
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "malformed bytes",
       [] {
         const auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
@@ -192,15 +192,16 @@
         wire::decode_peer_heartbeat(bytes);
       },
       2000));
-  EXPECT_TRUE(holds("a truncated record is rejected and a changed one is decoded safely", [] {
-    JobRecord record;
-    record.spec = *testing::job_spec();
-    std::string bytes = wire::encode_job(record);
-    const auto cut = *rc::gen::inRange<size_t>(0, bytes.size());
-    RC_ASSERT(wire::Document::parse(std::string_view(bytes).substr(0, cut)) == nullptr);
-    bytes[cut] = *rc::gen::arbitrary<char>();
-    if (const auto document = wire::Document::parse(bytes)) wire::decode_job(document->root());
-  }));
+  EXPECT_TRUE(
+      check_property("a truncated record is rejected and a changed one is decoded safely", [] {
+        JobRecord record;
+        record.spec = *testing::arbitrary_job_spec();
+        std::string bytes = wire::encode_job(record);
+        const auto cut = *rc::gen::inRange<size_t>(0, bytes.size());
+        RC_ASSERT(wire::Document::parse(std::string_view(bytes).substr(0, cut)) == nullptr);
+        bytes[cut] = *rc::gen::arbitrary<char>();
+        if (const auto document = wire::Document::parse(bytes)) wire::decode_job(document->root());
+      }));
   EXPECT_EQ(wire::Document::parse(std::string(5000, '\x91')), nullptr) << "deep nesting";
   EXPECT_EQ(wire::Document::parse("\xdd\xff\xff\xff\xff"), nullptr)
       << "a list header with a huge size";
@@ -288,17 +289,19 @@
 }
 
 TEST(PeerHeartbeatCodec, RoundTrips) {
-  EXPECT_TRUE(holds("peer heartbeats round trip", [] {
+  EXPECT_TRUE(check_property("peer heartbeats round trip", [] {
     wire::PeerHeartbeat sent;
-    sent.node = *testing::name();
+    sent.node = *testing::arbitrary_name();
     sent.term = static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 30));
     sent.leading = *rc::gen::arbitrary<bool>();
     sent.store_reachable = *rc::gen::arbitrary<bool>();
     for (int i = *rc::gen::inRange(0, 5); i > 0; --i) {
-      sent.job_progress.push_back({*testing::name(), 3, static_cast<uint32_t>(i)});
-      sent.cached_images.push_back({*testing::name(), *testing::name(), i * 0.5});
-      sent.booting_machines.push_back({*testing::name(), "", *testing::name(), *testing::name(),
-                                       i % 2 == 0, ListedMachine::State::Booting, i * 1.5});
+      sent.job_progress.push_back({*testing::arbitrary_name(), 3, static_cast<uint32_t>(i)});
+      sent.cached_images.push_back(
+          {*testing::arbitrary_name(), *testing::arbitrary_name(), i * 0.5});
+      sent.booting_machines.push_back({*testing::arbitrary_name(), "", *testing::arbitrary_name(),
+                                       *testing::arbitrary_name(), i % 2 == 0,
+                                       ListedMachine::State::Booting, i * 1.5});
     }
     const auto received = wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(sent));
     RC_ASSERT(received.has_value());
@@ -440,7 +443,7 @@
 }
 
 TEST(TaskRangeSet, AgreesWithSetOfNumbers) {
-  EXPECT_TRUE(holds("ranges agree with a set", [] {
+  EXPECT_TRUE(check_property("ranges agree with a set", [] {
     TaskRangeSet ranges;
     std::set<uint32_t> model;
     for (int n : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60))) {
--- a/tests/simulation/checker.cpp
+++ b/tests/simulation/checker.cpp
@@ -54,7 +54,8 @@
   const ObservedJob& job = jobs_.at(key.job);
   if (job.cancelled_at && command_sent_at > *job.cancelled_at) {
     ++starts_after_cancel_;
-    ordered_after_cancel_ = std::max(ordered_after_cancel_, command_sent_at - *job.cancelled_at);
+    max_start_delay_after_cancel_ =
+        std::max(max_start_delay_after_cancel_, command_sent_at - *job.cancelled_at);
   }
   check_dependencies_done(machine, key);
   std::map<std::string, uint32_t> zones;
--- a/tests/simulation/checker.h
+++ b/tests/simulation/checker.h
@@ -48,9 +48,9 @@
   /// Answers that reported a job as cancelled after a job that it depends on was cancelled.
   size_t answers_after_cancel() const { return answers_after_cancel_; }
   size_t starts_after_cancel() const { return starts_after_cancel_; }
-  Seconds ordered_after_cancel() const { return ordered_after_cancel_; }
+  Seconds max_start_delay_after_cancel() const { return max_start_delay_after_cancel_; }
   uint64_t highest_term() const { return terms_.empty() ? 0 : terms_.rbegin()->first; }
-  size_t terms() const { return terms_.size(); }
+  size_t term_count() const { return terms_.size(); }
 
  private:
   /// Resources in use by the tasks on all machines.
@@ -85,7 +85,7 @@
   Seconds next_wait_check_ = 0;
   size_t starts_ = 0, cancellations_ = 0, starts_after_cancel_ = 0;
   size_t starts_of_dependents_ = 0, inherited_cancellations_ = 0, answers_after_cancel_ = 0;
-  Seconds ordered_after_cancel_ = 0;
+  Seconds max_start_delay_after_cancel_ = 0;
 };
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -31,8 +31,8 @@
 
 std::vector<std::string> Cloud::create_machines(const ScaleOut& request) {
   std::vector<std::string> machines;
-  for (int i = 0; i < request.count && env_.fleet.size() < env_.options.most_machines; ++i) {
-    const Seconds boot_time = env_.random.between(env_.options.boot_least, env_.options.boot_most);
+  for (int i = 0; i < request.count && env_.fleet.size() < env_.options.max_machines; ++i) {
+    const Seconds boot_time = env_.random.between(env_.options.min_boot_s, env_.options.max_boot_s);
     std::optional<std::string> zone;
     if (!request.zone.empty()) zone = request.zone;
     machines.push_back(add_machine(env_.now() + boot_time, zone, request.spot));
--- a/tests/simulation/command_channel.cpp
+++ b/tests/simulation/command_channel.cpp
@@ -83,7 +83,7 @@
   late_commands_ += late;
   if (executed) {
     machine->fencing_token = worker_commands.fencing_token;
-    late_commands_done_ += late;
+    late_commands_executed_ += late;
     workers_.execute(*machine, worker_commands.commands, delivery.sent_at);
   }
   const WorkerHeartbeat heartbeat = machine->heartbeat();
--- a/tests/simulation/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -19,7 +19,7 @@
 
   /// Command batches that arrived late, and the number of them that were executed.
   size_t late_commands() const { return late_commands_; }
-  size_t late_commands_done() const { return late_commands_done_; }
+  size_t late_commands_executed() const { return late_commands_executed_; }
 
  private:
   using Answer =
@@ -45,7 +45,7 @@
 
   Environment& env_;
   Workers& workers_;
-  size_t late_commands_ = 0, late_commands_done_ = 0;
+  size_t late_commands_ = 0, late_commands_executed_ = 0;
 };
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/controller_host.h
+++ b/tests/simulation/controller_host.h
@@ -19,7 +19,7 @@
   Fault store_partition;   ///< partitioned from the key-value store
   Fault peer_partition;    ///< partitioned from the other controllers
   Fault worker_partition;  ///< partitioned from all machines
-  Fault store_refusal;     ///< the key-value store refuses this controller's requests
+  Fault store_rejection;   ///< the key-value store rejects this controller's requests
 };
 
 /// The host of a controller. Its settings and faults persist across restarts of the process.
--- a/tests/simulation/decision_digest.h
+++ b/tests/simulation/decision_digest.h
@@ -37,10 +37,10 @@
   struct FreeState {
     void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
   };
-  void begin(char kind, Seconds now, size_t controller);
-  void number(uint64_t value);
-  void number(double value);
-  void text(std::string_view value);
+  void begin_entry(char kind, Seconds now, size_t controller);
+  void add_number(uint64_t value);
+  void add_number(double value);
+  void add_text(std::string_view value);
 
   std::unique_ptr<XXH3_state_t, FreeState> state_;
 };
--- a/tests/simulation/faults.cpp
+++ b/tests/simulation/faults.cpp
@@ -2,47 +2,47 @@
 
 namespace sumacquay::simulation {
 
-void Faults::end_process(size_t controller, Seconds restart_delay) {
+void Faults::restart_controller(size_t controller, Seconds restart_delay) {
   controllers_.restart(controller, restart_delay);
 }
 
-void Faults::stand_still(size_t controller, Seconds span) {
+void Faults::pause_controller(size_t controller, Seconds span) {
   inject(&ControllerFaults::paused, controller, span);
 }
 
-void Faults::cut_from_state(size_t controller, Seconds span) {
+void Faults::partition_from_store(size_t controller, Seconds span) {
   inject(&ControllerFaults::store_partition, controller, span);
 }
 
-void Faults::cut_from_peers(size_t controller, Seconds span) {
+void Faults::partition_from_peers(size_t controller, Seconds span) {
   inject(&ControllerFaults::peer_partition, controller, span);
 }
 
-void Faults::cut_from_workers(size_t controller, Seconds span) {
+void Faults::partition_from_workers(size_t controller, Seconds span) {
   inject(&ControllerFaults::worker_partition, controller, span);
 }
 
-void Faults::refuse(size_t controller, Seconds span) {
-  inject(&ControllerFaults::store_refusal, controller, span);
+void Faults::reject_store_requests(size_t controller, Seconds span) {
+  inject(&ControllerFaults::store_rejection, controller, span);
 }
 
-void Faults::hang(const std::string& machine, Seconds span) {
+void Faults::hang_machine(const std::string& machine, Seconds span) {
   inject(&MachineFaults::hung, machine, span);
 }
 
-void Faults::cut(const std::string& machine, Seconds span) {
+void Faults::partition_machine(const std::string& machine, Seconds span) {
   inject(&MachineFaults::partition, machine, span);
 }
 
-void Faults::deafen(const std::string& machine, Seconds span) {
+void Faults::drop_inbound_messages(const std::string& machine, Seconds span) {
   inject(&MachineFaults::inbound_loss, machine, span);
 }
 
-void Faults::mute(const std::string& machine, Seconds span) {
+void Faults::drop_heartbeats(const std::string& machine, Seconds span) {
   inject(&MachineFaults::heartbeat_loss, machine, span);
 }
 
-void Faults::hold_commands(const std::string& machine, Seconds span) {
+void Faults::delay_commands(const std::string& machine, Seconds span) {
   inject(&MachineFaults::command_delay, machine, span);
 }
 
@@ -50,7 +50,7 @@
   if (SimulatedMachine* target = env_.fleet.find(machine)) target->fails_all_tasks = true;
 }
 
-void Faults::late_heartbeats(double fraction, Seconds span, CopyDelivery delivery) {
+void Faults::duplicate_heartbeats(double fraction, Seconds span, DuplicateDelivery delivery) {
   workers_.duplicate_heartbeats(fraction, span, delivery);
 }
 
--- a/tests/simulation/machine.h
+++ b/tests/simulation/machine.h
@@ -17,7 +17,7 @@
   Fault partition;       ///< partitioned from all controllers
   Fault inbound_loss;    ///< no message reaches the worker
   Fault heartbeat_loss;  ///< the worker's heartbeats are lost
-  Fault command_delay;   ///< commands are held up, or their answers are lost
+  Fault command_delay;   ///< commands are delayed, or their answers are lost
 };
 
 /// A machine and the worker on it.
--- a/tests/simulation/options.cpp
+++ b/tests/simulation/options.cpp
@@ -11,7 +11,7 @@
   type.name = "g";
   type.capacity = {16, 4, 64};
   type.zones = {kEast, kWest};
-  type.boot_s = options.nominal_boot_s;
+  type.boot_s = options.declared_boot_s;
   type.price = 10;
   type.spot_price = 3;
   return type;
@@ -32,7 +32,7 @@
   limited.gpus_max = kLimitedTeamGpus;
   TeamSettings open;
   open.name = kOpenTeam;
-  open.gpus = options.open_team_gpus;
+  open.gpus = options.open_team_guaranteed_gpus;
   settings.teams = {limited, open};
   settings.node = node_name(controller);
   settings.zone = options.controller_zones[controller];
--- a/tests/simulation/options.h
+++ b/tests/simulation/options.h
@@ -21,14 +21,14 @@
   Seconds cancel_s = 22;  ///< barely two leases, so that renewing leases for too long breaks it
   std::vector<std::string> controller_zones = {kEast, kWest, kEast};
   int machines = 4;
-  size_t most_machines = 8;
+  size_t max_machines = 8;
   /// The boot time that the cloud declares: determines how soon silent machines are replaced.
-  Seconds nominal_boot_s = 5;
-  Seconds boot_least = 2, boot_most = 6;
-  Seconds task_least = 2, task_most = 15;
-  Seconds fetch_least = 0.1, fetch_most = 1;
+  Seconds declared_boot_s = 5;
+  Seconds min_boot_s = 2, max_boot_s = 6;
+  Seconds min_task_s = 2, max_task_s = 15;
+  Seconds min_fetch_s = 0.1, max_fetch_s = 1;
   bool prompt_dispatch = false;
-  double open_team_gpus = 0;  ///< guarantee of the team without a quota
+  double open_team_guaranteed_gpus = 0;  ///< guarantee of the team without a quota
 };
 
 std::string node_name(size_t controller);
--- a/tests/simulation/pipelines.cpp
+++ b/tests/simulation/pipelines.cpp
@@ -40,7 +40,7 @@
 
 // ---------------------------------------------------------------- plans
 
-size_t Pipelines::begin(PipelinePlan plan) {
+size_t Pipelines::submit_pipeline(PipelinePlan plan) {
   Pipeline pipeline;
   pipeline.stages.resize(plan.shape.size());
   pipeline.plan = std::move(plan);
@@ -48,8 +48,8 @@
   return pipelines_.size() - 1;
 }
 
-size_t Pipelines::begin_random() {
-  return begin(random_plan());
+size_t Pipelines::submit_random_pipeline() {
+  return submit_pipeline(random_plan());
 }
 
 PipelinePlan Pipelines::random_plan() {
@@ -66,19 +66,19 @@
     default:
       plan.shape = fan(width);
   }
-  plan.last_when_others_are_over = random.chance(kLastStageWaitsProbability);
+  plan.submit_last_after_others_end = random.chance(kLastStageWaitsProbability);
   if (!random.chance(kCancellationProbability)) return plan;
   StageCancellation cancellation;
   cancellation.stage = random.below(plan.shape.size() - 1);
-  if (random.chance(0.5)) cancellation.when = StageCancellation::When::AsItsLastTaskEnds;
-  cancellation.after_acceptance = random.between(0, kMaxCancellationDelay);
+  if (random.chance(0.5)) cancellation.when = StageCancellation::When::WhenTasksDone;
+  cancellation.delay_after_acceptance = random.between(0, kMaxCancellationDelay);
   cancellation.through_two_controllers = random.chance(0.5);
   plan.cancellation = cancellation;
   return plan;
 }
 
 JobSpec Pipelines::random_stage_spec() {
-  JobSpec spec = users_.any_spec();
+  JobSpec spec = users_.random_spec();
   if (spec.kind == JobKind::Service) spec.kind = JobKind::Array;
   spec.spread = false;
   spec.tasks = 1 + static_cast<uint32_t>(env_.random.below(kMaxStageTasks));
@@ -106,7 +106,7 @@
 bool Pipelines::submission_due(const Pipeline& pipeline, size_t stage) const {
   const auto& stages = pipeline.stages;
   const bool last = stage + 1 == stages.size();
-  if (last && pipeline.plan.last_when_others_are_over)
+  if (last && pipeline.plan.submit_last_after_others_end)
     return std::all_of(stages.begin(), stages.end() - 1,
                        [this](const Stage& other) { return has_ended(other); });
   const auto& dependencies = pipeline.plan.shape[stage];
@@ -137,9 +137,9 @@
   const StageCancellation& cancellation = *pipeline.plan.cancellation;
   const Stage& stage = pipeline.stages[cancellation.stage];
   if (!stage.accepted_at) return false;
-  if (cancellation.when == StageCancellation::When::AsItsLastTaskEnds)
+  if (cancellation.when == StageCancellation::When::WhenTasksDone)
     return observed(stage)->complete();
-  return env_.now() >= *stage.accepted_at + cancellation.after_acceptance;
+  return env_.now() >= *stage.accepted_at + cancellation.delay_after_acceptance;
 }
 
 void Pipelines::query_after_cancellation(Pipeline& pipeline) {
@@ -180,7 +180,7 @@
   return job && job->complete();
 }
 
-size_t Pipelines::done() const {
+size_t Pipelines::completed() const {
   return static_cast<size_t>(
       std::count_if(pipelines_.begin(), pipelines_.end(), [this](const Pipeline& pipeline) {
         return std::all_of(pipeline.stages.begin(), pipeline.stages.end(), [this](const Stage& s) {
@@ -190,7 +190,7 @@
       }));
 }
 
-size_t Pipelines::cancelled_in_the_middle() const {
+size_t Pipelines::partially_cancelled() const {
   const auto cancelled_through_dependency = [this](const Stage& stage) {
     return stage.job && dependency_cancelled_at(env_.jobs, *stage.job).has_value();
   };
@@ -206,7 +206,7 @@
       }));
 }
 
-size_t Pipelines::stages_not_accepted() const {
+size_t Pipelines::unaccepted_stages() const {
   size_t count = 0;
   for (const auto& pipeline : pipelines_)
     for (const auto& stage : pipeline.stages) count += !stage.accepted_at;
--- a/tests/simulation/pipelines.h
+++ b/tests/simulation/pipelines.h
@@ -21,10 +21,10 @@
 
 /// A user's cancellation of a stage.
 struct StageCancellation {
-  enum class When { AfterDelay, AsItsLastTaskEnds };
+  enum class When { AfterDelay, WhenTasksDone };
   size_t stage = 0;
   When when = When::AfterDelay;
-  Seconds after_acceptance = 0;          ///< delay for `AfterDelay`
+  Seconds delay_after_acceptance = 0;    ///< delay for `AfterDelay`
   bool through_two_controllers = false;  ///< sent to both at the same time
 };
 
@@ -33,7 +33,7 @@
   /// Creates the spec of each stage; null: specs are drawn at random.
   std::function<JobSpec()> stage_spec;
   /// The last stage is submitted once the others have ended, not once they are accepted.
-  bool last_when_others_are_over = false;
+  bool submit_last_after_others_end = false;
   std::optional<StageCancellation> cancellation;
 };
 
@@ -45,9 +45,9 @@
   Pipelines(Environment& environment, Users& users) : env_(environment), users_(users) {}
 
   /// Returns the pipeline's index.
-  size_t begin(PipelinePlan plan);
-  /// Begins a pipeline with a random plan.
-  size_t begin_random();
+  size_t submit_pipeline(PipelinePlan plan);
+  /// Submits a pipeline with a random plan.
+  size_t submit_random_pipeline();
   /// Called at each step of the simulation: sends the submissions, cancellations and queries due.
   void step();
 
@@ -56,13 +56,13 @@
   /// Whether all tasks of the stage are done.
   bool stage_complete(size_t pipeline, size_t stage) const;
 
-  size_t begun() const { return pipelines_.size(); }
+  size_t submitted() const { return pipelines_.size(); }
   /// Pipelines with all stages done.
-  size_t done() const;
+  size_t completed() const;
   /// Pipelines with a stage done and another one cancelled through a dependency.
-  size_t cancelled_in_the_middle() const;
+  size_t partially_cancelled() const;
   /// Stages never submitted or never accepted.
-  size_t stages_not_accepted() const;
+  size_t unaccepted_stages() const;
 
  private:
   struct Stage {
--- a/tests/simulation/random_faults.cpp
+++ b/tests/simulation/random_faults.cpp
@@ -24,64 +24,65 @@
 
 size_t RandomFaults::pick_controller() {
   const auto leader = controllers_.leader();
-  if (leader && chance(0.7)) return *leader;
+  if (leader && random_bool(0.7)) return *leader;
   return env_.random.below(env_.controllers.size());
 }
 
 void RandomFaults::inject_controller_faults(size_t controller) {
-  if (chance(0.0015)) faults_.end_process(controller, between(0.1, 6));
-  if (chance(0.001)) faults_.stand_still(controller, between(1, 20));
-  if (chance(0.001)) faults_.refuse(controller, between(1, 30));
-  if (chance(0.001)) partition_controller(controller);
-  if (chance(0.0002)) restart_all_controllers();
+  if (random_bool(0.0015)) faults_.restart_controller(controller, random_between(0.1, 6));
+  if (random_bool(0.001)) faults_.pause_controller(controller, random_between(1, 20));
+  if (random_bool(0.001)) faults_.reject_store_requests(controller, random_between(1, 30));
+  if (random_bool(0.001)) partition_controller(controller);
+  if (random_bool(0.0002)) restart_all_controllers();
 }
 
 void RandomFaults::partition_controller(size_t controller) {
   const uint64_t connections = 1 + env_.random.below(kAllConnections);
-  const Seconds span = between(1, 30);
-  if (connections & kStoreConnection) faults_.cut_from_state(controller, span);
-  if (connections & kPeerConnections) faults_.cut_from_peers(controller, span);
-  if (connections & kWorkerConnections) faults_.cut_from_workers(controller, span);
+  const Seconds span = random_between(1, 30);
+  if (connections & kStoreConnection) faults_.partition_from_store(controller, span);
+  if (connections & kPeerConnections) faults_.partition_from_peers(controller, span);
+  if (connections & kWorkerConnections) faults_.partition_from_workers(controller, span);
 }
 
 void RandomFaults::restart_all_controllers() {
   for (size_t controller = 0; controller < env_.controllers.size(); ++controller) {
-    const Seconds restart_delay = between(0.2, 1);
-    const double factor = chance(0.3) ? 20 : 1;
-    faults_.end_process(controller, restart_delay * factor);
+    const Seconds restart_delay = random_between(0.2, 1);
+    const double factor = random_bool(0.3) ? 20 : 1;
+    faults_.restart_controller(controller, restart_delay * factor);
   }
 }
 
 void RandomFaults::inject_store_faults() {
-  if (chance(0.0004)) faults_.outage(between(1, 40));
-  if (chance(0.0006)) faults_.slow(between(2, 20));
-  if (chance(0.0006)) faults_.late_writes(0.3, between(2, 20));
-  if (chance(0.0006)) faults_.lost_answers(0.3, between(2, 20));
+  if (random_bool(0.0004)) faults_.store_outage(random_between(1, 40));
+  if (random_bool(0.0006)) faults_.slow_store(random_between(2, 20));
+  if (random_bool(0.0006)) faults_.delay_store_writes(0.3, random_between(2, 20));
+  if (random_bool(0.0006)) faults_.lose_store_answers(0.3, random_between(2, 20));
 }
 
 void RandomFaults::inject_network_and_cloud_faults() {
-  if (chance(0.0006)) {
-    const auto delivery = chance(0.5) ? CopyDelivery::ToNextLeaderOnce : CopyDelivery::AfterDelay;
-    faults_.late_heartbeats(0.3, between(2, 20), delivery);
+  if (random_bool(0.0006)) {
+    const auto delivery =
+        random_bool(0.5) ? DuplicateDelivery::OnLeaderChange : DuplicateDelivery::AfterDelay;
+    faults_.duplicate_heartbeats(0.3, random_between(2, 20), delivery);
   }
-  if (chance(0.0005)) {
-    const Seconds span = between(5, 40);
-    faults_.cut_zone(chance(0.5) ? kEast : kWest, span);
+  if (random_bool(0.0005)) {
+    const Seconds span = random_between(5, 40);
+    faults_.partition_zone(random_bool(0.5) ? kEast : kWest, span);
   }
-  if (chance(0.001)) faults_.late_releases(between(5, 60));
+  if (random_bool(0.001)) faults_.delay_releases(random_between(5, 60));
 }
 
 void RandomFaults::inject_machine_faults() {
   const auto machines = env_.fleet.running(env_.now());
   if (machines.empty()) return;
   const std::string& machine = machines[env_.random.below(machines.size())];
-  if (chance(0.004)) faults_.hang(machine, between(1, 25));
-  if (chance(0.004)) faults_.cut(machine, between(1, 25));
-  if (chance(0.003)) faults_.deafen(machine, between(1, 25));
-  if (chance(0.001)) faults_.mute(machine, between(1, 25));
-  if (chance(0.002)) faults_.hold_commands(machine, between(1, 60));
-  if (chance(0.001)) faults_.fail_all_tasks(machine);
-  if (chance(0.001)) faults_.lose_machine(machine);
+  if (random_bool(0.004)) faults_.hang_machine(machine, random_between(1, 25));
+  if (random_bool(0.004)) faults_.partition_machine(machine, random_between(1, 25));
+  if (random_bool(0.003)) faults_.drop_inbound_messages(machine, random_between(1, 25));
+  if (random_bool(0.001)) faults_.drop_heartbeats(machine, random_between(1, 25));
+  if (random_bool(0.002)) faults_.delay_commands(machine, random_between(1, 60));
+  if (random_bool(0.001)) faults_.fail_all_tasks(machine);
+  if (random_bool(0.001)) faults_.lose_machine(machine);
 }
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/random_faults.h
+++ b/tests/simulation/random_faults.h
@@ -17,8 +17,8 @@
   void step();
 
  private:
-  bool chance(double probability) { return env_.random.chance(probability); }
-  Seconds between(Seconds min, Seconds max) { return env_.random.between(min, max); }
+  bool random_bool(double probability) { return env_.random.chance(probability); }
+  Seconds random_between(Seconds min, Seconds max) { return env_.random.between(min, max); }
 
   /// Picks the leader with a high probability, otherwise any controller.
   size_t pick_controller();
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -45,8 +45,8 @@
   while (now() < faults_until) {
     random_faults_.step();
     const bool submitting = now() < faults_until * kSubmissionPhaseFraction;
-    if (submitting && chance(kSubmissionProbability)) users_.submit_any();
-    if (submitting && chance(kPipelineProbability)) pipelines_.begin_random();
+    if (submitting && random_bool(kSubmissionProbability)) users_.submit_random();
+    if (submitting && random_bool(kPipelineProbability)) pipelines_.submit_random_pipeline();
     step();
   }
   end_faults();
@@ -64,7 +64,7 @@
   return reached();
 }
 
-void Simulation::at(Seconds delay, std::function<void()> event) {
+void Simulation::schedule_in(Seconds delay, std::function<void()> event) {
   env_.loop.schedule(delay, std::move(event));
 }
 
@@ -81,10 +81,11 @@
 }
 
 size_t Simulation::follower() {
-  return (leader_or_first() + 1 + any(env_.controllers.size() - 1)) % env_.controllers.size();
+  return (leader_or_first() + 1 + random_below(env_.controllers.size() - 1)) %
+         env_.controllers.size();
 }
 
-size_t Simulation::unfinished() const {
+size_t Simulation::unfinished_job_count() const {
   return static_cast<size_t>(
       std::count_if(env_.jobs.begin(), env_.jobs.end(), [this](const auto& item) {
         const ObservedJob& job = item.second;
@@ -93,7 +94,7 @@
       }));
 }
 
-size_t Simulation::cancellations_not_recorded() const {
+size_t Simulation::unrecorded_cancellations() const {
   return static_cast<size_t>(
       std::count_if(env_.jobs.begin(), env_.jobs.end(), [this](const auto& item) {
         const auto& [id, job] = item;
@@ -106,11 +107,11 @@
   return env_.jobs.at(job).cancelled_at;
 }
 
-std::optional<Seconds> Simulation::began_at(const std::string& job) const {
+std::optional<Seconds> Simulation::started_at(const std::string& job) const {
   return env_.jobs.at(job).started_at;
 }
 
-size_t Simulation::tasks_waiting(const std::string& job) const {
+size_t Simulation::waiting_tasks(const std::string& job) const {
   std::set<uint32_t> started = env_.jobs.at(job).done_tasks;
   env_.fleet.for_each_present_task([&](const SimulatedMachine&, const TaskKey& key) {
     if (key.job == job) started.insert(key.task);
@@ -118,7 +119,7 @@
   return env_.jobs.at(job).spec.tasks - started.size();
 }
 
-std::vector<std::string> Simulation::jobs_running() const {
+std::vector<std::string> Simulation::running_jobs() const {
   std::set<std::string> running;
   env_.fleet.for_each_present_task([&](const SimulatedMachine&, const TaskKey& key) {
     if (!env_.jobs.at(key.job).cancel_requested) running.insert(key.job);
@@ -126,7 +127,7 @@
   return {running.begin(), running.end()};
 }
 
-std::vector<std::string> Simulation::machines_of(const std::string& job) const {
+std::vector<std::string> Simulation::machines_running(const std::string& job) const {
   std::vector<std::string> out;
   env_.fleet.for_each_present_task([&](const SimulatedMachine& machine, const TaskKey& key) {
     if (key.job == job && (out.empty() || out.back() != machine.id)) out.push_back(machine.id);
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -32,22 +32,22 @@
   void run_for(Seconds span);
   /// Returns whether `reached()` became true within `timeout`.
   bool run_until(const std::function<bool()>& reached, Seconds timeout);
-  void at(Seconds delay, std::function<void()> event);
+  void schedule_in(Seconds delay, std::function<void()> event);
   /// Ends all faults, cancels the services, and runs for `quiet` so that all work can finish.
   void finish(Seconds quiet = 250);
 
   // Randomness.
-  bool chance(double probability) { return env_.random.chance(probability); }
-  double between(double min, double max) { return env_.random.between(min, max); }
-  uint64_t any(uint64_t count) { return env_.random.below(count); }
+  bool random_bool(double probability) { return env_.random.chance(probability); }
+  double random_between(double min, double max) { return env_.random.between(min, max); }
+  uint64_t random_below(uint64_t count) { return env_.random.below(count); }
 
   // Components.
   Users& users() { return users_; }
   Pipelines& pipelines() { return pipelines_; }
   Faults& faults() { return faults_; }
   const Checker& checker() const { return env_.checker; }
-  const StoreChannel& state() const { return store_; }
-  const CommandChannel& worker_commands() const { return commands_; }
+  const StoreChannel& store() const { return store_; }
+  const CommandChannel& command_channel() const { return commands_; }
   const Workers& workers() const { return workers_; }
 
   /// The digest of all decisions of the controllers so far.
@@ -60,21 +60,21 @@
   size_t follower();
 
   // Jobs and machines.
-  size_t submitted() const { return env_.jobs.size(); }
+  size_t submitted_job_count() const { return env_.jobs.size(); }
   /// Accepted jobs that are neither complete nor cancelled, directly or through a dependency.
-  size_t unfinished() const;
+  size_t unfinished_job_count() const;
   /// Jobs cancelled, directly or through a dependency, whose record does not show it.
-  size_t cancellations_not_recorded() const;
+  size_t unrecorded_cancellations() const;
   std::optional<Seconds> cancelled_at(const std::string& job) const;
   /// When the job's first task began to run; none if no task has run yet.
-  std::optional<Seconds> began_at(const std::string& job) const;
+  std::optional<Seconds> started_at(const std::string& job) const;
   /// Number of the job's tasks that are neither done nor present on a machine.
-  size_t tasks_waiting(const std::string& job) const;
+  size_t waiting_tasks(const std::string& job) const;
   /// Jobs with a task on a machine, except those that a user has requested to cancel.
-  std::vector<std::string> jobs_running() const;
+  std::vector<std::string> running_jobs() const;
   std::vector<std::string> machines() const { return env_.fleet.running(now()); }
   /// Machines with a task of the job.
-  std::vector<std::string> machines_of(const std::string& job) const;
+  std::vector<std::string> machines_running(const std::string& job) const;
   const std::string& zone_of(const std::string& machine) const;
 
  private:
--- a/tests/simulation/store_channel.cpp
+++ b/tests/simulation/store_channel.cpp
@@ -46,10 +46,10 @@
 void StoreChannel::arrive(const Request& request) {
   Random& random = env_.random;
   const Seconds now = env_.now();
-  if (outage_active() || env_.controllers[request.controller].faults.store_refusal.active(now)) {
-    StoreReply refused;
-    refused.outcome = StoreOutcome::Refused;
-    return request.answer(random.between(kMinDelay, kMaxDelay), refused);
+  if (outage_active() || env_.controllers[request.controller].faults.store_rejection.active(now)) {
+    StoreReply rejected;
+    rejected.outcome = StoreOutcome::Rejected;
+    return request.answer(random.between(kMinDelay, kMaxDelay), rejected);
   }
   const bool writes = request.kind == RequestKind::Transaction;
   if (writes && late_writes_.active(now) && random.chance(late_write_fraction_))
@@ -66,7 +66,7 @@
 void StoreChannel::apply_late(Operation operation) {
   env_.loop.schedule(env_.random.between(2, 12), [this, operation = std::move(operation)] {
     if (outage_active()) return;
-    ++late_writes_tried_;
+    ++late_writes_attempted_;
     if (operation().ok()) ++late_writes_applied_;
   });
 }
--- a/tests/simulation/store_channel.h
+++ b/tests/simulation/store_channel.h
@@ -11,9 +11,9 @@
 
 enum class StoreOutcome {
   Ok,
-  Failed,   ///< a precondition failed, a lease has expired, or the key does not exist
-  Refused,  ///< the store did not serve the request
-  Unknown,  ///< the request timed out
+  Failed,    ///< a precondition failed, a lease has expired, or the key does not exist
+  Rejected,  ///< the store did not serve the request
+  Unknown,   ///< the request timed out
 };
 
 struct StoreReply {
@@ -30,7 +30,7 @@
   uint64_t term = 0, nonce = 0;
 };
 
-/// Connects the controllers to the key-value store and injects faults: delays, refusals, outages,
+/// Connects the controllers to the key-value store and injects faults: delays, rejections, outages,
 /// writes that are applied late and answers that are lost.
 class StoreChannel {
  public:
@@ -66,7 +66,7 @@
   void end_faults();
 
   size_t late_writes_applied() const { return late_writes_applied_; }
-  size_t late_writes_tried() const { return late_writes_tried_; }
+  size_t late_writes_attempted() const { return late_writes_attempted_; }
   size_t answers_lost() const { return answers_lost_; }
 
  private:
@@ -85,7 +85,7 @@
   std::optional<Seconds> outage_end_;
   Fault slowness_, late_writes_, answer_loss_;
   double late_write_fraction_ = 0, answer_loss_fraction_ = 0;
-  size_t late_writes_applied_ = 0, late_writes_tried_ = 0, answers_lost_ = 0;
+  size_t late_writes_applied_ = 0, late_writes_attempted_ = 0, answers_lost_ = 0;
 };
 
 }  // namespace sumacquay::simulation
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -11,7 +11,7 @@
 constexpr Seconds kMinRetryDelay = 1, kMaxRetryDelay = 1.2;
 }  // namespace
 
-JobSpec Users::any_spec() {
+JobSpec Users::random_spec() {
   Random& random = env_.random;
   JobSpec spec;
   spec.kind = std::array{JobKind::Array, JobKind::Gang, JobKind::Service}[random.below(3)];
@@ -42,8 +42,8 @@
   return id;
 }
 
-std::string Users::submit_any() {
-  const JobSpec spec = any_spec();
+std::string Users::submit_random() {
+  const JobSpec spec = random_spec();
   std::string id = submit(spec);
   if (spec.kind == JobKind::Service || env_.random.chance(0.2))
     env_.loop.schedule(env_.random.between(1, 60), [this, id] { cancel(id); });
--- a/tests/simulation/users.h
+++ b/tests/simulation/users.h
@@ -15,10 +15,10 @@
   Users(Environment& environment, Frontend& frontend) : env_(environment), frontend_(frontend) {}
 
   /// A random job spec.
-  JobSpec any_spec();
+  JobSpec random_spec();
   std::string submit(JobSpec spec);
   /// Submits a random job. Services and some of the other jobs are cancelled later.
-  std::string submit_any();
+  std::string submit_random();
   /// `first`: the controller to try first; none: a random one.
   void cancel(const std::string& id, std::optional<size_t> first = std::nullopt);
   /// Queries the state of an accepted job until a controller answers.
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -42,7 +42,7 @@
   ObservedJob& job = env_.jobs.at(key.job);
   if (!job.started_at) job.started_at = now;
   task.next_transition_at =
-      now + env_.random.between(env_.options.task_least, env_.options.task_most);
+      now + env_.random.between(env_.options.min_task_s, env_.options.max_task_s);
   if (!machine.fails_all_tasks) return;
   task.state = TaskState::Exited;
   task.cause = ExitCause::Error;
@@ -79,7 +79,7 @@
 void Workers::start_task(SimulatedMachine& machine, const Command& command,
                          Seconds command_sent_at) {
   if (!machine.accepts_start(command)) return;
-  const Seconds fetch = env_.random.between(env_.options.fetch_least, env_.options.fetch_most);
+  const Seconds fetch = env_.random.between(env_.options.min_fetch_s, env_.options.max_fetch_s);
   machine.tasks[command.key] = {command.attempt, TaskState::Fetching, ExitCause::None,
                                 env_.now() + fetch};
   env_.checker.on_task_started(machine, command.key, command_sent_at);
@@ -164,7 +164,7 @@
 
 // ---------------------------------------------------------------- late duplicates of heartbeats
 
-void Workers::duplicate_heartbeats(double fraction, Seconds span, CopyDelivery delivery) {
+void Workers::duplicate_heartbeats(double fraction, Seconds span, DuplicateDelivery delivery) {
   duplication_fraction_ = fraction;
   duplication_.activate_until(env_.now() + span);
   duplicate_delivery_ = delivery;
@@ -177,7 +177,7 @@
       !(duplicating && random.chance(duplication_fraction_)))
     return;
   const HeartbeatDuplicate duplicate{heartbeat, env_.checker.highest_term()};
-  if (duplicating && duplicate_delivery_ == CopyDelivery::ToNextLeaderOnce)
+  if (duplicating && duplicate_delivery_ == DuplicateDelivery::OnLeaderChange)
     return kept_duplicates_.push_back(duplicate);
   env_.loop.schedule(random.between(2, 2.5 * env_.options.lease_s),
                      [this, duplicate] { send_duplicate(duplicate); });
--- a/tests/simulation/workers.h
+++ b/tests/simulation/workers.h
@@ -8,9 +8,9 @@
 namespace sumacquay::simulation {
 
 /// When late duplicates of heartbeats are delivered.
-enum class CopyDelivery {
-  AfterDelay,        ///< to all controllers, after a random delay
-  ToNextLeaderOnce,  ///< to all controllers, when the next leader takes over
+enum class DuplicateDelivery {
+  AfterDelay,      ///< to all controllers, after a random delay
+  OnLeaderChange,  ///< to all controllers, when the next leader takes over
 };
 
 /// The workers on all machines: they run tasks and send heartbeats to the controllers.
@@ -26,15 +26,15 @@
   void send_kept_duplicates();
   void on_delegate_reply() { ++delegate_replies_; }
 
-  void duplicate_heartbeats(double fraction, Seconds span, CopyDelivery delivery);
+  void duplicate_heartbeats(double fraction, Seconds span, DuplicateDelivery delivery);
   /// Half of the heartbeats are delayed, so that commands, their answers and probes overtake them.
   void delay_heartbeats(Seconds span) { heartbeat_delay_.activate_until(env_.now() + span); }
   void end_faults();
 
-  size_t delegated() const { return delegate_replies_; }
-  size_t copies_heard() const { return duplicates_received_; }
+  size_t delegate_replies() const { return delegate_replies_; }
+  size_t duplicates_received() const { return duplicates_received_; }
   /// Duplicates received by a leader of a newer term than the one in which they were sent.
-  size_t copies_heard_by_new_leader() const { return duplicates_received_by_new_leader_; }
+  size_t duplicates_received_by_new_leader() const { return duplicates_received_by_new_leader_; }
 
  private:
   struct HeartbeatDuplicate {
@@ -66,7 +66,7 @@
   Environment& env_;
   Fault duplication_, heartbeat_delay_;
   double duplication_fraction_ = 0;
-  CopyDelivery duplicate_delivery_ = CopyDelivery::AfterDelay;
+  DuplicateDelivery duplicate_delivery_ = DuplicateDelivery::AfterDelay;
   std::vector<HeartbeatDuplicate> kept_duplicates_;
   size_t delegate_replies_ = 0, duplicates_received_ = 0, duplicates_received_by_new_leader_ = 0;
 };
--- a/tests/simulators_test.cpp
+++ b/tests/simulators_test.cpp
@@ -17,7 +17,7 @@
 namespace sumacquay::simulators {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 TaskKey random_task_key() {
   return {"job-" + std::to_string(*rc::gen::inRange(0, 1000)),
@@ -25,12 +25,12 @@
 }
 
 TEST(SimulatorMessages, AreDecodedByControllers) {
-  EXPECT_TRUE(holds("worker heartbeats", [] {
+  EXPECT_TRUE(check_property("worker heartbeats", [] {
     WorkerHeartbeat sent;
     sent.machine = "i-" + std::to_string(*rc::gen::inRange(0, 1000));
     sent.addr = "127.0.0.1:9000";
-    sent.type = *testing::name();
-    sent.zone = *testing::name();
+    sent.type = *testing::arbitrary_name();
+    sent.zone = *testing::arbitrary_name();
     sent.spot = *rc::gen::arbitrary<bool>();
     sent.agent_epoch = *rc::gen::arbitrary<uint64_t>();
     sent.sequence_number = *rc::gen::arbitrary<uint64_t>();
@@ -47,14 +47,14 @@
     RC_ASSERT(read.has_value());
     RC_ASSERT(worker_heartbeat_body(*read) == worker_heartbeat_body(sent));
   }));
-  EXPECT_TRUE(holds("submissions", [] {
-    const JobSpec sent = *testing::job_spec();
+  EXPECT_TRUE(check_property("submissions", [] {
+    const JobSpec sent = *testing::arbitrary_job_spec();
     RC_ASSERT(wire::parse_job(submission_body(sent)).spec == sent);
   }));
 }
 
 TEST(SimulatorMessages, DecodeMessagesOfControllers) {
-  EXPECT_TRUE(holds("commands", [] {
+  EXPECT_TRUE(check_property("commands", [] {
     std::vector<Command> commands;
     for (int i = *rc::gen::inRange(0, 5); i > 0; --i) {
       const CommandType type =
--- a/tests/socket_budget_test.cpp
+++ b/tests/socket_budget_test.cpp
@@ -29,7 +29,7 @@
 }
 
 TEST(SocketBudget, StaysWithinLimitAndLeavesEachPartAShare) {
-  EXPECT_TRUE(testing::holds("socket budget", [] {
+  EXPECT_TRUE(testing::check_property("socket budget", [] {
     Settings settings = with_sockets(*rc::gen::inRange(1, 20000), *rc::gen::inRange(0, 20));
     settings.tuning.sockets = *rc::gen::inRange(10, 71) / 100.0;
     const SocketBudget budget = socket_budget(settings);
