--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -131,6 +131,7 @@
   size_t nodes_elsewhere = zone == of_zone ? 0 : 1;
   for (const auto& peer : peers)
     if (peer.zone != of_zone) ++nodes_elsewhere;
+  // A heartbeat arrives up to a quarter of a period late.
   return static_cast<double>(nodes_elsewhere) * kSecondsPerNode + 1.25 * heartbeat_period_s <=
          lease_s;
 }
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -45,8 +45,8 @@
 class Scheduler {
  public:
   /// `previous_leader_fenced_at`: the latest time at which an earlier leader may have responded to
-  /// workers. `wall_offset`: the wall-clock time minus the steady time, used only for arrival
-  /// times.
+  /// workers. `wall_offset`: the wall-clock time minus the steady time, used only for the arrival
+  /// and completion times of jobs.
   Scheduler(const Settings& settings, uint64_t term, Seconds now, Seconds previous_leader_fenced_at,
             Seconds wall_offset = 0);
   Scheduler(const Scheduler&) = delete;
--- a/src/leadership/lease_delegation.h
+++ b/src/leadership/lease_delegation.h
@@ -50,9 +50,9 @@
   [[nodiscard]] bool active(uint64_t highest_term, Seconds now) const;
   /// Returns the commands of an answer on behalf of the leader, or nothing if this node must not
   /// answer. `records_current_at`: the time as of which this node's records are current. The
-  /// leader's may be newer, but this node stops only jobs that it knows to have ended, so its
-  /// answers are limited by the age of its own records. `job_ended(job)`: whether a job is known to
-  /// be cancelled or finished.
+  /// leader's may be newer, but this node stops only jobs whose end is in its own records, so
+  /// its answers are limited by the age of these records. `job_ended(job)`: whether a job is known
+  /// to be cancelled or finished.
   template <class JobEnded>
   [[nodiscard]] std::optional<std::vector<Command>> answer(const WorkerHeartbeat& heartbeat,
                                                            uint64_t highest_term,
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -17,6 +17,8 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr size_t kReadBufferBytes = 4096;
+/// The largest bodies are the changes that a watch returns after a long absence, thousands of
+/// records.
 constexpr size_t kMaxBodyBytes = 4 << 20;
 
 }  // namespace
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -182,8 +182,8 @@
 }
 
 /// Draws one event of a job and applies it to both the graph and the model. Jobs become live in any
-/// order, are updated again while they are pending, end, and are forgotten by the graph once they
-/// are cancelled. The known ends of a job's dependencies are entered again with each of its
+/// order, are updated again while they are pending, end, and are removed from the graph once
+/// they are cancelled. The known ends of a job's dependencies are entered again with each of its
 /// updates.
 void draw_event(DependencyGraph& graph, ReferenceModel& model) {
   const auto index = *rc::gen::inRange<size_t>(0, model.size());
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -281,7 +281,7 @@
   MachineType type_;
   Seconds now_ = 1000;
   std::unique_ptr<Scheduler> scheduler_;
-  std::map<std::string, size_t> stop_commands_;  ///< tasks that were ordered to stop, by job
+  std::map<std::string, size_t> stop_commands_;  ///< stop commands counted by job
 
  private:
   struct Task {
--- a/tests/fault_interaction_test.cpp
+++ b/tests/fault_interaction_test.cpp
@@ -202,7 +202,7 @@
 
 // ---- delayed and duplicate heartbeats
 
-TEST(DelayedHeartbeats, InvariantsHoldWhenCopiesArriveAfterNewLeaderHasActed) {
+TEST(DelayedHeartbeats, InvariantsHoldWhenDuplicatesArriveAfterNewLeaderHasActed) {
   run_with_both_cancel_timeouts(
       [](Simulation& simulation) {
         start_workload(simulation);
@@ -216,7 +216,7 @@
       30);
 }
 
-TEST(DelayedHeartbeats, InvariantsHoldWhenCopiesReachAllControllersAtElection) {
+TEST(DelayedHeartbeats, InvariantsHoldWhenDuplicatesReachAllControllersAtElection) {
   run_with_both_cancel_timeouts(
       [](Simulation& simulation) {
         start_workload(simulation);
@@ -233,7 +233,7 @@
       50);
 }
 
-TEST(DelayedHeartbeats, InvariantsHoldWhenCopiesArriveOutOfOrderAcrossAgentEpochs) {
+TEST(DelayedHeartbeats, InvariantsHoldWhenDuplicatesArriveOutOfOrderAcrossAgentEpochs) {
   run_with_both_cancel_timeouts(
       [](Simulation& simulation) {
         start_workload(simulation);
--- a/tests/scheduler_safety_test.cpp
+++ b/tests/scheduler_safety_test.cpp
@@ -853,7 +853,7 @@
   EXPECT_FALSE(scheduler->jobs().at("job-1").possible_placements.empty());
 }
 
-TEST_F(SchedulerSafetyTest, DuplicateAndOlderHeartbeatsAreNotFresh) {
+TEST_F(SchedulerSafetyTest, DuplicateAndOlderHeartbeatsAreNotAccepted) {
   auto scheduler = leader(1, 0);
   const auto fencing_token =
       scheduler->on_heartbeat(heartbeat("i-9", 5, 0), true, now).fencing_token;
--- a/tests/settings_and_messages_test.cpp
+++ b/tests/settings_and_messages_test.cpp
@@ -345,7 +345,7 @@
 }
 
 // Guards against leaving out what exceeds the limit on bodies: the last jobs were then shown as
-// pending while they ran, and the next leader rented machines again that were already booting.
+// pending while they ran, and the next leader requested machines again that were already booting.
 TEST(PeerHeartbeatCodec, FragmentsFitBodyLimitAndCarryAllEntries) {
   for (const auto part :
        {wire::PeerHeartbeatPart::JobProgress, wire::PeerHeartbeatPart::SuccessorHints}) {
