--- a/tests/lease_delegation_test.cpp
+++ b/tests/lease_delegation_test.cpp
@@ -15,7 +15,7 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 constexpr Seconds kLeaderSilence = 3, kHeartbeatPeriod = 1, kValidFor = 20;
 
@@ -33,7 +33,7 @@
 
 TEST(LeaseDelegation, LeaderAccountsForEveryAnswerOfADelegate) {
   size_t answers = 0;
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "answers of delegates are accounted for",
       [&answers] {
         std::mt19937_64 rng(*rc::gen::noShrink(rc::gen::arbitrary<uint64_t>()));
@@ -43,7 +43,7 @@
         const double skew = 1 + draw(-0.0005, 0.0005);
         Seconds now = 100;
         auto node_clock = [&] { return now * skew + 5; };
-        Delegations delegations(7, kLeaderSilence);
+        DelegationTracker delegations(7, kLeaderSilence);
         uint64_t process = 1;
         DelegatedResponder responder(process, kLeaderSilence, kValidFor);
         std::multimap<Seconds, std::function<void()>> messages_in_flight;
@@ -66,13 +66,13 @@
             messages_in_flight.emplace(
                 now + request_delay,
                 [&, status = responder.status(node_clock()), sent_at = node_clock(), process] {
-                  delegations.heard("n", "z", status, now);
+                  delegations.on_status("n", "z", status, now);
                   const auto delegation = delegations.delegate("n", "z", now + kValidFor, now);
                   const double response_delay = draw(0, 1) < 0.1 ? draw(0, 30) : 0.01;
                   messages_in_flight.emplace(
                       now + response_delay, [&, delegation, sent_at, sender = process] {
                         if (sender == process && now >= partitioned_until)
-                          responder.delegated(delegation, sent_at, node_clock());
+                          responder.on_delegation(delegation, sent_at, node_clock());
                       });
                 });
           }
@@ -90,11 +90,11 @@
 }
 
 TEST(LeaseDelegation, DelegateInContactWithLeaderDoesNotDelayLeaseExpiry) {
-  Delegations delegations(7, kLeaderSilence);
+  DelegationTracker delegations(7, kLeaderSilence);
   DelegatedResponder responder(1, kLeaderSilence, kValidFor);
   for (Seconds now = 10; now < 50; now += kHeartbeatPeriod) {
-    delegations.heard("n", "z", responder.status(now), now);
-    responder.delegated(delegations.delegate("n", "z", now + kValidFor, now), now, now);
+    delegations.on_status("n", "z", responder.status(now), now);
+    responder.on_delegation(delegations.delegate("n", "z", now + kValidFor, now), now, now);
     EXPECT_FALSE(responder.active(7, now));
     if (now > 12) {
       EXPECT_LT(delegations.last_answer("z", now), 0);
@@ -106,21 +106,21 @@
   EXPECT_NEAR(delegations.last_answer("z", 49 + kLeaderSilence), 49 + kLeaderSilence, 1e-9);
   EXPECT_NEAR(delegations.last_answer("z", 200), 49 + kValidFor, 1e-9);
   EXPECT_TRUE(responder.answer(heartbeat(), 7, 60, no_job_ended, 60));
-  delegations.heard("n", "z", responder.status(70), 70);
-  responder.delegated(delegations.delegate("n", "z", 70 + kValidFor, 70), 70, 70);
-  delegations.heard("n", "z", responder.status(71), 71);
+  delegations.on_status("n", "z", responder.status(70), 70);
+  responder.on_delegation(delegations.delegate("n", "z", 70 + kValidFor, 70), 70, 70);
+  delegations.on_status("n", "z", responder.status(71), 71);
   EXPECT_NEAR(delegations.last_answer("z", 71), 60, 0.1)
       << "the status reports the time of the last answer";
 }
 
 TEST(LeaseDelegation, DelegateStopsEndedJobsAndAnswersOnlyWhileItsRecordsAreRecent) {
-  Delegations delegations(7, kLeaderSilence);
+  DelegationTracker delegations(7, kLeaderSilence);
   DelegatedResponder responder(1, kLeaderSilence, 10);
-  responder.delegated(delegations.delegate("n", "z", 30, 10), 10, 10);
+  responder.on_delegation(delegations.delegate("n", "z", 30, 10), 10, 10);
   const auto ended = [](const std::string& job) { return job == "job-2"; };
   const auto answer = responder.answer(heartbeat(), 7, 9, ended, 18.9);
   ASSERT_TRUE(answer);
-  EXPECT_EQ(*answer, (std::vector<Command>{{Verb::Stop, {"job-2", 3}, 5, 0}}));
+  EXPECT_EQ(*answer, (std::vector<Command>{{CommandType::Stop, {"job-2", 3}, 5, 0}}));
   EXPECT_FALSE(responder.answer(heartbeat(), 7, 9, ended, 19))
       << "10 s after the records were last read";
   EXPECT_FALSE(responder.answer(heartbeat(), 8, 15, ended, 19))
@@ -140,37 +140,38 @@
   for (const char* zone : {"b", "c", "a", "b"}) settings.peers.push_back({"n", zone, {}});
   settings.heartbeat_period_s = 1;
   settings.lease_s = 10;
-  EXPECT_FALSE(settings.finds_delegated_responder("b"));
+  EXPECT_FALSE(settings.delegate_reachable_within_lease("b"));
   settings.lease_s = 22;
-  EXPECT_TRUE(settings.finds_delegated_responder("b"));
-  EXPECT_TRUE(settings.finds_delegated_responder("c"));
+  EXPECT_TRUE(settings.delegate_reachable_within_lease("b"));
+  EXPECT_TRUE(settings.delegate_reachable_within_lease("c"));
 }
 
 TEST(LeaseDelegation, StatusAndDelegationRoundTripInPeerHeartbeat) {
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "peer heartbeats round trip",
       [] {
         wire::PeerHeartbeat sent;
         sent.node = "n";
         sent.term = *rc::gen::arbitrary<uint64_t>();
-        sent.status = {*rc::gen::arbitrary<uint64_t>(), *rc::gen::arbitrary<uint64_t>(),
-                       *rc::gen::arbitrary<uint64_t>(), std::nullopt};
+        sent.delegation_status = {*rc::gen::arbitrary<uint64_t>(), *rc::gen::arbitrary<uint64_t>(),
+                                  *rc::gen::arbitrary<uint64_t>(), std::nullopt};
         if (*rc::gen::arbitrary<bool>())
-          sent.status.last_answer_age_s = *rc::gen::inRange(0, 1000) / 7.0;
+          sent.delegation_status.last_answer_age_s = *rc::gen::inRange(0, 1000) / 7.0;
         if (*rc::gen::arbitrary<bool>())
           sent.delegation =
               Delegation{*rc::gen::arbitrary<uint64_t>(), *rc::gen::arbitrary<uint64_t>(),
                          *rc::gen::inRange(0, 1000) / 7.0};
         const auto received = wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(sent));
         RC_ASSERT(received.has_value());
-        RC_ASSERT(received->status.process == sent.status.process &&
-                  received->status.term == sent.status.term);
-        RC_ASSERT(received->status.number == sent.status.number &&
-                  received->status.last_answer_age_s == sent.status.last_answer_age_s);
+        RC_ASSERT(received->delegation_status.incarnation == sent.delegation_status.incarnation &&
+                  received->delegation_status.term == sent.delegation_status.term);
+        RC_ASSERT(received->delegation_status.issued_at_ms == sent.delegation_status.issued_at_ms &&
+                  received->delegation_status.last_answer_age_s ==
+                      sent.delegation_status.last_answer_age_s);
         RC_ASSERT(received->delegation.has_value() == sent.delegation.has_value());
         if (sent.delegation) {
           RC_ASSERT(received->delegation->term == sent.delegation->term);
-          RC_ASSERT(received->delegation->number == sent.delegation->number);
+          RC_ASSERT(received->delegation->issued_at_ms == sent.delegation->issued_at_ms);
           RC_ASSERT(received->delegation->valid_for_s == sent.delegation->valid_for_s);
         }
       },
--- a/tests/record_capacity_test.cpp
+++ b/tests/record_capacity_test.cpp
@@ -12,15 +12,15 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 size_t size_of(const JobRecord& record) {
   return wire::json_size(wire::Document::parse(wire::encode_job(record))->root());
 }
 
 /// Numbers of done tasks with gaps of random sizes between them.
-Ranges scattered_task_numbers(uint32_t tasks) {
-  Ranges done;
+TaskRangeSet scattered_task_numbers(uint32_t tasks) {
+  TaskRangeSet done;
   const auto widest = *rc::gen::element<uint32_t>(2, 3, 12, 130, 1100);
   uint32_t task = *rc::gen::inRange<uint32_t>(0, widest);
   while (task < tasks) {
@@ -41,7 +41,7 @@
 
 JobRecord random_record() {
   JobRecord record;
-  record.spec = *testing::job_spec();
+  record.spec = *testing::arbitrary_job_spec();
   // Dependencies are removed from a record before it gets hosts or numbers of done tasks.
   record.spec.dependencies.clear();
   record.spec.tasks = *rc::gen::element<uint32_t>(1, 2, 17, 100, 3000, 20000);
@@ -56,20 +56,20 @@
 TEST(RecordCapacity, FittingRecordIsWithinLimitForAnyContent) {
   int with_capacity = 0;
   for (const size_t max_bytes : {size_t{2048}, size_t{8192}})
-    EXPECT_TRUE(holds("records fit", [&] {
+    EXPECT_TRUE(check_property("records fit", [&] {
       const JobRecord record = random_record();
       const wire::RecordCapacity capacity = wire::record_capacity(record, max_bytes);
-      RC_ASSERT(capacity.any() || 2 * capacity.described > max_bytes);
-      if (!capacity.any()) return;
+      RC_ASSERT(capacity.has_space() || 2 * capacity.description_bytes > max_bytes);
+      if (!capacity.has_space()) return;
       ++with_capacity;
-      const JobRecord fitting = wire::fitting_record(record, max_bytes);
+      const JobRecord fitting = wire::truncated_record(record, max_bytes);
       RC_ASSERT(size_of(fitting) <= max_bytes);
-      RC_ASSERT(size_of(fitting) <= capacity.taken_by(fitting));
-      RC_ASSERT(wire::fitting_record(fitting, max_bytes) == fitting);
+      RC_ASSERT(size_of(fitting) <= capacity.size_bound(fitting));
+      RC_ASSERT(wire::truncated_record(fitting, max_bytes) == fitting);
       // Hosts and numbers of done tasks both take up all the space that they may.
       JobRecord fullest = record;
       fullest.hosts.emplace();
-      while (capacity.holds(*fullest.hosts)) fullest.hosts->push_back("i-1234");
+      while (capacity.fits_hosts(*fullest.hosts)) fullest.hosts->push_back("i-1234");
       fullest.hosts->pop_back();
       fullest.done = fitting.done;
       RC_ASSERT(size_of(fullest) <= max_bytes);
@@ -84,33 +84,33 @@
   record.hosts.emplace();
   for (int i = 100; i < 160; ++i) record.hosts->push_back("i-" + std::to_string(i));
   for (uint32_t task = 0; task < record.spec.tasks; task += 2) record.done.add(task);
-  EXPECT_EQ(wire::fitting_record(record, 2048), record) << "50 spans and 60 hosts";
+  EXPECT_EQ(wire::truncated_record(record, 2048), record) << "50 ranges and 60 hosts";
 }
 
 TEST(RecordCapacity, NoneIfTheDescriptionLeavesNoRoom) {
   JobRecord record;
   record.spec.id = "job-1";
   record.spec.types = std::vector<std::string>(10, std::string(200, 'x'));
-  EXPECT_FALSE(wire::record_capacity(record, 2048).any());
-  EXPECT_TRUE(wire::record_capacity(record, 8192).any());
+  EXPECT_FALSE(wire::record_capacity(record, 2048).has_space());
+  EXPECT_TRUE(wire::record_capacity(record, 8192).has_space());
 }
 
-TEST(Ranges, FirstSpansPrefersKeptNumbers) {
-  EXPECT_TRUE(holds("what is kept stays", [] {
-    Ranges kept;
-    Ranges all;
+TEST(TaskRangeSet, SubsetOfRangesPrefersKeptNumbers) {
+  EXPECT_TRUE(check_property("what is kept stays", [] {
+    TaskRangeSet kept;
+    TaskRangeSet all;
     for (const auto n : *rc::gen::container<std::vector<uint32_t>>(rc::gen::inRange(0u, 80u))) {
       all.add(n);
       if (*rc::gen::arbitrary<bool>()) kept.add(n);
     }
-    const auto max_spans = *rc::gen::inRange<size_t>(0, 20);
-    const Ranges chosen = all.first_spans(max_spans, kept);
-    RC_ASSERT(chosen.spans() == std::min(max_spans, all.spans()));
+    const auto max_ranges = *rc::gen::inRange<size_t>(0, 20);
+    const TaskRangeSet chosen = all.subset_of_ranges(max_ranges, kept);
+    RC_ASSERT(chosen.range_count() == std::min(max_ranges, all.range_count()));
     uint32_t count = 0;
     for (uint32_t n = 0; n < 80; ++n) {
       count += chosen.contains(n);
       RC_ASSERT(all.contains(n) || !chosen.contains(n));
-      if (kept.spans() <= max_spans) RC_ASSERT(chosen.contains(n) || !kept.contains(n));
+      if (kept.range_count() <= max_ranges) RC_ASSERT(chosen.contains(n) || !kept.contains(n));
     }
     RC_ASSERT(chosen.count() == count);
   }));
@@ -242,7 +242,7 @@
   for (uint32_t task = 3999; task > 1000; task -= 7) tasks.push_back(done(task));
   heartbeat(1, tasks);
   EXPECT_EQ(writes_within(5), 1);
-  const Ranges stored = job().stored.done;
+  const TaskRangeSet stored = job().stored.done;
   ASSERT_LT(stored.count(), tasks.size()) << "not all done tasks fit into the record";
   for (uint32_t task = 0; task < 1000; task += 3) tasks.push_back(done(task));
   heartbeat(2, tasks);
--- a/tests/settings_and_messages_test.cpp
+++ b/tests/settings_and_messages_test.cpp
@@ -13,7 +13,7 @@
 namespace sumacquay {
 namespace {
 
-using testing::holds;
+using testing::check_property;
 
 const char* platform_settings = R"(
 label = "n0"
@@ -141,9 +141,9 @@
 }
 
 TEST(JobRecordCodec, RoundTrips) {
-  EXPECT_TRUE(holds("job records round trip", [] {
+  EXPECT_TRUE(check_property("job records round trip", [] {
     JobRecord record;
-    record.spec = *testing::job_spec();
+    record.spec = *testing::arbitrary_job_spec();
     record.state = *rc::gen::element(JobState::Pending, JobState::Cancelled, JobState::Done);
     record.started = *rc::gen::arbitrary<bool>();
     record.submitted_ms = static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 30));
@@ -159,9 +159,9 @@
 }
 
 TEST(JobSubmissionCodec, RoundTripsSpec) {
-  EXPECT_TRUE(holds("submissions round trip", [] {
+  EXPECT_TRUE(check_property("submissions round trip", [] {
     JobRecord record;
-    record.spec = *testing::job_spec();
+    record.spec = *testing::arbitrary_job_spec();
     // Stored and submitted job descriptions are encoded in the same way.
     const auto document = wire::Document::parse(wire::encode_job(record));
     const msgpack::object_handle copy = [&] {
@@ -180,7 +180,7 @@
 }
 
 TEST(JobSubmissionCodec, RejectsMalformedBytesSafely) {
-  EXPECT_TRUE(holds(
+  EXPECT_TRUE(check_property(
       "malformed bytes",
       [] {
         const auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
@@ -192,15 +192,16 @@
         wire::decode_peer_heartbeat(bytes);
       },
       2000));
-  EXPECT_TRUE(holds("a truncated record is rejected and a changed one is decoded safely", [] {
-    JobRecord record;
-    record.spec = *testing::job_spec();
-    std::string bytes = wire::encode_job(record);
-    const auto cut = *rc::gen::inRange<size_t>(0, bytes.size());
-    RC_ASSERT(wire::Document::parse(std::string_view(bytes).substr(0, cut)) == nullptr);
-    bytes[cut] = *rc::gen::arbitrary<char>();
-    if (const auto document = wire::Document::parse(bytes)) wire::decode_job(document->root());
-  }));
+  EXPECT_TRUE(
+      check_property("a truncated record is rejected and a changed one is decoded safely", [] {
+        JobRecord record;
+        record.spec = *testing::arbitrary_job_spec();
+        std::string bytes = wire::encode_job(record);
+        const auto cut = *rc::gen::inRange<size_t>(0, bytes.size());
+        RC_ASSERT(wire::Document::parse(std::string_view(bytes).substr(0, cut)) == nullptr);
+        bytes[cut] = *rc::gen::arbitrary<char>();
+        if (const auto document = wire::Document::parse(bytes)) wire::decode_job(document->root());
+      }));
   EXPECT_EQ(wire::Document::parse(std::string(5000, '\x91')), nullptr) << "deep nesting";
   EXPECT_EQ(wire::Document::parse("\xdd\xff\xff\xff\xff"), nullptr)
       << "a list header with a huge size";
@@ -288,23 +289,25 @@
 }
 
 TEST(PeerHeartbeatCodec, RoundTrips) {
-  EXPECT_TRUE(holds("peer heartbeats round trip", [] {
+  EXPECT_TRUE(check_property("peer heartbeats round trip", [] {
     wire::PeerHeartbeat sent;
-    sent.node = *testing::name();
+    sent.node = *testing::arbitrary_name();
     sent.term = static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 30));
     sent.leading = *rc::gen::arbitrary<bool>();
-    sent.served = *rc::gen::arbitrary<bool>();
+    sent.store_reachable = *rc::gen::arbitrary<bool>();
     for (int i = *rc::gen::inRange(0, 5); i > 0; --i) {
-      sent.counts.push_back({*testing::name(), 3, static_cast<uint32_t>(i)});
-      sent.images.push_back({*testing::name(), *testing::name(), i * 0.5});
-      sent.booting.push_back({*testing::name(), "", *testing::name(), *testing::name(), i % 2 == 0,
-                              ListedMachine::State::Booting, i * 1.5});
+      sent.job_progress.push_back({*testing::arbitrary_name(), 3, static_cast<uint32_t>(i)});
+      sent.cached_images.push_back(
+          {*testing::arbitrary_name(), *testing::arbitrary_name(), i * 0.5});
+      sent.booting_machines.push_back({*testing::arbitrary_name(), "", *testing::arbitrary_name(),
+                                       *testing::arbitrary_name(), i % 2 == 0,
+                                       ListedMachine::State::Booting, i * 1.5});
     }
     const auto received = wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(sent));
     RC_ASSERT(received.has_value());
     RC_ASSERT(wire::encode_peer_heartbeat(*received) == wire::encode_peer_heartbeat(sent));
     RC_ASSERT(received->term == sent.term && received->leading == sent.leading &&
-              received->served == sent.served);
+              received->store_reachable == sent.store_reachable);
   }));
 }
 
@@ -321,12 +324,12 @@
     return std::string(name_bytes, kind) + std::to_string(100000 + i);
   };
   for (int i = 0; i < size; ++i) {
-    if (part == wire::PeerHeartbeatPart::Counts) {
-      heartbeat.counts.push_back({entry_name('j', i), 100000, 100000});
+    if (part == wire::PeerHeartbeatPart::JobProgress) {
+      heartbeat.job_progress.push_back({entry_name('j', i), 100000, 100000});
       continue;
     }
-    heartbeat.images.push_back({entry_name('m', i), entry_name('i', i), 7.5});
-    heartbeat.booting.push_back(
+    heartbeat.cached_images.push_back({entry_name('m', i), entry_name('i', i), 7.5});
+    heartbeat.booting_machines.push_back(
         {entry_name('m', i), "", "type", "zone", true, ListedMachine::State::Booting, 1.5});
   }
   return heartbeat;
@@ -335,16 +338,17 @@
 constexpr size_t kBodyLimit = size_t{64} * 1024;
 
 TEST(PeerHeartbeatCodec, HeartbeatWithinBodyLimitIsNotFragmented) {
-  const auto heartbeat = large_peer_heartbeat(wire::PeerHeartbeatPart::Counts, 2000, 4);
+  const auto heartbeat = large_peer_heartbeat(wire::PeerHeartbeatPart::JobProgress, 2000, 4);
   const auto bodies = wire::encode_peer_heartbeat_fragments(heartbeat, 1, kBodyLimit);
   ASSERT_EQ(bodies.size(), 1u);
   EXPECT_EQ(bodies[0], wire::encode_peer_heartbeat(heartbeat));
 }
 
 // Guards against leaving out what exceeds the limit on bodies: the last jobs were then shown as
-// pending while they ran, and the next leader rented machines again that were already booting.
+// pending while they ran, and the next leader requested machines again that were already booting.
 TEST(PeerHeartbeatCodec, FragmentsFitBodyLimitAndCarryAllEntries) {
-  for (const auto part : {wire::PeerHeartbeatPart::Counts, wire::PeerHeartbeatPart::Hints}) {
+  for (const auto part :
+       {wire::PeerHeartbeatPart::JobProgress, wire::PeerHeartbeatPart::SuccessorHints}) {
     for (const size_t name_bytes : {size_t{4}, size_t{200}}) {
       const auto whole = large_peer_heartbeat(part, 6300, name_bytes);
       const auto bodies = wire::encode_peer_heartbeat_fragments(whole, 9, kBodyLimit);
@@ -361,17 +365,17 @@
         const bool first = index == 0;
         EXPECT_EQ(fragment->part, first ? part : wire::PeerHeartbeatPart::StatusOnly)
             << "a version without fragments applies only the first one";
-        hints.take(*fragment);
+        hints.apply(*fragment);
       }
-      if (part == wire::PeerHeartbeatPart::Counts) {
-        for (const auto& count : whole.counts)
-          ASSERT_EQ(hints.counts(count.job).running, count.running);
+      if (part == wire::PeerHeartbeatPart::JobProgress) {
+        for (const auto& count : whole.job_progress)
+          ASSERT_EQ(hints.job_progress(count.job).running, count.running);
         continue;
       }
-      ASSERT_EQ(hints.images().size(), whole.images.size());
-      for (size_t i = 0; i < whole.images.size(); ++i)
-        ASSERT_EQ(hints.images()[i].machine, whole.images[i].machine);
-      EXPECT_EQ(hints.booting().size(), whole.booting.size());
+      ASSERT_EQ(hints.images().size(), whole.cached_images.size());
+      for (size_t i = 0; i < whole.cached_images.size(); ++i)
+        ASSERT_EQ(hints.images()[i].machine, whole.cached_images[i].machine);
+      EXPECT_EQ(hints.booting().size(), whole.booting_machines.size());
     }
   }
 }
@@ -384,62 +388,63 @@
 }
 
 TEST(PeerHeartbeatCodec, CountsChangeOnlyWithACompleteOrSupersededBatch) {
-  const auto whole = large_peer_heartbeat(wire::PeerHeartbeatPart::Counts, 6300, 4);
+  const auto whole = large_peer_heartbeat(wire::PeerHeartbeatPart::JobProgress, 6300, 4);
   const auto first = fragments_of(whole, 1);
   const auto second = fragments_of(whole, 2);
   ASSERT_GT(first.size(), 2u);
-  const std::string job_of_first_fragment = whole.counts.front().job;
-  const std::string job_of_last_fragment = whole.counts.back().job;
+  const std::string job_of_first_fragment = whole.job_progress.front().job;
+  const std::string job_of_last_fragment = whole.job_progress.back().job;
   LeaderHints hints;
-  for (const auto& fragment : first) hints.take(fragment);
-  hints.take(second[0]);
-  EXPECT_EQ(hints.counts(job_of_last_fragment).running, 100000u);
-  hints.take(first.back());
-  hints.take(second[0]);
-  EXPECT_EQ(hints.counts(job_of_last_fragment).running, 100000u)
+  for (const auto& fragment : first) hints.apply(fragment);
+  hints.apply(second[0]);
+  EXPECT_EQ(hints.job_progress(job_of_last_fragment).running, 100000u);
+  hints.apply(first.back());
+  hints.apply(second[0]);
+  EXPECT_EQ(hints.job_progress(job_of_last_fragment).running, 100000u)
       << "repeated fragments of an older batch are ignored";
   // The rest of the second batch is lost: its first fragment is applied when the third batch
   // begins.
   const auto third = fragments_of(whole, 3);
-  hints.take(third[1]);
-  EXPECT_EQ(hints.counts(job_of_last_fragment).running, 0u);
-  EXPECT_EQ(hints.counts(job_of_first_fragment).running, 100000u);
-  for (const auto& fragment : third) hints.take(fragment);
-  EXPECT_EQ(hints.counts(job_of_last_fragment).running, 100000u);
-  hints.take(third.back());
-  hints.take(fragments_of(whole, 4)[0]);
-  EXPECT_EQ(hints.counts(job_of_first_fragment).running, 100000u)
+  hints.apply(third[1]);
+  EXPECT_EQ(hints.job_progress(job_of_last_fragment).running, 0u);
+  EXPECT_EQ(hints.job_progress(job_of_first_fragment).running, 100000u);
+  for (const auto& fragment : third) hints.apply(fragment);
+  EXPECT_EQ(hints.job_progress(job_of_last_fragment).running, 100000u);
+  hints.apply(third.back());
+  hints.apply(fragments_of(whole, 4)[0]);
+  EXPECT_EQ(hints.job_progress(job_of_first_fragment).running, 100000u)
       << "a repeated fragment of an applied batch is ignored";
   auto heartbeat_of_next_leader = whole;
   heartbeat_of_next_leader.term = 78;
-  for (const auto& fragment : fragments_of(heartbeat_of_next_leader, 1)) hints.take(fragment);
-  EXPECT_EQ(hints.counts(job_of_last_fragment).running, 100000u)
+  for (const auto& fragment : fragments_of(heartbeat_of_next_leader, 1)) hints.apply(fragment);
+  EXPECT_EQ(hints.job_progress(job_of_last_fragment).running, 100000u)
       << "the next leader's process numbers its batches from the start";
 }
 
 TEST(PeerHeartbeatCodec, IgnoresMalformedFragments) {
-  auto hostile = large_peer_heartbeat(wire::PeerHeartbeatPart::Counts, 3, 4);
+  auto hostile = large_peer_heartbeat(wire::PeerHeartbeatPart::JobProgress, 3, 4);
   LeaderHints hints;
   constexpr uint64_t kHugeCount = uint64_t{1} << 60;
   hostile.part = wire::PeerHeartbeatPart::StatusOnly;
-  hostile.fragment = wire::PeerHeartbeatFragment{1, 5, kHugeCount, wire::PeerHeartbeatPart::Counts};
-  hints.take(*wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(hostile)));
-  hostile.fragment = wire::PeerHeartbeatFragment{1, 7, 3, wire::PeerHeartbeatPart::Counts};
+  hostile.fragment =
+      wire::PeerHeartbeatFragment{1, 5, kHugeCount, wire::PeerHeartbeatPart::JobProgress};
+  hints.apply(*wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(hostile)));
+  hostile.fragment = wire::PeerHeartbeatFragment{1, 7, 3, wire::PeerHeartbeatPart::JobProgress};
   EXPECT_FALSE(wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(hostile))->fragment);
   hostile.fragment = wire::PeerHeartbeatFragment{1, 0, 1, wire::PeerHeartbeatPart::StatusOnly};
-  hints.take(*wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(hostile)));
+  hints.apply(*wire::decode_peer_heartbeat(wire::encode_peer_heartbeat(hostile)));
   for (size_t index = 0; index <= kMaxPeerHeartbeatFragments; ++index) {
     hostile.fragment = wire::PeerHeartbeatFragment{2, index, kMaxPeerHeartbeatFragments + 1,
-                                                   wire::PeerHeartbeatPart::Counts};
-    hints.take(hostile);
+                                                   wire::PeerHeartbeatPart::JobProgress};
+    hints.apply(hostile);
   }
-  EXPECT_EQ(hints.counts(hostile.counts[0].job).running, 0u)
+  EXPECT_EQ(hints.job_progress(hostile.job_progress[0].job).running, 0u)
       << "a batch with more fragments than are kept";
 }
 
-TEST(Ranges, AgreesWithSetOfNumbers) {
-  EXPECT_TRUE(holds("ranges agree with a set", [] {
-    Ranges ranges;
+TEST(TaskRangeSet, AgreesWithSetOfNumbers) {
+  EXPECT_TRUE(check_property("ranges agree with a set", [] {
+    TaskRangeSet ranges;
     std::set<uint32_t> model;
     for (int n : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60))) {
       const auto number = static_cast<uint32_t>(n);
@@ -452,14 +457,14 @@
       while (model.contains(next)) ++next;
       RC_ASSERT(ranges.next_missing(n) == next);
     }
-    Ranges decoded;
-    RC_ASSERT(Ranges::from_lengths(ranges.to_lengths(), 60, decoded));
+    TaskRangeSet decoded;
+    RC_ASSERT(TaskRangeSet::from_lengths(ranges.to_lengths(), 60, decoded));
     RC_ASSERT(decoded == ranges && decoded.count() == ranges.count());
   }));
-  Ranges decoded;
-  EXPECT_FALSE(Ranges::from_lengths({0, 61}, 60, decoded));
-  EXPECT_FALSE(Ranges::from_lengths({0, 1, 0, 1}, 60, decoded)) << "adjacent spans";
-  EXPECT_FALSE(Ranges::from_lengths({5}, 60, decoded));
+  TaskRangeSet decoded;
+  EXPECT_FALSE(TaskRangeSet::from_lengths({0, 61}, 60, decoded));
+  EXPECT_FALSE(TaskRangeSet::from_lengths({0, 1, 0, 1}, 60, decoded)) << "adjacent ranges";
+  EXPECT_FALSE(TaskRangeSet::from_lengths({5}, 60, decoded));
 }
 
 TEST(JobFeasibility, DetectsJobsThatCanNeverRun) {
@@ -472,17 +477,19 @@
   JobSpec spec;
   spec.request = {4, 1, 16};
   spec.tasks = 100;
-  EXPECT_EQ(never_runs(spec, {type}, &team), "") << "an array can run if one of its tasks fits";
+  EXPECT_EQ(unschedulable_reason(spec, {type}, &team), "")
+      << "an array can run if one of its tasks fits";
   spec.kind = JobKind::Gang;
-  EXPECT_NE(never_runs(spec, {type}, &team), "") << "a gang can run only if all its tasks fit";
+  EXPECT_NE(unschedulable_reason(spec, {type}, &team), "")
+      << "a gang can run only if all its tasks fit";
   spec.tasks = 4;
-  EXPECT_EQ(never_runs(spec, {type}, &team), "");
-  EXPECT_NE(never_runs(spec, {type}, nullptr), "");
+  EXPECT_EQ(unschedulable_reason(spec, {type}, &team), "");
+  EXPECT_NE(unschedulable_reason(spec, {type}, nullptr), "");
   spec.zone = "west";
-  EXPECT_NE(never_runs(spec, {type}, &team), "");
+  EXPECT_NE(unschedulable_reason(spec, {type}, &team), "");
   spec.zone.reset();
   spec.types = std::vector<std::string>{"h"};
-  EXPECT_NE(never_runs(spec, {type}, &team), "");
+  EXPECT_NE(unschedulable_reason(spec, {type}, &team), "");
 }
 
 }  // namespace
--- a/tests/simulation/frontend.cpp
+++ b/tests/simulation/frontend.cpp
@@ -36,7 +36,7 @@
                            const LookUpHandlers& handlers) {
   const auto live = process.records().live_jobs().find(id);
   if (live == process.records().live_jobs().end()) return false;
-  if (process.records().dependencies().certain(id))
+  if (process.records().dependencies().cancellation_is_conclusive(id))
     handlers.live(process, live->second);
   else
     handlers.unavailable();
@@ -84,7 +84,7 @@
 
 void Frontend::answer_not_found(const UserRequest& request) {
   env_.digest.add_user_answer(env_.now(), request.job, -1);
-  env_.checker.on_unknown_reported(request.job);
+  env_.checker.on_unknown_job_reported(request.job);
   request.on_handled(true);
 }
 
--- a/tests/simulation/machine.h
+++ b/tests/simulation/machine.h
@@ -17,7 +17,7 @@
   Fault partition;       ///< partitioned from all controllers
   Fault inbound_loss;    ///< no message reaches the worker
   Fault heartbeat_loss;  ///< the worker's heartbeats are lost
-  Fault command_delay;   ///< commands are held up, or their answers are lost
+  Fault command_delay;   ///< commands are delayed, or their answers are lost
 };
 
 /// A machine and the worker on it.
@@ -54,7 +54,7 @@
   void for_each_present_task(Visit&& visit) const {
     for (const auto& [id, machine] : machines_)
       for (const auto& [key, task] : machine.tasks)
-        if (task.present()) visit(machine, key);
+        if (task.active()) visit(machine, key);
   }
 
  private:
--- a/tests/simulation/store_channel.cpp
+++ b/tests/simulation/store_channel.cpp
@@ -46,10 +46,10 @@
 void StoreChannel::arrive(const Request& request) {
   Random& random = env_.random;
   const Seconds now = env_.now();
-  if (outage_active() || env_.controllers[request.controller].faults.store_refusal.active(now)) {
-    StoreReply refused;
-    refused.outcome = StoreOutcome::Refused;
-    return request.answer(random.between(kMinDelay, kMaxDelay), refused);
+  if (outage_active() || env_.controllers[request.controller].faults.store_rejection.active(now)) {
+    StoreReply rejected;
+    rejected.outcome = StoreOutcome::Rejected;
+    return request.answer(random.between(kMinDelay, kMaxDelay), rejected);
   }
   const bool writes = request.kind == RequestKind::Transaction;
   if (writes && late_writes_.active(now) && random.chance(late_write_fraction_))
@@ -66,7 +66,7 @@
 void StoreChannel::apply_late(Operation operation) {
   env_.loop.schedule(env_.random.between(2, 12), [this, operation = std::move(operation)] {
     if (outage_active()) return;
-    ++late_writes_tried_;
+    ++late_writes_attempted_;
     if (operation().ok()) ++late_writes_applied_;
   });
 }
@@ -91,7 +91,7 @@
     StoreReply reply;
     reply.outcome = StoreOutcome::Ok;
     reply.revision = service_.revision();
-    reply.changes = after ? service_.changes_after(*after) : service_.all();
+    reply.changes = after ? service_.changes_after(*after) : service_.all_items();
     return reply;
   };
 }
@@ -110,7 +110,7 @@
   return [this, duration] {
     StoreReply reply;
     reply.outcome = StoreOutcome::Ok;
-    reply.lease = service_.grant(env_.now(), duration);
+    reply.lease = service_.grant_lease(env_.now(), duration);
     return reply;
   };
 }
@@ -118,14 +118,15 @@
 StoreChannel::Operation StoreChannel::renew_lease(uint64_t lease) {
   return [this, lease] {
     StoreReply reply;
-    reply.outcome = service_.renew(lease, env_.now()) ? StoreOutcome::Ok : StoreOutcome::Failed;
+    reply.outcome =
+        service_.renew_lease(lease, env_.now()) ? StoreOutcome::Ok : StoreOutcome::Failed;
     return reply;
   };
 }
 
 StoreChannel::Operation StoreChannel::revoke_lease(uint64_t lease) {
   return [this, lease] {
-    service_.revoke(lease);
+    service_.revoke_lease(lease);
     StoreReply reply;
     reply.outcome = StoreOutcome::Ok;
     return reply;
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -24,7 +24,7 @@
   const Seconds now = env_.now();
   if (!machine.up(now)) return;
   // Lease expiry also applies to hung machines: their tasks end with the lease.
-  machine.expire_agent_epoch(env_.options.lease_s, now);
+  machine.restart_agent_epoch_if_expired(env_.options.lease_s, now);
   if (machine.faults.hung.active(now)) return;
   for (auto& [key, task] : machine.tasks) run_task(machine, key, task);
   if (machine.heartbeat_sent && now - *machine.heartbeat_sent > kHeartbeatTimeout)
@@ -36,12 +36,13 @@
 
 void Workers::run_task(SimulatedMachine& machine, const TaskKey& key, MachineTask& task) {
   const Seconds now = env_.now();
-  if (!task.present() || now < task.next_change) return;
+  if (!task.active() || now < task.next_transition_at) return;
   if (task.state != TaskState::Fetching) return finish_task(key, task);
   task.state = TaskState::Running;
   ObservedJob& job = env_.jobs.at(key.job);
   if (!job.started_at) job.started_at = now;
-  task.next_change = now + env_.random.between(env_.options.task_least, env_.options.task_most);
+  task.next_transition_at =
+      now + env_.random.between(env_.options.min_task_s, env_.options.max_task_s);
   if (!machine.fails_all_tasks) return;
   task.state = TaskState::Exited;
   task.cause = ExitCause::Error;
@@ -60,15 +61,15 @@
 void Workers::execute(SimulatedMachine& machine, const std::vector<Command>& commands,
                       Seconds command_sent_at) {
   for (const auto& command : commands) {
-    if (command.verb == Verb::Start) {
+    if (command.type == CommandType::Start) {
       start_task(machine, command, command_sent_at);
       continue;
     }
     MachineTask* task = machine.find(command);
     if (!task) continue;
-    if (command.verb != Verb::Stop) {
-      if (!task->present()) machine.tasks.erase(command.key);
-    } else if (task->present()) {
+    if (command.type != CommandType::Stop) {
+      if (!task->active()) machine.tasks.erase(command.key);
+    } else if (task->active()) {
       task->state = TaskState::Exited;
       task->cause = ExitCause::Stopped;
     }
@@ -78,7 +79,7 @@
 void Workers::start_task(SimulatedMachine& machine, const Command& command,
                          Seconds command_sent_at) {
   if (!machine.accepts_start(command)) return;
-  const Seconds fetch = env_.random.between(env_.options.fetch_least, env_.options.fetch_most);
+  const Seconds fetch = env_.random.between(env_.options.min_fetch_s, env_.options.max_fetch_s);
   machine.tasks[command.key] = {command.attempt, TaskState::Fetching, ExitCause::None,
                                 env_.now() + fetch};
   env_.checker.on_task_started(machine, command.key, command_sent_at);
@@ -139,7 +140,7 @@
   if (machine->agent_epoch != delivery.heartbeat.agent_epoch ||
       reply.fencing_token < machine->fencing_token)
     return;
-  machine->answered_heartbeat = delivery.sent_at;
+  machine->last_answered_heartbeat_at = delivery.sent_at;
   if (reply.fencing_token > machine->fencing_token)
     machine->next_heartbeat = std::min(machine->next_heartbeat, now + kMaxPromptHeartbeatDelay);
   machine->fencing_token = reply.fencing_token;
@@ -163,7 +164,7 @@
 
 // ---------------------------------------------------------------- late duplicates of heartbeats
 
-void Workers::duplicate_heartbeats(double fraction, Seconds span, CopyDelivery delivery) {
+void Workers::duplicate_heartbeats(double fraction, Seconds span, DuplicateDelivery delivery) {
   duplication_fraction_ = fraction;
   duplication_.activate_until(env_.now() + span);
   duplicate_delivery_ = delivery;
@@ -176,7 +177,7 @@
       !(duplicating && random.chance(duplication_fraction_)))
     return;
   const HeartbeatDuplicate duplicate{heartbeat, env_.checker.highest_term()};
-  if (duplicating && duplicate_delivery_ == CopyDelivery::ToNextLeaderOnce)
+  if (duplicating && duplicate_delivery_ == DuplicateDelivery::OnLeaderChange)
     return kept_duplicates_.push_back(duplicate);
   env_.loop.schedule(random.between(2, 2.5 * env_.options.lease_s),
                      [this, duplicate] { send_duplicate(duplicate); });
