--- a/tests/generators.h
+++ b/tests/generators.h
@@ -7,7 +7,8 @@
 
 namespace sumacquay::testing {
 
-/// Builds fail the same way every time: seeds are fixed, and a failure is a failed test.
+/// Whether the property holds. The seed is fixed, so that results are reproducible; a
+/// counterexample is printed.
 template <class F>
 bool holds(const char* what, F&& property, int times = 200) {
   rc::detail::TestParams params;
