--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -15,13 +15,13 @@
 
 std::optional<StoreItem> read_item(View item) {
   const auto key = item[field::kKey].text();
-  const auto version = item[field::kVersion].count();
+  const auto version = item[field::kVersion].unsigned_integer();
   if (!key || !version) return std::nullopt;
   return StoreItem{*key, item[field::kValue], *version};
 }
 
 std::optional<StoreItem> read_change(View change) {
-  const auto version = change[field::kVersion].count();
+  const auto version = change[field::kVersion].unsigned_integer();
   if (!version) return std::nullopt;
   if (const auto key = change[field::kSet].text())
     return StoreItem{*key, change[field::kValue], *version};
@@ -38,7 +38,7 @@
   if (!page.document) return std::nullopt;
   const View root = page.document->root();
   const View list = root[list_name];
-  const auto revision = root[field::kRevision].count();
+  const auto revision = root[field::kRevision].unsigned_integer();
   if (!list.is_list() || !revision) return std::nullopt;
   page.revision = *revision;
   page.more = root[field::kMore].flag().value_or(false);
@@ -118,32 +118,34 @@
 }
 
 std::optional<uint64_t> parse_revision(std::string_view body) {
-  return codec::read_root<uint64_t>(body, [](View root) { return root[field::kRevision].count(); });
+  return codec::read_root<uint64_t>(
+      body, [](View root) { return root[field::kRevision].unsigned_integer(); });
 }
 
-std::vector<std::string> parse_failed(std::string_view body) {
+std::vector<std::string> parse_failed_keys(std::string_view body) {
   const auto document = Document::parse(body);
   if (!document) return {};
   return codec::read_texts(document->root()["failed"]);
 }
 
-std::string grant_body(uint64_t ttl_ms) {
-  return codec::build([&](Packer& packer) {
+std::string lease_request_body(uint64_t ttl_ms) {
+  return codec::pack_message([&](Packer& packer) {
     packer.pack_map(1);
     pack_field(packer, "life_ms", ttl_ms);
   });
 }
 
-std::optional<uint64_t> parse_lease(std::string_view body) {
-  return codec::read_root<uint64_t>(body, [](View root) { return root[field::kLease].count(); });
+std::optional<uint64_t> parse_lease_id(std::string_view body) {
+  return codec::read_root<uint64_t>(
+      body, [](View root) { return root[field::kLease].unsigned_integer(); });
 }
 
-std::string grant_path(uint64_t lease) {
-  return std::string(path::kGrants) + "/" + std::to_string(lease);
+std::string lease_path(uint64_t lease) {
+  return std::string(path::kLeases) + "/" + std::to_string(lease);
 }
 
-std::string renew_path(uint64_t lease) {
-  return grant_path(lease) + "/renew";
+std::string lease_renewal_path(uint64_t lease) {
+  return lease_path(lease) + "/renew";
 }
 
 }  // namespace sumacquay::wire
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -16,7 +16,7 @@
 namespace path {
 inline constexpr const char* kStore = "/store";
 inline constexpr const char* kTransaction = "/multi";
-inline constexpr const char* kGrants = "/grants";
+inline constexpr const char* kLeases = "/grants";
 inline constexpr const char* kChanges = "/changes";
 }  // namespace path
 
@@ -76,18 +76,18 @@
 std::optional<uint64_t> parse_revision(std::string_view body);
 
 /// Parses the keys whose preconditions failed; empty if the body is invalid.
-std::vector<std::string> parse_failed(std::string_view body);
+std::vector<std::string> parse_failed_keys(std::string_view body);
 
 /// Encodes a request for a lease with this time to live.
-std::string grant_body(uint64_t ttl_ms);
+std::string lease_request_body(uint64_t ttl_ms);
 
 /// Parses the id of a granted lease.
-std::optional<uint64_t> parse_lease(std::string_view body);
+std::optional<uint64_t> parse_lease_id(std::string_view body);
 
 /// Path of a lease; a DELETE request revokes the lease.
-std::string grant_path(uint64_t lease);
+std::string lease_path(uint64_t lease);
 
 /// Path of a request to renew a lease.
-std::string renew_path(uint64_t lease);
+std::string lease_renewal_path(uint64_t lease);
 
 }  // namespace sumacquay::wire
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -11,9 +11,9 @@
 namespace sumacquay::wire {
 namespace {
 
-using codec::build;
 using codec::Fields;
 using codec::pack_field;
+using codec::pack_message;
 using codec::Packer;
 
 ParsedJob invalid_job(std::string error, std::string id) {
@@ -46,17 +46,17 @@
   return {std::move(spec), {}, std::move(id)};
 }
 
-std::string job_answer(const std::string& id, UserVisibleState state) {
-  return build([&](Packer& packer) {
+std::string job_state_body(const std::string& id, UserVisibleState state) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(2);
     pack_field(packer, field::kId, id);
     pack_field(packer, field::kState, name_of(enum_names::kUserVisibleStates, state));
   });
 }
 
-std::string job_status(const std::string& id, UserVisibleState state, uint32_t done,
-                       uint32_t running) {
-  return build([&](Packer& packer) {
+std::string job_status_body(const std::string& id, UserVisibleState state, uint32_t done,
+                            uint32_t running) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(4);
     pack_field(packer, field::kId, id);
     pack_field(packer, field::kState, name_of(enum_names::kUserVisibleStates, state));
@@ -66,7 +66,7 @@
 }
 
 std::string error_body(const std::string& error) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(1);
     pack_field(packer, "error", error);
   });
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -34,11 +34,11 @@
 ParsedJob parse_job(std::string_view body);
 
 /// Response to a submission or a cancellation.
-std::string job_answer(const std::string& id, UserVisibleState state);
+std::string job_state_body(const std::string& id, UserVisibleState state);
 
 /// Response to a query, with the numbers of done and running tasks.
-std::string job_status(const std::string& id, UserVisibleState state, uint32_t done,
-                       uint32_t running);
+std::string job_status_body(const std::string& id, UserVisibleState state, uint32_t done,
+                            uint32_t running);
 
 /// Response with the reason why a request was rejected. Also sent to workers and to the platform's
 /// health probes.
--- a/src/wire/view.h
+++ b/src/wire/view.h
@@ -62,7 +62,7 @@
     }
   }
 
-  std::optional<uint64_t> count() const {
+  std::optional<uint64_t> unsigned_integer() const {
     if (!object_ || object_->type != msgpack::type::POSITIVE_INTEGER) return std::nullopt;
     return object_->via.u64;
   }
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -11,9 +11,9 @@
 namespace sumacquay::wire {
 namespace {
 
-using codec::build;
 using codec::Fields;
 using codec::pack_field;
+using codec::pack_message;
 using codec::Packer;
 using codec::value_of;
 
@@ -52,7 +52,7 @@
 
 std::optional<TaskStatus> read_task(View task) {
   const auto key = read_task_name(task[field::kTask]);
-  const auto attempt = task[field::kAttempt].count();
+  const auto attempt = task[field::kAttempt].unsigned_integer();
   const auto state = value_of(enum_names::kTaskStates, task[field::kState]);
   if (!key || !attempt || !state) return std::nullopt;
   return TaskStatus{*key, *attempt, *state, read_exit_cause(task, *state)};
@@ -66,9 +66,9 @@
   heartbeat.type = fields.text(field::kType, 0, kMaxNameBytes);
   heartbeat.zone = fields.text(field::kZone, 0, kMaxNameBytes);
   heartbeat.spot = fields.flag(field::kSpot);
-  heartbeat.agent_epoch = fields.count(field::kAgentEpoch);
-  heartbeat.sequence_number = fields.count("tally");
-  heartbeat.fencing_token = fields.count(field::kFencingToken);
+  heartbeat.agent_epoch = fields.unsigned_integer(field::kAgentEpoch);
+  heartbeat.sequence_number = fields.unsigned_integer("tally");
+  heartbeat.fencing_token = fields.unsigned_integer(field::kFencingToken);
   heartbeat.preemption_notice_s = root["warning_s"].number();
   const View tasks = root[field::kTasks];
   if (!fields.ok() || !tasks.is_list() || !safe_in_keys(heartbeat.machine)) return std::nullopt;
@@ -81,7 +81,7 @@
 void pack_command(Packer& packer, const Command& command) {
   const bool is_stop = command.type == CommandType::Stop;
   packer.pack_map(is_stop ? 4 : 3);
-  pack_field(packer, "verb", name_of(enum_names::kVerbs, command.type));
+  pack_field(packer, "verb", name_of(enum_names::kCommandTypes, command.type));
   pack_field(packer, field::kTask, task_name(command.key));
   pack_field(packer, field::kAttempt, command.attempt);
   if (is_stop) pack_field(packer, "easing_s", command.grace_s);
@@ -98,8 +98,8 @@
   return codec::read_root<WorkerHeartbeat>(body, read_worker_heartbeat);
 }
 
-std::string heartbeat_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
-  return build([&](Packer& packer) {
+std::string heartbeat_response_body(uint64_t fencing_token, const std::vector<Command>& commands) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(2);
     pack_field(packer, field::kFencingToken, fencing_token);
     pack_commands(packer, commands);
@@ -107,7 +107,7 @@
 }
 
 std::string redirect_body(const std::string& node) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(node.empty() ? 0 : 1);
     if (!node.empty()) pack_field(packer, "foreman", node);
   });
@@ -115,7 +115,7 @@
 
 std::string worker_commands_body(uint64_t fencing_token, uint64_t agent_epoch,
                                  const std::vector<Command>& commands) {
-  return build([&](Packer& packer) {
+  return pack_message([&](Packer& packer) {
     packer.pack_map(3);
     pack_field(packer, field::kFencingToken, fencing_token);
     pack_field(packer, field::kAgentEpoch, agent_epoch);
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -22,7 +22,7 @@
 
 /// Response to a heartbeat, which renews the worker's lease. `fencing_token` is the token in force
 /// for the worker, which rejects commands with a lower one.
-std::string heartbeat_answer(uint64_t fencing_token, const std::vector<Command>& commands);
+std::string heartbeat_response_body(uint64_t fencing_token, const std::vector<Command>& commands);
 
 /// Response to a heartbeat that reached a controller other than the leader. `node` is the leader's
 /// name; empty if it is unknown.
